--- a/libs/front/include/hawthornlane/front/address_choice.h
+++ b/libs/front/include/hawthornlane/front/address_choice.h
@@ -1,4 +1,4 @@
-// Which front hosts a caller is told of. No I/O, clock or randomness.
+// Chooses the front host addresses that a caller gets. No I/O, clock or randomness.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace hawthornlane::front {
 
-/// Callers stay in their zone when it has at least this many ready hosts: one of
-/// them may die, and a caller needs another address at once. Bytes between zones
-/// are paid for, and a call in the zone is a few milliseconds quicker.
+/// Minimum of ready hosts in the caller's zone for using only that zone: if one host fails, the
+/// caller needs another address at once. Traffic between zones is charged for, and calls within
+/// a zone are a few milliseconds faster.
 constexpr std::size_t enough_in_zone = 2;
-/// A zone's hosts must not carry many times what others do: callers stay there only
-/// while it has at least this part of an even share of the hosts.
+/// Minimum number of hosts in the zone, as a fraction of an even share of all hosts. Below it the
+/// hosts of a small zone would carry several times the load of others.
 constexpr double least_zone_share = 0.5;
 
-/// Addresses of ready hosts for a caller of that zone.
+/// Addresses of ready hosts for a caller in `zone`: those in its zone, or all.
 std::vector<std::string> addresses_for(const availability_zone& zone,
                                        const std::vector<host_entry>& ready);
 
--- a/libs/front/include/hawthornlane/front/call_metrics.h
+++ b/libs/front/include/hawthornlane/front/call_metrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms of a front host, as text.
+// Counters, gauges and latency histograms of a front host, rendered as text.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace hawthornlane::front {
 
-/// Counts by name and records latencies; `text` renders all of them, one a line.
+/// Named counters, gauges and latency histograms; `text` renders all of them, one per line.
 class call_metrics {
 public:
   call_metrics();
--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -1,4 +1,4 @@
-// Finds a backend server for each call of a front host, now or after a wait.
+// Finds a backend server for each call of a front host, at once or after queueing.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -18,21 +18,21 @@
 
 namespace hawthornlane::front {
 
-/// What a call got.
+/// Result of looking for a server for one call.
 struct acquired_server {
   placement_id id;
   std::optional<backend_entry> server;
   std::optional<placement_basis> basis;
   bool caller_left = false;
   duration waited{};
-  /// There was no server: before there is likely one, where that is known.
+  /// If there is no server: the expected time until one is free; 0 if unknown.
   duration retry_in{};
 };
 
-/// Lets somebody else end a call's wait for a server.
+/// Cancels a call's wait for a server from outside the waiting coroutine.
 class placement_wait {
 public:
-  /// The caller is gone; the call needs no server any more.
+  /// The caller has disconnected: the call no longer needs a server.
   void leave();
 
 private:
@@ -43,8 +43,8 @@
   bool left = false;
 };
 
-/// Joins the decisions of `server_pool`, one for each service, with the calls that wait.
-/// For one thread.
+/// Runs one `server_pool` per service and resumes the calls that wait for its decisions.
+/// Not thread-safe.
 class call_placer {
 public:
   call_placer(boost::asio::io_context& context, host_id own, availability_zone here,
@@ -53,36 +53,37 @@
   call_placer& operator=(const call_placer&) = delete;
   ~call_placer();
 
-  /// Gives `request` an id and waits until there is a server for it, or there cannot be
-  /// one in its time.
+  /// Assigns `request` an id and waits until a server is chosen, or until none can serve the
+  /// call before its deadline.
   boost::asio::awaitable<acquired_server> acquire(const service_name& service,
                                                   placement_request request, placement_wait& wait);
-  /// A call that had got a server is over there.
+  /// A call has ended at the server that it was given.
   void finished(const service_name& service, placement_id id, server_outcome outcome);
-  /// The first part of a call's answer came.
+  /// The first part of a call's answer has arrived.
   void started(const service_name& service, placement_id id);
-  /// From now on hosts share what they know of loads and prompts.
+  /// Enables sharing of loads, prompt locations and speeds with other hosts.
   void share_by(directory_exchange& with) { this->exchange = &with; }
-  /// From now on calls for full servers claim a place at the servers' keepers.
+  /// Enables claims: a call for a full server claims a place (a slot) at the server's keeper,
+  /// the host that owns the server's directory entry.
   void claim_by(place_exchange& with) { this->places = &with; }
-  /// Takes what other hosts answered.
+  /// Stores what a keeper of directory entries has answered.
   void take_answer(const directory_answer& answer);
-  /// Tells this host's loads again, so that they are not taken for those of a dead host.
+  /// Reports this host's loads again: keepers drop the counts of a host that stops reporting.
   void renew_loads();
-  /// Some server is known to have read this part of a prompt.
+  /// Whether some server is known to have processed this part of a prompt.
   [[nodiscard]] bool knows(const service_name& service, prompt_part_key part) {
     return this->pool_of(service).pool.knows(part);
   }
   [[nodiscard]] bool lists_servers(const service_name& service);
 
-  /// Tells the pools which servers there are now.
+  /// Passes the current lists of servers to the pools.
   void refresh_servers();
-  /// Ends waits whose time is over, and tries again what waits for a server.
+  /// Ends waits that have passed their deadline, and retries placement of queued calls.
   void tick();
-  /// What this host needs of each service, for the other hosts.
+  /// This host's smoothed demand for each service, to be reported to the other hosts.
   [[nodiscard]] std::vector<service_demand> demand() const;
-  /// Divides scarce places between this host and the others; one entry for each of them
-  /// and each service.
+  /// Divides scarce places between this host and the others. `others` has one entry per other
+  /// host and service.
   void take_demand(const std::vector<service_demand>& others);
 
 private:
@@ -91,27 +92,27 @@
     server_pool pool;
     /// Calls at servers and waiting, smoothed.
     double demand = 0;
-    /// As last written to the log.
+    /// Servers that were last logged as set aside.
     std::set<backend_server_id> set_aside;
-    /// Known to be slow, as last written to the log.
+    /// Servers that were last logged as slow.
     std::set<backend_server_id> slow;
-    /// The gauges of its servers' speeds hold what is known.
+    /// The speed gauges of this service show measured values and not their default.
     bool shows_speeds = false;
-    /// Hosts keep to their part of the places.
+    /// Places are scarce: each host is limited to its share of them.
     bool scarce = false;
   };
 
   service_pool& pool_of(const service_name& name);
-  /// Asks the other hosts what bears on the request's placement.
+  /// Asks the keepers for the loads and prompt locations that affect this placement.
   boost::asio::awaitable<void> ask_others(const server_pool& pool,
                                           const placement_request& request);
-  /// Claims a place where the servers that the call would go to are full; false: it is to be
-  /// placed by what this host knows itself.
+  /// Claims a place if the servers that the call would go to are full. Returns false if the call
+  /// must be placed by this host's own information.
   boost::asio::awaitable<bool> claim(server_pool& pool, const placement_request& request,
                                      placement_wait& wait, acquired_server& got);
   void tell_changes(server_pool& pool);
   void set_speed_gauges(const service_name& name, double fastest, double slowest);
-  /// Writes what operators see of servers' speeds.
+  /// Updates the speed gauges and logs servers that have become slow.
   void show_speeds(const service_name& name, service_pool& item);
   void deliver(const std::vector<placement>& placed);
   void share_places(const service_name& name, service_pool& item,
@@ -124,9 +125,9 @@
   discovery::fleet_state& fleet;
   call_metrics& metrics;
   pool_rules rules;
-  /// Not there: this host decides by what it sees itself.
+  /// Null: this host places calls by its own information alone.
   directory_exchange* exchange = nullptr;
-  /// Not there: full servers are not told from others.
+  /// Null: no places are claimed; full servers are treated like others.
   place_exchange* places = nullptr;
   std::map<service_name, service_pool> pools;
   std::map<placement_id, placement_wait::waiter*> waiters;
--- a/libs/front/include/hawthornlane/front/call_service.h
+++ b/libs/front/include/hawthornlane/front/call_service.h
@@ -1,4 +1,4 @@
-// Serves one call from its first byte to its answer.
+// Serves calls at a front host, from the request to the answer.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -17,7 +17,7 @@
 
 namespace hawthornlane::front {
 
-/// The calls of one front host. For one thread.
+/// Serves the calls of one front host. Not thread-safe.
 class call_service {
 public:
   call_service(discovery::fleet_state& fleet, call_placer& placer, relay::backend_pool& backends,
@@ -27,51 +27,52 @@
   call_service& operator=(const call_service&) = delete;
   ~call_service() = default;
 
-  /// Answers one request.
+  /// Serves one request and answers it.
   boost::asio::awaitable<void> serve(relay::caller_link& caller, http::request request);
-  /// Answers a request that could not be read, or that no host may serve now.
-  /// `wait`: before the caller can do better, where that is known.
+  /// Answers with an error, for example when the request is malformed or cannot be served now.
+  /// `wait`: the least time for Retry-After, where it is known.
   boost::asio::awaitable<void> refuse(relay::caller_link& caller, const failure& why,
                                       const std::string& id, duration wait = {});
-  /// Calls that have been read and not answered.
+  /// Number of calls that have been read and not answered.
   [[nodiscard]] std::size_t under_way() const { return this->calls; }
-  /// From now on calls are turned away; used near the end of a planned stop.
+  /// Rejects all further calls; used near the end of a planned stop.
   void turn_away() { this->turning_away = true; }
 
 private:
   struct call;
   boost::asio::awaitable<void> run(call& one);
 
-  // Admission. A step answers why the call cannot be served, or false once it has answered it.
+  // Admission. A step returns the reason why the call cannot be served. A coroutine returns false
+  // if it has already answered the call.
   std::optional<failure> prepare(call& one);
   std::optional<failure> decode(call& one);
   std::optional<failure> find_route(call& one);
-  /// Finds the account whose key the caller shows, where the route asks for one.
+  /// Finds the account of the caller's key, where the route requires one.
   static std::optional<failure> identify(call& one);
-  /// From here on the names that the caller chose are those of its account.
+  /// Scopes the ids that the caller chose to its account.
   static void keep_apart(call& one);
-  /// The key still holds in the newest configuration, also after a wait.
+  /// Whether the key is still valid in the newest configuration; checked again after a wait.
   [[nodiscard]] bool still_identified(const call& one) const;
-  /// Takes the call out of its account's quota.
+  /// Charges the call to its account's quota.
   boost::asio::awaitable<bool> admit_to_quota(call& one);
-  /// Enters the call's turn into the ledger, where its route keeps or its program counts them.
+  /// Reserves the call's turn in the ledger, if its route stores turns or its program has a budget.
   boost::asio::awaitable<bool> admit_to_ledger(call& one);
 
   // Placement.
-  /// Offers the call to one server; true when it is to be offered to another one.
+  /// Runs one attempt at one server; returns true if the call should be tried at another one.
   boost::asio::awaitable<bool> run_once(call& one);
   boost::asio::awaitable<acquired_server> acquire(call& one);
-  /// The program of this prompt has been served before, as far as this host knows.
+  /// Whether this host knows that the program of this prompt has been served before.
   bool goes_on(const service_name& service, const std::vector<prompt_piece>& prompt);
 
   // Dispatch to one server.
   boost::asio::awaitable<relay::try_outcome> try_server(call& one, const backend_entry& server);
   static relay::dispatch_terms terms_for(const call& one, const backend_entry& server);
-  /// The outcome once the answer's signature and the stream's end have been looked at.
+  /// The outcome after checking the answer's signature and the end of the stream.
   static relay::try_outcome checked(call& one, relay::try_outcome outcome);
   boost::asio::awaitable<bool> stream_head(call& one, const relay::backend_answer& head);
   boost::asio::awaitable<bool> stream_bytes(call& one, std::string_view bytes);
-  /// What the try says about the server's health and pace.
+  /// Reports the attempt's outcome to the placer, for the server's health and speed.
   void note_try(const call& one, const acquired_server& got, relay::try_outcome outcome);
   [[nodiscard]] bool may_try_again(const call& one, relay::try_outcome outcome) const;
 
--- a/libs/front/include/hawthornlane/front/directory_exchange.h
+++ b/libs/front/include/hawthornlane/front/directory_exchange.h
@@ -1,4 +1,5 @@
-// Carries the entries of the placement directory between front hosts.
+// Exchanges entries of the placement directory between front hosts. The host that owns an entry is
+// its keeper.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,14 +15,15 @@
 
 namespace hawthornlane::front {
 
-/// What one host tells and asks the host that keeps some entries.
+/// Updates and queries from one host to a keeper.
 struct directory_message {
   host_id from;
   std::vector<server_load> loads;
   std::vector<part_location> locations;
   std::vector<server_key> asked_servers;
   std::vector<prompt_part_key> asked_parts;
-  /// Behind the rest where there are any; hosts that know none of it read no further.
+  /// Appended to the message if not empty, and not part of `serialize`: hosts of older versions
+  /// ignore the trailing bytes.
   std::vector<told_speed> speeds;
 
   template <class Archive>
@@ -30,14 +32,14 @@
   }
 };
 
-/// What the keeper answers.
+/// The keeper's answer.
 struct directory_answer {
-  /// Calls of all hosts but the asker, and those that wait for a place, at each server that was
-  /// told of or asked for.
+  /// For each server that was reported or queried: the calls of all hosts except the asker, plus
+  /// the calls that wait for a place.
   std::vector<server_load> loads;
-  /// Of the parts asked for, those that it knows.
+  /// Known locations of the queried parts.
   std::vector<part_location> locations;
-  /// Of the same servers, what other hosts believe; behind the rest as well.
+  /// Other hosts' speed estimates of the same servers; appended as in `directory_message`.
   std::vector<told_speed> speeds;
 
   template <class Archive>
@@ -48,46 +50,47 @@
 
 std::string bytes_of(const directory_message& message);
 std::string bytes_of(const directory_answer& answer);
-/// Nothing when the bytes are none.
+/// Nothing if the bytes are malformed.
 std::optional<directory_message> directory_message_from(const std::string& bytes);
 std::optional<directory_answer> directory_answer_from(const std::string& bytes);
 
-/// What the exchange takes from and gives to the rest of the host.
+/// Callbacks from the exchange to the rest of the host.
 struct exchange_hooks {
-  /// The other front hosts that live.
+  /// The other live front hosts.
   std::function<std::vector<host_id>()> hosts;
   /// Sends a message to another host.
   std::function<void(const host_id& to, const std::string& payload, net::rpc_done done)> send;
-  /// Takes what a keeper has answered.
+  /// Handles a keeper's answer.
   std::function<void(const directory_answer&)> take;
-  /// A host has told this one a new count in place of `before`; may be missing.
+  /// A host has reported a new load, which replaces `before`; optional.
   std::function<void(const host_id&, const server_load&, std::uint32_t before)> counted;
-  /// Calls that wait for a place at a server which this host keeps; may be missing.
+  /// Number of calls that wait for a place at a server whose keeper is this host; optional.
   std::function<std::uint32_t(server_key)> waiting;
 };
 
-/// One host's side of the directory: its own entries, and its messages to the hosts that
-/// keep the others. For one thread.
+/// One host's side of the directory: the entries that it keeps, and messages to the keepers of
+/// the others. Not thread-safe.
 class directory_exchange {
 public:
   directory_exchange(boost::asio::io_context& context, host_id own, exchange_hooks hooks);
 
-  /// Tells the keepers what changed here.
+  /// Sends changes at this host to the keepers.
   void tell(const directory_update& update);
-  /// Asks the keepers; their answers have been taken when this ends, or the wait is over.
+  /// Queries the keepers and waits until all have answered or the time limit is over. Answers go to
+  /// the `take` callback.
   boost::asio::awaitable<void> ask(directory_question question);
-  /// Serves another host; nothing when the message is malformed.
+  /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(const std::string& payload);
-  /// What this host keeps.
+  /// The entries that this host keeps.
   [[nodiscard]] const placement_directory& entries() const { return this->directory; }
 
 private:
-  /// This host and the others that live.
+  /// This host and the other live hosts.
   [[nodiscard]] std::vector<host_id> keepers() const;
   using messages = std::map<host_id, directory_message>;
   directory_message& message_to(messages& all, std::uint64_t key,
                                 const std::vector<host_id>& hosts) const;
-  /// Has the keeper answer, takes what it says, and then calls `done`, also when the
+  /// Sends the message, passes the answer to the `take` callback and then calls `done`, also if the
   /// keeper does not answer.
   void send(const host_id& keeper, const directory_message& message, std::function<void()> done);
   directory_answer answer(const directory_message& message);
--- a/libs/front/include/hawthornlane/front/ledger_client.h
+++ b/libs/front/include/hawthornlane/front/ledger_client.h
@@ -1,4 +1,5 @@
-// The front host's side of the ledger: asks the disk hosts and concludes.
+// The front host's client of the turn ledger: sends requests to the disk hosts and decides by
+// majority.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +21,7 @@
 
 namespace hawthornlane::front {
 
-/// Reserves, reads and settles at the disks of the current set. For one thread.
+/// Reserves, reads and settles turns at the disks of the current set. Not thread-safe.
 class ledger_client final : public turn_keeper {
 public:
   ledger_client(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
@@ -30,11 +31,11 @@
   ledger_client& operator=(const ledger_client&) = delete;
   ~ledger_client() override;
 
-  /// Takes the set of disks out of the hosts' objects, if it is there and newer.
+  /// Adopts the set of disks from a page of the hosts' objects, if it holds a newer one.
   void take_set(const platform_adapter::object_page& page);
-  /// A newer set that somebody told.
+  /// Adopts `told` if its epoch is newer. `source` is for the log.
   void take_set(const ledger_set& told, const std::string& source);
-  /// The disk hosts may have changed.
+  /// Updates the links after the list of hosts has changed.
   void refresh_hosts();
 
   boost::asio::awaitable<turn_admission> admit(turn_request turn, net::steady_time until) override;
@@ -42,25 +43,25 @@
                                       net::steady_time until) override;
   void withdraw(const turn_request& turn) override;
 
-  /// Passes a question to a disk host on by way of another front host.
+  /// Relays a request to a disk host through another front host.
   using relay_hook =
       std::function<void(const relayed_question&, duration limit, net::rpc_done done)>;
   void set_relay(relay_hook hook) { this->relay = std::move(hook); }
-  /// Counts there what this host asks of disk hosts itself.
+  /// Sets where the bytes of direct requests to disk hosts are counted.
   void count_in(peer_traffic shared) { this->traffic = std::move(shared); }
-  /// Serves another front host that does not reach a disk host itself.
+  /// Relays a request of another front host that cannot reach a disk host directly.
   void serve_relayed(const std::string& payload, const net::rpc_reply& reply);
-  /// Looks whether disk hosts that were not reached, or never asked, can be reached.
+  /// Probes disk hosts that are suspected or have never answered.
   void tick();
-  /// The set names a disk whose host is not known yet.
+  /// Whether the set names a disk whose host is not known yet.
   [[nodiscard]] bool lacks_address() const;
-  /// Disks of the set that have answered this host itself and are not silent since.
+  /// Number of disks of the set that have answered directly and are not suspected.
   [[nodiscard]] std::uint32_t reached() const;
 
-  /// Asks a disk host of the set something besides the ledger's own questions.
+  /// Sends a disk host of the set a request that is not one of the ledger's own.
   void ask_disk(const disk_id& disk, ledger_method method, std::string payload, duration limit,
                 net::rpc_done done);
-  /// Whether a disk host answers this host itself.
+  /// Whether a disk host answers this host directly.
   [[nodiscard]] bool reaches(const disk_id& disk) const;
 
   [[nodiscard]] const std::optional<ledger_set>& current() const { return this->set; }
@@ -70,78 +71,78 @@
   struct admission_state;
   struct settle_state;
 
-  /// What is asked of some disk hosts.
+  /// A request to one or more disk hosts.
   struct question {
     ledger_method method{};
-    /// One for all disks and both ways: it may hold a turn's whole body.
+    /// Shared by all disks, and by direct and relayed sends: it may hold a turn's whole body.
     std::shared_ptr<const std::string> payload;
-    /// For an answer by whatever way, besides what question and answer take on the links.
+    /// Time for an answer, direct and relayed together, without the transfer times below.
     duration limit{};
-    /// What it may take to leave, behind all that is underway. Set when it is asked.
+    /// Time for the request to leave this host, after all bytes in flight. Set when it is sent.
     duration sending{};
-    /// What its answer may take to arrive.
+    /// Time for the answer to arrive.
     duration arriving{};
-    /// A disk host was silent and is asked by way of another front host; or empty.
+    /// Called if a disk host did not answer and the request is relayed instead; may be empty.
     std::function<void()> on_silence;
 
     [[nodiscard]] duration on_the_way() const { return this->sending + this->arriving; }
   };
   [[nodiscard]] static question make_question(ledger_method method, std::string payload,
                                               duration limit);
-  /// What that many bytes and all that are underway may take on this host's link, which
-  /// the links to all disks share.
+  /// Time to send `bytes` after all bytes in flight over this host's link, which the connections
+  /// to all disks share.
   [[nodiscard]] duration time_to_send(std::size_t bytes) const;
-  /// Counts the bytes as underway until it is called.
+  /// Wraps `done`: counts the bytes as in flight until it is called.
   net::rpc_done while_underway(std::size_t bytes, net::rpc_done done);
-  /// Asks a disk host, itself or by way of another front host.
+  /// Sends a request to a disk host, directly or through another front host.
   void ask(const disk_id& disk, const question& what, net::rpc_done done);
   void ask_by_relay(const disk_id& disk, const question& what, duration limit, net::rpc_done done);
-  /// A disk host was asked directly.
+  /// Records the outcome of a direct request.
   void note_outcome(const disk_id& disk, net::rpc_failure why);
-  /// To disk hosts that are neither listed nor in the set.
+  /// Drops links to disk hosts that are neither listed nor in the set.
   void drop_links();
   boost::asio::awaitable<bool> admit_once(std::shared_ptr<admission_state> state,
                                           turn_admission& result);
-  /// What is done with the answers of one round of questions.
+  /// Callbacks for the answers of one round of requests.
   template <class Answer>
   struct round_hooks {
     std::function<void(const Answer&)> answered;
-    /// No answer will come from that disk.
+    /// The disk will not answer.
     std::function<void(const disk_id&)> failed;
-    /// That disk says that the set is not the newest any more.
+    /// The disk has refused the request because the set is outdated.
     std::function<void(const disk_id&)> stale;
   };
-  /// Asks some disks of a set the same question.
+  /// Sends the same request to some disks of a set.
   template <class Answer>
   void ask_each(const std::vector<disk_id>& disks, question what, const round_hooks<Answer>& hooks);
 
   void send_appends(const std::shared_ptr<admission_state>& state);
   void send_collects(const std::shared_ptr<admission_state>& state);
-  /// A chain is read from one disk host, in this zone where there is one; from a second
-  /// one, of another zone, when that one is slow; from all others when one of these lacks
-  /// it or is silent.
+  /// A chain is read from one disk host, preferably in this zone. If that one is slow, it is also
+  /// read from a second one, preferably in another zone. If one of these lacks it or does not
+  /// answer, it is read from all others.
   void ask_first_for_chain(const std::shared_ptr<admission_state>& state);
   void ask_second_for_chain(const std::shared_ptr<admission_state>& state);
   void ask_others_for_chain(const std::shared_ptr<admission_state>& state);
-  /// None when all members were asked.
+  /// Returns nothing if all members were asked.
   [[nodiscard]] std::optional<disk_id> choose_for_chain(const admission_state& state,
                                                         bool in_this_zone) const;
   void send_chain_reads(const std::shared_ptr<admission_state>& state,
                         const std::vector<disk_id>& disks);
-  /// At the set in hand.
+  /// Starts a settlement at the current set.
   std::shared_ptr<settle_state> begin_settlement(append_request& request);
-  /// Has a record taken by a majority, at this set or the next ones; false when `until` comes
-  /// first. The record may hold a whole turn: it is not copied.
+  /// Stores a record at a majority of the current set or a later one; returns false if `until`
+  /// passes first. The record is not copied, since it may hold a whole turn.
   boost::asio::awaitable<bool> keep_record(append_request& request, net::steady_time until);
   boost::asio::awaitable<void> keep_withdrawal(append_request request);
-  /// A withdrawal of another turn of its program is not kept by a majority yet.
+  /// Whether a withdrawal for the turn's program is not yet stored by a majority.
   [[nodiscard]] bool withdraws(const turn_request& turn) const;
   void send_settlement(const std::shared_ptr<settle_state>& state,
                        const std::vector<disk_id>& disks);
   void conclude(const admission_state& state, turn_admission& result);
   void note_stale(const std::optional<ledger_set>& newest);
-  /// The set that was asked is still the newest known: to ask it again brings the same
-  /// answer until there are news, so whoever does has to pause.
+  /// Whether the set at epoch `asked` is still the newest known. Asking it again gives the same
+  /// answer until a newer set is known, so callers must pause before they retry.
   [[nodiscard]] bool holds_still(set_epoch asked) const;
 
   boost::asio::io_context& context;
@@ -153,10 +154,10 @@
   relay_hook relay;
   peer_traffic traffic;
   net::steady_time next_probe{};
-  /// Invariant: bytes of the questions that are not answered yet, each copy counted.
+  /// Invariant: bytes of all unanswered requests, counting each copy.
   std::size_t bytes_underway = 0;
   turn_cache cache;
-  /// Withdrawals that no majority has yet. Invariant: each count is above 0.
+  /// Number of withdrawals not yet stored by a majority. Invariant: each count is above 0.
   std::map<program_id, std::uint32_t> withdrawals;
 };
 
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -1,5 +1,5 @@
-// Carries claims of places at servers between the hosts whose calls want them and the hosts
-// that keep the servers' entries.
+// Claims places (slots) at full backend servers. Hosts send claims to the server's keeper, the
+// host that owns its directory entry; the keeper queues them and grants places.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,7 +21,7 @@
 
 /// The answer to a grant.
 struct grant_answer {
-  /// The call goes to the server; otherwise the place is free again.
+  /// The call will use the place; otherwise the place is free again.
   bool wanted = false;
 
   template <class Archive>
@@ -30,9 +30,9 @@
   }
 };
 
-/// What the exchange takes from the rest of the host.
+/// Callbacks from the exchange to the rest of the host.
 struct place_hooks {
-  /// The other front hosts that live.
+  /// The other live front hosts.
   std::function<std::vector<host_id>()> hosts;
   /// Sends a message to another host.
   std::function<void(const host_id& to, gossip_method method, const std::string& payload,
@@ -44,24 +44,24 @@
 struct claim_result {
   enum class kind : std::uint8_t {
     granted,
-    /// At all servers.
+    /// Refused at all servers.
     refused,
-    /// No keeper could tell: the call is placed by what this host knows itself.
+    /// No keeper could decide: the call is placed by this host's own information.
     unknown,
     caller_left
   };
   kind outcome = kind::unknown;
-  /// Of a granted claim.
+  /// Only if granted.
   backend_server_id server;
   server_key key;
-  /// Of a refused claim: before a place is free, by the keepers' expectation.
+  /// Only if refused: the keepers' estimate of the time until a place is free.
   duration wait{};
 };
 
-/// The wait of one call for a place, for the one who may end it.
+/// Cancels a call's wait for a place from outside the waiting coroutine.
 class place_wait {
 public:
-  /// The caller is gone.
+  /// The caller has disconnected.
   void leave();
 
 private:
@@ -71,27 +71,27 @@
   bool left = false;
 };
 
-/// One host's claims at keepers, and the claims of all hosts at the servers that it keeps. For
-/// one thread.
+/// Sends this host's claims to keepers, and queues all hosts' claims at the servers whose keeper
+/// is this host. Not thread-safe.
 class place_exchange {
 public:
-  /// `counts`: the calls that hosts have told this one of; outlives the exchange.
+  /// `counts`: the loads that hosts have reported to this one; must outlive the exchange.
   place_exchange(boost::asio::io_context& context, host_id own, const placement_directory& counts,
                  call_metrics& metrics, place_hooks hooks);
 
-  /// Claims a place at each of `targets`, and waits until one is granted, all are refused, or no
-  /// keeper can tell.
+  /// Claims a place at each of `targets` and waits until one is granted, all are refused, or no
+  /// keeper can decide.
   boost::asio::awaitable<claim_result> claim(const placement_request& request,
                                              std::vector<place_target> targets, place_wait& wait);
-  /// The call that was granted a place does not go there.
+  /// Returns a granted place that the call will not use.
   void give_back(placement_id call, server_key server);
-  /// Serves another host; nothing when the message is malformed.
+  /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(gossip_method method, const std::string& payload);
-  /// A host has told a new count to this one, as the server's keeper.
+  /// A host has reported a new load of a server whose keeper is this host.
   void count_changed(const host_id& host, const server_load& load, std::uint32_t before);
-  /// Calls that wait for the server, as far as they would delay another one.
+  /// Number of waiting calls that would delay another call for this server.
   [[nodiscard]] std::uint32_t waiting(server_key server) const;
-  /// Gives out places whose grants have lapsed, and notes which hosts live.
+  /// Grants places whose earlier grants have expired, and updates the list of live hosts.
   void tick();
 
 private:
@@ -100,19 +100,20 @@
 
   [[nodiscard]] host_id keeper_of_server(server_key server) const;
   boost::asio::awaitable<void> wait_for_grant(open_claim_ptr item);
-  /// How the claim ended, counted and logged.
+  /// Determines how the claim ended; counts and logs it.
   claim_result result_of(const open_claim& item);
   void send_claims(const open_claim_ptr& item);
   void take_answer(const open_claim_ptr& item, std::size_t target, const claim_answer& answer);
-  /// No answer came. A claim that waits goes on: its keeper was busy, or another one is asked next.
+  /// Handles a missing answer. A claim that waits stays valid: its keeper was busy, or the repeat
+  /// goes to the next keeper.
   static void lose_answer(open_claim& item, std::size_t target);
-  /// The places that the call has claimed beside the one it takes.
+  /// Withdraws the call's claims at all servers but the one that it uses.
   void withdraw_others(const open_claim& item);
   void send_withdrawal(const place_grant& withdrawn);
-  /// Tells hosts of the places granted to them.
+  /// Sends all new grants to their hosts.
   void tell_grants();
   void tell_grant(const place_grant& grant);
-  /// The host's answer: whether the call of this host still wants the place.
+  /// Accepts a grant for a call of this host; returns whether the call still wants the place.
   bool take_grant(const place_grant& grant);
   static void log_refused(const open_claim& item, duration wait);
 
@@ -124,7 +125,7 @@
   /// As of the latest tick.
   std::optional<std::vector<host_id>> live_hosts;
   std::map<placement_id, open_claim_ptr> open;
-  /// Grants are being told; those that come up meanwhile are told by the same loop.
+  /// Guards against reentry: grants that are added while `tell_grants` runs are sent by its loop.
   bool telling = false;
 };
 
--- a/libs/front/include/hawthornlane/front/quota_client.h
+++ b/libs/front/include/hawthornlane/front/quota_client.h
@@ -1,4 +1,4 @@
-// The front host's side of the quotas: asks the disk hosts that keep them.
+// The front host's client of the quotas: asks the disk hosts that keep them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,18 +12,18 @@
 
 namespace hawthornlane::front {
 
-/// How disk hosts are reached.
+/// Callbacks to reach the disk hosts.
 struct quota_hooks {
-  /// The disks whose hosts keep the quotas, by this host's knowledge; none: not known yet.
+  /// The disks whose hosts keep the quotas (the keepers); empty if not known yet.
   std::function<std::vector<disk_id>()> keepers;
-  /// Whether a keeper answers, as far as this host knows.
+  /// Whether this host believes that a keeper answers.
   std::function<bool(const disk_id&)> reaches;
   std::function<void(const disk_id&, std::string payload, duration limit, net::rpc_done)> ask;
 };
 
-/// Asks one keeper after the other, each a little later than the one before when that one is
-/// silent. While no keeper grants or refuses, as when all hosts have just started, it asks again
-/// for a moment: a caller that is sent away loses more time than that. For one thread.
+/// Asks the keepers one after the other; the next one after a short delay if the previous one has
+/// not answered. While no keeper grants or refuses, for example when all hosts have just started,
+/// it retries for a short time: a refused caller would lose more time than that. Not thread-safe.
 class quota_client final : public quota_gate {
 public:
   quota_client(boost::asio::io_context& io, quota_hooks with)
@@ -38,8 +38,8 @@
   boost::asio::awaitable<quota_admission> ask_round(const std::string& payload,
                                                     std::uint64_t spread,
                                                     net::steady_time give_up_at);
-  /// In the order in which they are asked: those that answer first, and among them by `spread`,
-  /// so that the calls of an account use all parts of its quota alike.
+  /// The keepers in the order in which they are asked: reachable ones first, then by a hash with
+  /// `spread`, so that the calls of an account use all parts of its quota evenly.
   [[nodiscard]] std::vector<disk_id> order_of(std::uint64_t spread) const;
   void ask(const std::shared_ptr<asking>& state, std::size_t keeper);
 
--- a/libs/front/include/hawthornlane/front/quota_gate.h
+++ b/libs/front/include/hawthornlane/front/quota_gate.h
@@ -1,4 +1,4 @@
-// What the relay needs of the client accounts' quotas.
+// Interface to the quotas of client accounts, as call_service uses it.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -12,11 +12,11 @@
 
 struct quota_admission {
   quota_decision decision = quota_decision::unknown;
-  /// When over the limit: the earliest time at which there is room for a call again.
+  /// Only if over the limit: the time until a call can be granted again.
   duration room_in{};
 };
 
-/// Takes calls out of their accounts' quotas. Coroutines of one thread.
+/// Charges calls to their accounts' quotas. Not thread-safe; the coroutines run on one thread.
 class quota_gate {
 public:
   quota_gate() = default;
@@ -24,8 +24,8 @@
   quota_gate& operator=(const quota_gate&) = delete;
   virtual ~quota_gate() = default;
 
-  /// Unless the call is granted it must not be sent. `spread`: any number that calls of one
-  /// program share.
+  /// A call that is not granted must not be sent. `spread`: a hash that is equal for all calls of a
+  /// program; it orders the keepers that are asked.
   virtual boost::asio::awaitable<quota_admission> admit(quota_question question,
                                                         std::uint64_t spread,
                                                         net::steady_time until) = 0;
--- a/libs/front/include/hawthornlane/front/relay_choice.h
+++ b/libs/front/include/hawthornlane/front/relay_choice.h
@@ -1,4 +1,5 @@
-// Which front host passes a question on to a disk host. No I/O, clock or randomness.
+// Chooses the front host that relays requests to a disk host that is not reachable directly. No
+// I/O, clock or randomness.
 #pragma once
 
 #include <cstdint>
@@ -9,18 +10,18 @@
 
 namespace hawthornlane::front {
 
-/// A front host that could pass questions on.
+/// A front host that could relay requests.
 struct relay_candidate {
   host_id name;
   availability_zone zone;
-  /// Disk hosts that it reaches itself.
+  /// Number of disk hosts that it reaches directly.
   std::uint32_t disks_reached = 0;
 };
 
-/// The one that `asker` uses: of those that reach the most disk hosts one in its zone, and
-/// each asker another one. When all used the same, 20 hosts that were cut off from the disk
-/// hosts waited 175 to 440 ms for a turn's admission, in place of 20 ms. Nothing when no
-/// candidate reaches a disk host.
+/// Chooses the relay for `asker`: the candidates that reach the most disk hosts, preferably in
+/// `zone`, ranked by a hash of both hosts so that askers use different relays. When all used the
+/// same one, 20 hosts that were cut off from the disk hosts waited 175 to 440 ms for a turn's
+/// admission instead of 20 ms. Returns nothing if no candidate reaches a disk host.
 std::optional<host_id> choose_relay(const std::vector<relay_candidate>& candidates,
                                     const host_id& asker, const availability_zone& zone);
 
--- a/libs/front/include/hawthornlane/front/turn_cache.h
+++ b/libs/front/include/hawthornlane/front/turn_cache.h
@@ -1,4 +1,4 @@
-// Recent whole turns at a front host, so that most chains need no disk read.
+// Cache of recent whole turns at a front host, so that most chains need no disk read.
 #pragma once
 
 #include <list>
@@ -10,7 +10,7 @@
 
 namespace hawthornlane::front {
 
-/// Least recently used turns go first; bounded by bytes.
+/// LRU cache, bounded by bytes.
 class turn_cache {
 public:
   explicit turn_cache(std::size_t most_bytes) : most(most_bytes) {}
@@ -30,8 +30,8 @@
     }
   }
 
-  /// What was said up to and with that turn, oldest first; nothing when a turn of
-  /// the chain is not here.
+  /// Text of the chain that ends with turn `last`, oldest first; nothing if a turn of the chain is
+  /// not cached.
   std::optional<std::string> history(const request_id& last) {
     std::list<const kept_turn*> chain;
     std::optional<request_id> next = last;
@@ -63,7 +63,7 @@
   }
 
   std::size_t most;
-  /// Invariant: the sum over `turns`, at most `most` after each `add`.
+  /// Invariant: the sum of the sizes in `turns`; at most `most` after each `add`.
   std::size_t held = 0;
   std::list<request_id> order;
   std::map<request_id, entry> turns;
--- a/libs/front/include/hawthornlane/front/turn_keeper.h
+++ b/libs/front/include/hawthornlane/front/turn_keeper.h
@@ -1,4 +1,4 @@
-// What the relay needs of the ledger of turns and budgets.
+// Interface to the ledger of turns and budgets, as call_service uses it.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -12,14 +12,14 @@
 
 namespace hawthornlane::front {
 
-/// A turn that wants to be sent to a backend server.
+/// A turn to be admitted before it is sent to a backend server.
 struct turn_request {
   request_id id;
   program_id program;
-  /// What the turn may generate at most, and what all turns of the program may.
+  /// Token limits for the output of this turn and of all turns of the program.
   token_count most;
   std::optional<token_count> budget;
-  /// Set when the hosts keep what was said on this route.
+  /// Whether the route stores the text of turns.
   bool kept = false;
   std::optional<request_id> previous;
   duration retention{};
@@ -28,33 +28,33 @@
 /// Whether a turn may be sent.
 enum class admission_kind : std::uint8_t {
   admitted,
-  /// It does not fit into the program's budget.
+  /// The turn exceeds the program's budget.
   over_budget,
-  /// The turn that it goes on from does not exist.
+  /// The previous turn that it continues does not exist.
   unknown_turn,
-  /// Too few disk hosts answer to be sure.
+  /// Too few disk hosts answer to decide.
   unavailable,
 };
 
 struct turn_admission {
   admission_kind kind = admission_kind::unavailable;
-  /// What was said before, to stand before the turn's own input.
+  /// Text of the earlier turns, to be put before the turn's own input.
   std::string history;
   std::string detail;
 };
 
 /// How a turn ended.
 struct turn_result {
-  /// Tokens handed to the caller.
+  /// Tokens sent to the caller.
   token_count used;
-  /// The whole answer was received; only then may a later turn go on from it.
+  /// The whole answer was received. Only then can a later turn continue from it.
   bool whole = false;
   std::string input;
   /// The data of each event, followed by a line feed.
   std::string output;
 };
 
-/// Admits turns and keeps what was said. Coroutines of one thread.
+/// Admits turns and stores their text. Not thread-safe; the coroutines run on one thread.
 class turn_keeper {
 public:
   turn_keeper() = default;
@@ -62,14 +62,14 @@
   turn_keeper& operator=(const turn_keeper&) = delete;
   virtual ~turn_keeper() = default;
 
-  /// Reserves the turn's tokens and reads its history. Unless the turn is admitted
-  /// it must not be sent.
+  /// Reserves the turn's tokens and reads its history. A turn that is not admitted must not be
+  /// sent.
   virtual boost::asio::awaitable<turn_admission> admit(turn_request turn,
                                                        net::steady_time until) = 0;
-  /// Keeps the result; true once enough disk hosts have it on disk.
+  /// Stores the result; returns true once a majority of disk hosts has it on disk.
   virtual boost::asio::awaitable<bool> settle(turn_request turn, turn_result result,
                                               net::steady_time until) = 0;
-  /// The turn was admitted but provably not run: its tokens are free again.
+  /// Releases the tokens of an admitted turn that has certainly not run.
   virtual void withdraw(const turn_request& turn) = 0;
 };
 
--- a/libs/front/src/address_choice.cc
+++ b/libs/front/src/address_choice.cc
@@ -1,4 +1,4 @@
-// Which front hosts a caller is told of.
+// Chooses the front host addresses that a caller gets.
 #include "hawthornlane/front/address_choice.h"
 
 #include <set>
--- a/libs/front/src/call_admission.cc
+++ b/libs/front/src/call_admission.cc
@@ -1,4 +1,4 @@
-// The first steps of a call: decoded, routed, identified, and admitted to its account's quota and
+// Admission of a call: decodes, routes and authenticates it, and checks its account's quota and
 // its program's budget.
 #include <fmt/format.h>
 
@@ -41,10 +41,10 @@
 std::optional<failure> call_service::find_route(call& one) {
   one.table = this->fleet.table();
   if (!one.table) {
-    return failure{error_kind::not_ready, "no configuration is known yet"};
+    return failure{error_kind::not_ready, "no configuration has been received yet"};
   }
   if (this->turning_away) {
-    return failure{error_kind::host_leaving, "the host is about to stop"};
+    return failure{error_kind::host_leaving, "the host is stopping"};
   }
   one.taken = one.table->find(one.terms.host_name, one.request.path);
   if (one.taken == nullptr) {
@@ -115,10 +115,10 @@
   if (admission.decision == quota_decision::granted) {
     co_return true;
   }
-  failure why{error_kind::quota_unknown, "no keeper of the quota answers"};
+  failure why{error_kind::quota_unknown, "no disk host that keeps the quota could decide"};
   if (admission.decision == quota_decision::over_limit) {
     why.kind = error_kind::over_limit;
-    why.detail = fmt::format("{} calls a second and {} on top, room in {} ms",
+    why.detail = fmt::format("exceeds {} calls per second with a burst of {}, retry in {} ms",
                              question.limit.calls_per_second, question.limit.burst,
                              admission.room_in.count() / 1000);
   }
--- a/libs/front/src/call_dispatch.cc
+++ b/libs/front/src/call_dispatch.cc
@@ -1,4 +1,4 @@
-// One try of a call at one server: sent, its stream relayed, its outcome judged.
+// One attempt of a call at one server: sends it, relays its stream and classifies the outcome.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Servers that one call is offered to at most; each costs a few milliseconds, and
-/// after so many refusals the service as a whole is full.
+/// Attempts per call. Each costs a few milliseconds, and after this many refusals the whole
+/// service is full.
 constexpr int most_tries = 6;
 
 server_outcome health_of(try_outcome outcome) {
@@ -115,11 +115,11 @@
   }
   const bool is_success = one.answer.status >= 200 && one.answer.status < 300;
   if (outcome == try_outcome::whole && is_success && !one.answer.terms.is_signed) {
-    one.detail = "a success without the server's signature";
+    one.detail = "success response without the server's signature";
     return try_outcome::broken;
   }
   if (outcome == try_outcome::whole && one.caller.started() && !is_success) {
-    one.detail = fmt::format("status {} to a stream that was to go on", one.answer.status);
+    one.detail = fmt::format("status {} when resuming a stream", one.answer.status);
     outcome = try_outcome::broken;
   }
   if (outcome == try_outcome::whole && one.caller.started() && !one.splitter.between_events()) {
@@ -148,7 +148,7 @@
     co_return true;
   }
   if (!head.terms.is_signed) {
-    one.detail = "a stream without the server's signature";
+    one.detail = "stream without the server's signature";
     co_return false;
   }
   one.status = head.status;
--- a/libs/front/src/call_metrics.cc
+++ b/libs/front/src/call_metrics.cc
@@ -11,7 +11,7 @@
 namespace bh = boost::histogram;
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 
-/// Milliseconds; finer steps would not change a decision on call.
+/// Range of the histograms in milliseconds. Finer bins would not change an on-call decision.
 constexpr unsigned bins = 40;
 constexpr double least_ms = 0.1;
 constexpr double most_ms = 20'000;
@@ -24,7 +24,7 @@
   std::uint64_t number = 0;
   double sum_ms = 0;
 
-  /// Upper end of the bin in which that share of all values lies.
+  /// Upper bound of the bin that holds this quantile.
   [[nodiscard]] double quantile(double share) const {
     double seen = 0;
     for (auto&& bin : bh::indexed(this->counts, bh::coverage::all)) {
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -1,4 +1,4 @@
-// Finds a backend server for each call of a front host, now or after a wait.
+// Finds a backend server for each call of a front host, at once or after queueing.
 #include "hawthornlane/front/call_placer.h"
 
 #include <fmt/format.h>
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Part of a new count in the smoothed demand, each 100 ms: hosts hear each other's
-/// demand about once a second, and single calls must not move the shares.
+/// Weight of a new sample in the smoothed demand, which is taken every 100 ms. Hosts exchange
+/// their demand about once a second, and a single call must not change the shares.
 constexpr double newest_part = 0.3;
 
 }  // namespace
@@ -78,7 +78,7 @@
 void call_placer::refresh_servers() {
   const route_table_ptr& table = this->fleet.table();
   for (const service_name& name : this->fleet.services_with_backends()) {
-    // Entries may name services that there are not; they get no calls, and no memory here.
+    // Entries may name services that do not exist. These get no calls, so keep no pool for them.
     if (table && table->find_service(name) != nullptr) {
       this->pool_of(name);
     }
@@ -170,10 +170,10 @@
 }
 
 void call_placer::show_speeds(const service_name& name, service_pool& item) {
-  // A server is called slow from here on, and until it is nearly as others again.
+  // Hysteresis: slow from `slow_from` on, and until the factor drops below `slow_until`.
   constexpr double slow_from = 1.5;
   constexpr double slow_until = 1.25;
-  // Lines a service in one look, once a second.
+  // Log lines per service and run; this runs once a second.
   constexpr std::size_t most_lines = 4;
   const std::vector<server_pace> paces = item.pool.paces(discovery::scheduler_now());
   if (paces.empty()) {
--- a/libs/front/src/call_service.cc
+++ b/libs/front/src/call_service.cc
@@ -1,5 +1,5 @@
-// The way of a call from its first byte to its answer: admitted (call_admission.cc), placed, sent
-// to a server (call_dispatch.cc) and settled (call_settlement.cc).
+// The steps of a call: admission (call_admission.cc), placement (here), dispatch to a server
+// (call_dispatch.cc) and settlement (call_settlement.cc).
 #include "hawthornlane/front/call_service.h"
 
 #include <fmt/format.h>
@@ -16,23 +16,25 @@
 
 namespace {
 
-/// For a caller that was refused because nothing can serve it right now: about the
-/// time of one call, so that a place is likely to be free.
+/// Retry-After for a call that nothing can serve right now: about the duration of one call, so
+/// that a place is likely to be free by then.
 constexpr double retry_seconds = 0.25;
-/// Spreads callers that were refused together over twice that time.
+/// Maximum jitter added to Retry-After: callers that were refused together return over a span of
+/// up to twice `retry_seconds`.
 constexpr double retry_spread = 0.25;
 
-/// While too few disk hosts answer, or no server is listed after an outage of the
-/// store, a refused call comes back after about half the time that such a state
-/// takes to end; its program has few tries, and they must span that.
+/// Retry-After while too few disk hosts answer, or no server is listed after an outage of the
+/// store: about half the time that such a state lasts. A program has few attempts, and they
+/// must span the whole outage.
 constexpr double recovery_retry_seconds = 0.8;
-/// The same at a host that has just started: it knows what it needs within half of this.
+/// The same at a host that has just started, which has the data it needs within half of this.
 constexpr double starting_retry_seconds = 0.4;
-/// A host that knows no configuration by then waits for the store, or for its peers.
+/// Time after the start during which a host counts as starting. A host without a configuration
+/// after this is waiting for the store or its peers.
 constexpr auto longest_start = std::chrono::seconds(1);
 
-/// What keeps calls of the same object at the same server. A program's lines stay
-/// together: the prompt of a helper begins with its parent's.
+/// Affinity key: calls with the same key prefer the same server. On a sticky route all calls of a
+/// program share one key, because the prompt of a sub-agent begins with its parent's.
 std::uint64_t affinity_of(const route& from, const relay::call_terms& terms) {
   if (!from.sticky) {
     return terms.affinity.empty() ? 0 : hash_of(terms.affinity);
@@ -124,7 +126,7 @@
     }
     const bool may_have_run = one.runs > 0;
     const failure why{may_have_run ? error_kind::backend_failed : error_kind::not_authenticated,
-                      "the key was taken away meanwhile"};
+                      "the key was revoked while the call was waiting"};
     co_await this->give_up(one, why);
     co_return false;
   }
@@ -135,12 +137,12 @@
   }
   if (!got.server) {
     failure why{error_kind::no_backend_server,
-                one.detail.empty() ? "no server can take it in its time" : one.detail};
+                one.detail.empty() ? "no server can serve it before its deadline" : one.detail};
     if (got.retry_in > duration{}) {
       why.detail = fmt::format("a place is expected in {} ms", got.retry_in.count() / 1000);
     }
     if (one.runs > 0) {
-      // An earlier try may have run: only what has not run is refused as such.
+      // An earlier attempt may have run, so the answer must not say that the call was not run.
       why.kind = error_kind::backend_failed;
     } else if (!this->placer.lists_servers(one.service)) {
       why.kind = error_kind::no_listed_server;
@@ -204,7 +206,7 @@
 }
 
 bool call_service::goes_on(const service_name& service, const std::vector<prompt_piece>& prompt) {
-  // The first part is shared by all programs of a kind, the one behind it is the program's.
+  // The first part is shared by all programs of a kind; the second is specific to the program.
   return prompt.size() > 1 && this->placer.knows(service, prompt[1].key);
 }
 
--- a/libs/front/src/call_settlement.cc
+++ b/libs/front/src/call_settlement.cc
@@ -1,4 +1,4 @@
-// The end of a call: its answer, its turn's entry in the ledger, its line in the log.
+// The end of a call: its answer, its turn's record in the ledger, its log line.
 #include <fmt/format.h>
 
 #include "call_under_way.h"
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// For keeping what a turn that broke has used; until then it counts in full.
+/// Time limit for recording the tokens that a broken turn has used. Until they are recorded, its
+/// whole reservation counts against the budget.
 constexpr auto settle_patience = std::chrono::seconds(2);
 
 }  // namespace
--- a/libs/front/src/call_under_way.h
+++ b/libs/front/src/call_under_way.h
@@ -1,4 +1,4 @@
-// What the steps of a call share: its state, and the times that bound it.
+// State of a call in progress and time limits, shared by the steps in call_*.cc.
 #pragma once
 
 #include <xxhash.h>
@@ -16,16 +16,16 @@
 
 namespace hawthornlane::front {
 
-/// A call that cannot start this long before its time ends will not be answered in
-/// time: the quickest calls of both users' sheets take about this long.
+/// A call that cannot start this long before its deadline will miss it: the fastest calls of both
+/// users' workloads take about this long.
 constexpr duration least_service_time = std::chrono::milliseconds(40);
-/// A stream that runs past its time gets this much longer to end by itself; the
-/// server stops at the time that it was told.
+/// Extra time for a stream to end by itself after the call's deadline. The server stops at the
+/// deadline that it was sent.
 constexpr duration timeout_slack = std::chrono::milliseconds(150);
 
 inline std::uint64_t hash_of(std::string_view text) { return XXH64(text.data(), text.size(), 0); }
 
-/// The parts of a prompt by their hashes.
+/// The parts of a prompt, each identified by its hash.
 inline std::vector<prompt_piece> pieces_of(const std::vector<relay::prompt_part>& prefix) {
   std::vector<prompt_piece> pieces;
   pieces.reserve(prefix.size());
@@ -35,7 +35,8 @@
   return pieces;
 }
 
-/// Calls of one program go to one service of a split route, and ask one keeper of a quota.
+/// Hash that chooses the service of a split route and the disk host asked first for a quota; equal
+/// for all calls of a program.
 inline std::uint64_t service_draw(const relay::call_terms& terms) {
   return hash_of(terms.program ? terms.program->get() : terms.id.get());
 }
@@ -45,10 +46,10 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
 
-/// As logs and metrics say it.
+/// Name of an outcome in logs and metrics.
 std::string_view name_of(relay::try_outcome outcome);
 
-/// Everything about one call under way.
+/// State of one call in progress.
 struct call_service::call {
   call(relay::caller_link& from, http::request what) : caller(from), request(std::move(what)) {}
 
@@ -57,16 +58,16 @@
   relay::call_terms terms;
   route_table_ptr table;
   const route* taken = nullptr;
-  /// Points into `table`; null when the caller shows no account's key.
+  /// Points into `table`; null if the caller's key belongs to no account.
   const account* caller_account = nullptr;
-  /// The call's id as the ledger knows it.
+  /// The call's id in the ledger, scoped to the account.
   request_id turn_name;
-  /// One of the route's services.
+  /// The service chosen from the route's services.
   service_name service;
   net::steady_time arrived = std::chrono::steady_clock::now();
   net::steady_time until;
   std::set<backend_server_id> tried;
-  /// Servers that may have begun to work on it.
+  /// Number of attempts that a server may have started to run.
   std::uint32_t runs = 0;
   int tries = 0;
   relay::try_handle handle;
@@ -77,11 +78,11 @@
   std::optional<turn_request> turn;
   std::string history;
   bool settled = false;
-  // Of a stream: what the caller has been sent.
+  // Streams only: what the caller has been sent.
   relay::event_splitter splitter;
   std::optional<std::uint64_t> last_event;
   std::int64_t events = 0;
-  /// Of the try under way: its name, and the events before it.
+  /// Of the current attempt: its placement id, and the number of events relayed before it.
   placement_id placed;
   std::int64_t events_before = 0;
   std::string output;
--- a/libs/front/src/directory_exchange.cc
+++ b/libs/front/src/directory_exchange.cc
@@ -1,4 +1,4 @@
-// Carries the entries of the placement directory between front hosts.
+// Exchanges entries of the placement directory between front hosts.
 #include "hawthornlane/front/directory_exchange.h"
 
 #include <memory>
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A keeper that has not answered by then is placed without: five times the way to
-/// another zone and back, and a tenth of a turn's way from its caller.
+/// Time limit for a query; the call is then placed without the answer. This is five round trips
+/// to another zone, and a tenth of the one-way latency from a turn's caller.
 constexpr std::chrono::milliseconds ask_limit{10};
 
 template <class Message>
--- a/libs/front/src/ledger_admission.cc
+++ b/libs/front/src/ledger_admission.cc
@@ -1,4 +1,4 @@
-// Admits a turn: reserves its tokens at the disks and reads what was said before it.
+// Admits a turn: reserves its tokens at the disks and reads its history.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -14,22 +14,22 @@
 namespace {
 
 constexpr duration read_limit = std::chrono::milliseconds(400);
-/// A disk host that holds a short chain answers within some 10 ms; then a second one is
-/// asked for it as well. The rest are not: each sends the chain whole, and they would
-/// share the link with the first, which may be in the middle of a long one.
+/// Time after which a second disk host is also asked for a chain; one that holds a short chain
+/// answers within some 10 ms. The rest are not asked: each would send the whole chain and share
+/// the link with the first one, which may be in the middle of sending a long one.
 constexpr auto chain_patience = std::chrono::milliseconds(25);
-/// After a majority has the reservation, the last disk gets this long to make the
-/// second round needless: about the spread of healthy disks' syncs.
+/// Wait for the remaining disks after a majority has the reservation: if all answer, no second
+/// round is needed. About the spread of sync times of healthy disks.
 constexpr auto last_disk_wait = std::chrono::milliseconds(4);
-/// While the set of disks changes, a turn is tried again for this long before it is
-/// refused: a change that needs no copying takes less.
+/// Time for which an admission is retried while the set of disks changes. A change that needs no
+/// copying takes less.
 constexpr auto admit_patience = std::chrono::milliseconds(300);
 constexpr auto admit_pause = std::chrono::milliseconds(40);
 
 }  // namespace
 
-/// One try to admit a turn at one set. Shared with the answers that are still on
-/// their way when the try is over.
+/// One attempt to admit a turn at one set. Shared with the answer callbacks, which may run after
+/// the attempt is over.
 struct ledger_client::admission_state {
   admission_state(asio::io_context& context, const ledger_set& at, const turn_request& what)
       : turn(what),
@@ -44,8 +44,8 @@
   chain_check chain;
   net::async_signal signal;
   bool needs_chain = false;
-  /// The disks that were asked for the chain. The second follows the first when that one
-  /// does not give it in time, all others when one of these lacks it or is silent.
+  /// The disks that were asked for the chain: a second one if the first does not send it in time,
+  /// all others if one of these lacks it or does not answer.
   std::vector<disk_id> asked_for_chain;
   net::steady_time second_asked_for_chain_at = net::never;
   bool needs_all_for_chain = false;
@@ -59,7 +59,7 @@
     this->stale = true;
     this->signal.wake();
   }
-  /// Unless the chain is known by now.
+  /// Asks all other disks for the chain, unless it is already known.
   void ask_all_for_chain_now() {
     this->needs_all_for_chain = true;
     this->signal.wake();
@@ -141,7 +141,7 @@
   const std::vector<disk_id>& members = state.set.members;
   const std::size_t start = std::hash<std::string>{}(state.turn.id.get()) % members.size();
   std::optional<disk_id> best;
-  // Not silent before silent, then the zone that is wanted.
+  // Not suspected before suspected, then the preferred zone.
   std::pair<bool, bool> best_rank;
   for (std::size_t step = 0; step < members.size(); ++step) {
     const disk_id& candidate = members[(start + step) % members.size()];
@@ -164,14 +164,14 @@
 
 void ledger_client::ask_first_for_chain(const std::shared_ptr<admission_state>& state) {
   state->second_asked_for_chain_at = steady::now() + chain_patience;
-  // Those of one zone share the reads of its front hosts.
+  // Members in the same zone are chosen by the turn's hash, so they share the reads of its hosts.
   if (const auto disk = this->choose_for_chain(*state, true)) {
     this->send_chain_reads(state, {*disk});
   }
 }
 
 void ledger_client::ask_second_for_chain(const std::shared_ptr<admission_state>& state) {
-  // What keeps the first one from answering may be its zone's trouble.
+  // The first one may be slow because of a fault in its zone.
   if (const auto disk = this->choose_for_chain(*state, false)) {
     this->send_chain_reads(state, {*disk});
   } else {
@@ -266,14 +266,14 @@
   const net::steady_time patient_until = std::min(until, steady::now() + admit_patience);
   while (true) {
     if (!this->set) {
-      result.detail = "the set of disks is not known yet";
+      result.detail = "no set of disks has been received yet";
       co_return result;
     }
     const auto state = std::make_shared<admission_state>(this->context, *this->set, turn);
     state->until = until;
     state->needs_chain = turn.kept && turn.previous && !cached;
     const bool concluded = co_await this->admit_once(state, result);
-    // What this host is still withdrawing may be all that the budget lacks.
+    // Reservations that this host is still withdrawing may be what exceeds the budget: retry.
     const bool may_fit = result.kind == admission_kind::over_budget && this->withdraws(turn);
     if (concluded && result.kind != admission_kind::unavailable && !may_fit) {
       break;
--- a/libs/front/src/ledger_client.cc
+++ b/libs/front/src/ledger_client.cc
@@ -1,4 +1,4 @@
-// The front host's side of the ledger: the set of disks, and how they are reached.
+// The turn ledger's client: the set of disks, and direct and relayed requests to them.
 #include "hawthornlane/front/ledger_client.h"
 
 #include <algorithm>
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// A healthy disk host answers within some ten milliseconds of having the question, also
-/// under load; then the question goes by way of another front host, which may still
-/// reach it.
+/// Time for a direct answer; after it the request is relayed through another front host, which may
+/// still reach the disk host. A healthy disk host answers within some ten milliseconds of
+/// receiving the request, also under load.
 constexpr duration direct_patience = std::chrono::milliseconds(200);
-/// Between two probes of a disk host that is not reached.
+/// Interval between probes of a disk host that is not reached.
 constexpr auto disk_probe_pause = std::chrono::milliseconds(300);
 
-/// The other host did not answer at all; else it did, if only to refuse.
+/// True if the other host gave no answer at all; a refusal is an answer.
 bool is_silence(net::rpc_failure why) {
   return why == net::rpc_failure::unknown || why == net::rpc_failure::unreachable;
 }
@@ -38,7 +38,7 @@
     if (item.removed || !platform_adapter::is_ledger_object(item.object)) {
       continue;
     }
-    // One that cannot be read is told of where the hosts' entries of the page are read.
+    // A malformed object is reported where the hosts' entries of the same page are read.
     failure ignored;
     if (const auto told = platform_adapter::ledger_set_from(item.object, ignored)) {
       this->take_set(*told, "store");
@@ -80,7 +80,7 @@
     needed.insert(disk_id(entry.disk));
   }
   if (this->set) {
-    // A member may be listed no more because of trouble at the store; turns still need it.
+    // A member may be missing from the list because of a fault at the store; turns still need it.
     const std::vector<disk_id> members = this->set->all();
     needed.insert(members.begin(), members.end());
   }
@@ -154,7 +154,7 @@
 void ledger_client::serve_relayed(const std::string& payload, const net::rpc_reply& reply) {
   auto question = from_bytes<relayed_question>(payload);
   const auto found = question ? this->links.find(question->disk) : this->links.end();
-  // Passed on once only: a host that does not reach the disk host says so.
+  // A request is relayed only once: refuse it if this host does not reach the disk host either.
   if (found == this->links.end() || found->second.suspected) {
     reply(std::nullopt);
     return;
@@ -246,7 +246,7 @@
 
 ledger_client::question ledger_client::make_question(ledger_method method, std::string payload,
                                                      duration limit) {
-  // The encoder leaves room for up to as much again.
+  // The encoder may have reserved up to twice the size.
   payload.shrink_to_fit();
   question made;
   made.method = method;
--- a/libs/front/src/ledger_rounds.h
+++ b/libs/front/src/ledger_rounds.h
@@ -1,4 +1,4 @@
-// What the parts of the ledger's client share: links to disk hosts, rounds of questions.
+// Shared by the source files of the ledger's client: links to disk hosts, rounds of requests.
 #pragma once
 
 #include "hawthornlane/front/ledger_client.h"
@@ -7,30 +7,30 @@
 
 namespace hawthornlane::front {
 
-/// An append waits for a sync of 2 to 5 ms and for those before it; one that takes
-/// this long, besides its way, comes from a disk host in trouble.
+/// Time limit for an append, without its transfer. An append waits for a sync of 2 to 5 ms and for
+/// earlier ones; a disk host that takes longer than this is faulty.
 inline constexpr duration append_limit = std::chrono::milliseconds(500);
-/// Bytes a second, for the time that a host's own questions take to leave it: half of
-/// what a link of 30 Mbit/s carries, since callers and backend servers share it.
+/// Assumed bytes per second for sending a host's own requests: half of what a link of 30 Mbit/s
+/// carries, since callers and backend servers share it.
 inline constexpr std::int64_t cautious_link_rate = 2'000'000;
-/// For a chain to arrive, of which nobody here knows the size: the largest there can be.
-/// A disk host that is silent is found by the reservation that is sent with the question.
+/// Time for a chain to arrive. Its size is unknown, so this assumes the largest payload. A disk
+/// host that does not answer is detected by the reservation that is sent at the same time.
 inline constexpr duration chain_arrival = duration(std::chrono::seconds(1)) *
                                           static_cast<std::int64_t>(net::largest_payload) /
                                           cautious_link_rate;
 
-/// The record of a turn as it stands now.
+/// Builds the ledger record of a turn in the given phase.
 ledger_record record_of(const turn_request& turn, reservation_phase phase, token_count used);
 
-/// One disk host.
+/// Link to one disk host.
 struct ledger_client::disk_link {
   host_entry host;
   std::unique_ptr<net::rpc_client> link;
-  /// It did not answer in time; questions go by way of other front hosts until a
-  /// probe is answered.
+  /// It did not answer in time; requests are relayed through other front hosts until it answers
+  /// a probe.
   bool suspected = false;
-  /// It has answered over this link. Until then other front hosts are not told that it
-  /// is reached, but it is asked directly.
+  /// It has answered over this link. Until then this host sends it requests directly, but does not
+  /// report it to other front hosts as reached.
   bool answered = false;
 
   [[nodiscard]] bool reached() const { return this->answered && !this->suspected; }
--- a/libs/front/src/ledger_settlement.cc
+++ b/libs/front/src/ledger_settlement.cc
@@ -1,4 +1,4 @@
-// Settles a turn: what it used, and what was said in it, or that it never ran.
+// Settles a turn: records the tokens it used and its text, or withdraws a turn that never ran.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr auto settle_pause = std::chrono::milliseconds(50);
-/// For disk hosts that are down when a turn is withdrawn: about the time of a restart and of a
-/// change of their set together.
+/// Time for which a withdrawal is retried while disk hosts are down: about a restart plus a change
+/// of the set of disks.
 constexpr auto withdraw_patience = std::chrono::seconds(6);
-/// Kept longer than promised, for hosts' clocks that differ or step.
+/// Extra retention, since the clocks of hosts may differ or step.
 constexpr duration retention_margin = std::chrono::seconds(15);
 
 wall_ms wall_now() {
@@ -40,18 +40,18 @@
   return record;
 }
 
-/// One settlement at one set, through all tries. Shared with the answers that are still
-/// on their way when it is over.
+/// One settlement at one set, with all its attempts. Shared with the answer callbacks, which may
+/// run after it is over.
 struct ledger_client::settle_state {
   settle_state(asio::io_context& context, const ledger_set& at, question request)
       : round(at), append(std::move(request)), signal(context) {}
 
-  /// An answer to an earlier try counts as well: it is the same record, and the disk had
-  /// it before it refused this set. A disk whose answer is to come is not asked again.
+  /// Answers to earlier attempts count too: the record is the same, and the disk stored it before
+  /// it refused this set. A disk whose answer is pending is not asked again.
   disk_round round;
   question append;
   net::async_signal signal;
-  /// A disk refused this set since the last try.
+  /// A disk has refused this set since the last attempt.
   bool stale = false;
 
   void failed(const disk_id& disk) {
@@ -134,8 +134,8 @@
   }
   append_request request;
   request.record = record_of(turn, reservation_phase::withdrawn, token_count(0));
-  // Until a majority has the withdrawal the reservation counts in full, and the program may be
-  // told that its budget is spent when it is not.
+  // Until a majority has stored the withdrawal, the reservation counts in full. The program could
+  // be refused as over budget although it is not.
   asio::co_spawn(this->context, this->keep_withdrawal(std::move(request)), asio::detached);
 }
 
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -1,4 +1,4 @@
-// Carries claims of places at servers between hosts.
+// Claims places at full backend servers at their keepers.
 #include "hawthornlane/front/place_exchange.h"
 
 #include <fmt/format.h>
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// A keeper that has not answered by then is placed without: five times the way to another
-/// zone and back.
+/// Time limit for a keeper's answer; the call is then placed without it. This is five round trips
+/// to another zone.
 constexpr std::chrono::milliseconds answer_limit{10};
 
 }  // namespace
 
-/// Shared with answers that are still on their way when the call has gone on.
+/// Shared with the answer callbacks, which may run after the call has continued.
 struct place_wait::open_claim {
   enum class claim_state : std::uint8_t { asked, waiting, refused, unknown };
   struct claimed_target {
     place_target target;
     claim_state state = open_claim::claim_state::asked;
-    /// The keeper has answered the newest repeat.
+    /// The keeper has answered the latest repeat.
     bool answered = false;
     duration wait{};
     std::uint32_t ahead = 0;
@@ -165,7 +165,8 @@
     if (item->granted || target.state == open_claim::claim_state::refused) {
       continue;
     }
-    // A keeper that was busy for a moment keeps the claim: only the second repeat counts.
+    // A keeper that is briefly busy still holds the claim: a waiting claim goes back to `asked`
+    // only if the previous repeat was not answered.
     const bool keeps = target.state == open_claim::claim_state::waiting && target.answered;
     target.state = keeps ? open_claim::claim_state::waiting : open_claim::claim_state::asked;
     target.answered = false;
@@ -225,7 +226,7 @@
       target.state = open_claim::claim_state::waiting;
       break;
     case claim_outcome::refused:
-      // One that has waited may find room at servers that it was not weighed at then.
+      // After waiting, the call may fit at servers that were not among its targets.
       target.state = target.state == open_claim::claim_state::waiting
                          ? open_claim::claim_state::unknown
                          : open_claim::claim_state::refused;
@@ -272,7 +273,7 @@
 }
 
 void place_exchange::tell_grants() {
-  // A grant to a call of this host, or one that is not wanted, brings about the next.
+  // A grant to a call of this host, or an unwanted one, can trigger the next grant recursively.
   if (this->telling) {
     return;
   }
--- a/libs/front/src/quota_client.cc
+++ b/libs/front/src/quota_client.cc
@@ -1,4 +1,4 @@
-// The front host's side of the quotas.
+// The front host's client of the quotas.
 #include "hawthornlane/front/quota_client.h"
 
 #include <algorithm>
@@ -14,18 +14,19 @@
 
 namespace {
 
-/// A healthy keeper answers within a few milliseconds; then the next one is asked beside it.
+/// Delay after which the next keeper is asked too. A healthy keeper answers within a few
+/// milliseconds.
 constexpr auto patience = std::chrono::milliseconds(40);
-/// For the answer of one keeper, also by way of another front host.
+/// Time limit for the answer of one keeper, also if relayed through another front host.
 constexpr duration answer_limit = std::chrono::milliseconds(250);
-/// A caller that learns nothing within this time does better at another host.
+/// Time limit for the decision. After it the caller should rather try another host.
 constexpr auto longest_wait = std::chrono::milliseconds(400);
-/// Before keepers are asked again, none of which could tell.
+/// Pause before the keepers are asked again if none could decide.
 constexpr auto pause_between_rounds = std::chrono::milliseconds(40);
 
 }  // namespace
 
-/// Shared with the answers that are still on their way when the call has gone on.
+/// Shared with the answer callbacks, which may run after the call has continued.
 struct quota_client::asking {
   asking(asio::io_context& context, std::vector<disk_id> asked, std::string question)
       : keepers(std::move(asked)),
--- a/libs/front/src/relay_choice.cc
+++ b/libs/front/src/relay_choice.cc
@@ -1,4 +1,4 @@
-// Which front host passes a question on to a disk host.
+// Chooses the front host that relays requests to a disk host.
 #include "hawthornlane/front/relay_choice.h"
 
 #include <tuple>
@@ -8,7 +8,7 @@
 namespace hawthornlane::front {
 namespace {
 
-/// More disk hosts first, then the asker's zone, then an order of the asker's own.
+/// Ordered by disk hosts reached, then the asker's zone, then a hash that differs per asker.
 using relay_rank = std::tuple<std::uint32_t, bool, std::uint64_t>;
 
 relay_rank rank_of(const relay_candidate& candidate, std::uint64_t asker_key,
--- a/libs/front/test/address_choice_test.cc
+++ b/libs/front/test/address_choice_test.cc
@@ -1,4 +1,4 @@
-// Which addresses a caller gets, by zone and by how many hosts are ready there.
+// Addresses that a caller gets, by its zone and the number of ready hosts there.
 #include "hawthornlane/front/address_choice.h"
 
 #include <catch2/catch.hpp>
@@ -6,15 +6,15 @@
 using namespace hawthornlane;
 using namespace hawthornlane::front;
 
-TEST_CASE("callers stay in their zone while it has hosts enough") {
+TEST_CASE("callers get only addresses in their zone if it has enough hosts") {
   const auto [what, hosts, zone, expected] =
       GENERATE(Catch::Generators::table<const char*, std::string, std::string, std::size_t>({
-          {"two near hosts are enough", "aabbcc", "a", 2},
-          {"one is not", "abbcc", "a", 5},
+          {"two hosts in the zone are enough", "aabbcc", "a", 2},
+          {"one host is not enough", "abbcc", "a", 5},
           {"a zone without hosts", "bbcc", "a", 4},
           {"an unknown zone", "aabb", "x", 4},
-          {"a zone that would carry too much", "aabbbbbbbbcccccccc", "a", 18},
-          {"nobody is ready", "", "a", 0},
+          {"a small zone that would be overloaded", "aabbbbbbbbcccccccc", "a", 18},
+          {"no host is ready", "", "a", 0},
       }));
   std::vector<host_entry> ready;
   for (const char letter : hosts) {
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -1,5 +1,5 @@
-// Callers that leave while a server is looked for, calls for servers that are full, and what hosts
-// tell of calls without a prompt.
+// Callers that disconnect during placement, calls for full servers, and the reporting of calls
+// without a prompt.
 #include "hawthornlane/front/call_placer.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Another host that never answers: each question then takes its full time.
+/// Hooks with one other host that never answers, so that each query runs into its time limit.
 exchange_hooks silent_host(std::vector<net::rpc_done>& unanswered) {
   exchange_hooks hooks;
   hooks.hosts = [] { return std::vector<host_id>{host_id("silent")}; };
@@ -41,7 +41,7 @@
   return request;
 }
 
-/// Another host, named so that it keeps the server's entry.
+/// One other host, named so that it is the server's keeper.
 std::vector<host_id> others_that_keep(server_key server) {
   for (int number = 0;; ++number) {
     host_id name("other-" + std::to_string(number));
@@ -51,7 +51,7 @@
   }
 }
 
-/// A host that knows one server.
+/// A host with one listed server.
 struct one_server_host {
   explicit one_server_host(pool_rules rules = {})
       : placer(this->context, host_id("own"), availability_zone("z"), this->fleet, this->metrics,
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE("a call whose caller leaves while other hosts are asked gets no server") {
+TEST_CASE("a call whose caller disconnects while keepers are queried gets no server") {
   one_server_host host;
   boost::asio::io_context& context = host.context;
   call_placer& placer = host.placer;
@@ -90,7 +90,7 @@
   CHECK_FALSE(got.server);
 }
 
-TEST_CASE("only a call for a full server claims a place, and only where places are claimed") {
+TEST_CASE("only a call for a full server claims a place, and only if claims are enabled") {
   constexpr std::uint32_t slots = 4;
   struct row {
     const char* what;
@@ -101,10 +101,10 @@
   };
   const row rows[] = {
       {"an idle server", true, true, 0, 0},
-      {"a server with a place", true, true, slots, 0},
+      {"a server with a free place", true, true, slots, 0},
       {"a full server", true, true, slots + 1, 1},
-      {"a full server, without a prompt", true, false, slots + 1, 0},
-      {"a full server, places not claimed", false, true, slots + 1, 0},
+      {"a full server, call without a prompt", true, false, slots + 1, 0},
+      {"a full server, claims disabled", false, true, slots + 1, 0},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -142,25 +142,25 @@
     context.run();
 
     CHECK(sent == std::vector<gossip_method>(item.claims, gossip_method::claim));
-    // What is refused a place is refused at once, with the time to come again.
+    // A refused claim ends the call at once, with the time after which to retry.
     CHECK(got.server.has_value() == (item.claims == 0));
     CHECK(got.retry_in == std::chrono::seconds(item.claims == 0 ? 0 : 7));
     CHECK(got.waited < std::chrono::milliseconds(100));
   }
 }
 
-TEST_CASE("calls without a prompt are told only by hosts that learn speeds, and under load") {
+TEST_CASE("calls without a prompt are reported only under load, by hosts that learn speeds") {
   struct row {
     const char* what;
     bool learns_speed;
     int calls_before;
     bool told;
   };
-  // At four places.
+  // The server has four places.
   const row rows[] = {
-      {"not learning", false, 3, false},
-      {"little load", true, 0, false},
-      {"three calls at four places", true, 3, true},
+      {"speeds are not learned", false, 3, false},
+      {"low load", true, 0, false},
+      {"three calls before this one", true, 3, true},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -170,7 +170,7 @@
     boost::asio::io_context& context = host.context;
     call_placer& placer = host.placer;
     std::vector<net::rpc_done> unanswered;
-    // The server's keeper is the silent host or this one, by hash.
+    // The server's keeper is the silent host or this one, depending on the hash.
     std::size_t told = 0;
     exchange_hooks hooks = silent_host(unanswered);
     hooks.take = [&told](const directory_answer& answer) { told += answer.loads.size(); };
--- a/libs/front/test/directory_exchange_test.cc
+++ b/libs/front/test/directory_exchange_test.cc
@@ -1,4 +1,4 @@
-// Hosts that tell and ask each other of loads and lines, over a network in memory.
+// Hosts that report and query loads, locations of prompt parts and speeds over a network in memory.
 #include "hawthornlane/front/directory_exchange.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Some hosts with one exchange each; messages arrive at once, or never.
+/// Hosts with one exchange each; messages arrive at once, or never.
 class exchange_network {
 public:
   explicit exchange_network(int hosts) {
@@ -29,7 +29,7 @@
     this->members.at(this->names[host])->tell(update);
   }
 
-  /// What `host` was answered.
+  /// All answers that `host` got.
   directory_answer ask(int host, const directory_question& question) {
     const host_id name = this->names[host];
     this->taken[name] = {};
@@ -40,7 +40,7 @@
     return this->taken[name];
   }
 
-  /// This host gets and answers nothing any more.
+  /// From now on this host receives and answers nothing.
   void silence(int host) { this->silent = this->names[host]; }
   directory_exchange& member(int host) { return *this->members.at(this->names[host]); }
 
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-TEST_CASE("what one host tells another one learns by asking") {
+TEST_CASE("a host gets the entries that another one reported") {
   const int hosts = GENERATE(1, 2, 7, 57);
   INFO(hosts << " hosts");
   exchange_network network(hosts);
@@ -94,13 +94,13 @@
   network.tell(0, {{{server, 5}}, {location}, {}});
   const directory_answer answer = network.ask(hosts - 1, {{server}, {line}});
   REQUIRE(answer.loads.size() == 1);
-  // A host is not told of its own calls.
+  // A host's own calls are not in its answer.
   CHECK(answer.loads.front() == server_load{server, hosts == 1 ? 0U : 5U});
   REQUIRE(answer.locations.size() == 1);
   CHECK(answer.locations.front() == location);
 }
 
-TEST_CASE("what was told of a former incarnation is not answered for the new one") {
+TEST_CASE("loads of an earlier incarnation of a server do not count for the new one") {
   exchange_network network(3);
   const backend_server_id id("s1");
   const server_key former = server_key_of(id, incarnation(100));
@@ -111,12 +111,12 @@
   CHECK(answer.loads.front() == server_load{restarted, 0});
 }
 
-TEST_CASE("a line that nobody told of is not answered") {
+TEST_CASE("a prompt part without a reported location is missing from the answer") {
   exchange_network network(3);
   CHECK(network.ask(1, {{}, {line}}).locations.empty());
 }
 
-TEST_CASE("a keeper that is silent holds up a placement for a short time only") {
+TEST_CASE("a keeper that does not answer delays a placement only briefly") {
   exchange_network network(2);
   network.silence(1);
   directory_question all;
@@ -128,13 +128,13 @@
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(500));
 }
 
-TEST_CASE("a message that is none is refused") {
+TEST_CASE("a malformed directory message is refused") {
   exchange_network network(1);
   CHECK_FALSE(network.member(0).serve("short"));
   CHECK_FALSE(network.member(0).serve(std::string(64, '\xff')));
 }
 
-TEST_CASE("a host hears of speeds with the loads that it asks for, by the hosts that live") {
+TEST_CASE("an answer with loads includes the speeds that other hosts reported") {
   exchange_network network(3);
   const told_speed speed{server, {700, 80, 0, 0}};
   network.tell(0, {{{server, 5}}, {}, {speed}});
@@ -145,8 +145,8 @@
   CHECK(answer.speeds.front().word.slow == 700);
 }
 
-TEST_CASE("messages without speeds have the bytes that they had before there were any") {
-  // The fields as the first hosts wrote and read them.
+TEST_CASE("messages without speeds keep the wire format of the first version") {
+  // The fields of the first version.
   struct first_answer {
     std::vector<server_load> loads;
     std::vector<part_location> locations;
--- a/libs/front/test/ledger_client_test.cc
+++ b/libs/front/test/ledger_client_test.cc
@@ -1,4 +1,4 @@
-// A front host that does not reach the disk hosts asks by way of another one.
+// A front host that cannot reach the disk hosts directly relays its requests through another one.
 #include "hawthornlane/front/ledger_client.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Three disks whose addresses lead nowhere; another front host reaches some.
+/// A front host with three disks, none reachable directly; another front host reaches some.
 class cut_off_host {
 public:
   explicit cut_off_host(std::set<disk_id> reached_by_peer)
@@ -109,7 +109,7 @@
 
 }  // namespace
 
-TEST_CASE("questions go by way of a front host that reaches the disk hosts") {
+TEST_CASE("requests are relayed through a front host that reaches the disk hosts") {
   cut_off_host host({disk_id("a"), disk_id("b")});
   CHECK(host.admit(turn("t1")).kind == admission_kind::admitted);
   CHECK(host.admit(turn("t2")).kind == admission_kind::admitted);
@@ -118,14 +118,14 @@
   CHECK(host.copies[disk_id("a")].reservations_of(program_id("p")).size() == 3);
 }
 
-TEST_CASE("one disk host alone does not make a majority, by whatever way") {
+TEST_CASE("one disk host alone is no majority, also if reached through a relay") {
   cut_off_host host({disk_id("a")});
   const turn_admission admission = host.admit(turn("t1"));
   CHECK(admission.kind == admission_kind::unavailable);
   CHECK_FALSE(admission.detail.empty());
 }
 
-TEST_CASE("a chain is read from the disk in this zone, and from the others where it lacks") {
+TEST_CASE("a chain is read from the disk in this zone, and from the others if that lacks it") {
   struct row {
     const char* what;
     std::vector<const char*> holders;
--- a/libs/front/test/ledger_traffic_test.cc
+++ b/libs/front/test/ledger_traffic_test.cc
@@ -1,5 +1,5 @@
-// What turns cost on the links to the disk hosts, and in memory, when these links are slow
-// or the disk hosts tell old news.
+// Traffic to the disk hosts and memory that turns use, if the links are slow or the disk hosts
+// report an outdated set.
 #include <catch2/catch.hpp>
 
 #include "slow_disks.h"
@@ -8,8 +8,8 @@
 using namespace hawthornlane::front;
 using namespace hawthornlane::front::slow_disks;
 
-TEST_CASE("disks that refuse a set before they can tell the next one are asked with pauses") {
-  // Members learn of a set some 0.3 s after they were told to refuse the one before.
+TEST_CASE("disks that refuse a set before they know the next one are retried with pauses") {
+  // Members learn of a new set some 0.3 s after they start to refuse the previous one.
   constexpr int most_appends = 10;
   SECTION("a turn is admitted once the set is known") {
     stub_disks disks(late_with_the_news(200ms));
@@ -18,7 +18,7 @@
     CHECK(disks.appends.size() == disk_names.size());
     CHECK(disks.most_appends() < most_appends);
   }
-  SECTION("a turn is kept once the set is known") {
+  SECTION("a turn is stored once the set is known") {
     stub_disks disks(late_with_the_news(300ms));
     CHECK(disks.front.settle(kept_turn_request("t1"), whole_result(2600), 3s));
     CHECK(disks.appends.size() == disk_names.size());
@@ -34,7 +34,7 @@
     INFO("body of " << size << " bytes");
     stub_disks disks(taken, rate);
     CHECK(disks.front.settle(kept_turn_request("t1"), whole_result(size), 3s));
-    // The turn is kept at a majority; the others follow.
+    // The turn is stored at a majority; the other disks follow.
     disks.front.run_for(200ms);
     CHECK(disks.appends.size() == disk_names.size());
     CHECK(disks.most_appends() == 1);
@@ -43,7 +43,7 @@
   }
 }
 
-TEST_CASE("a small question waits for the large ones before it on a slow link") {
+TEST_CASE("a small request queued behind large ones on a slow link does not time out") {
   constexpr double rate = 3.75e6;
   stub_disks disks(taken, rate);
   bool kept = false;
@@ -54,13 +54,13 @@
   CHECK(kept);
   CHECK(admission.kind == admission_kind::admitted);
   disks.front.run_for(200ms);
-  // One of each turn.
+  // One append per turn.
   CHECK(disks.most_appends() == 2);
   CHECK(disks.front.ledger.reached() == disk_names.size());
 }
 
-TEST_CASE("a disk is not sent a turn again while it still has the first one to answer") {
-  // Three disks refuse, so that no majority can come; the others are slow.
+TEST_CASE("a disk is not sent a turn again while its answer to the first send is pending") {
+  // Three disks refuse, so that there is no majority; the other two never answer.
   class two_slow_disks {
   public:
     two_slow_disks() {
@@ -92,9 +92,9 @@
   CHECK(disks.asked[4] == 1);
 }
 
-TEST_CASE("a turn that waits for its disks holds its body few times") {
-  // Listening sockets that nobody reads from. One body in the record, one encoded for all
-  // disks, one in each link's queue, and a part of one for the rest.
+TEST_CASE("a turn that waits for its disks keeps only a few copies of its body") {
+  // Listening sockets that are never read. One body in the record, one encoded for all disks, one
+  // in each link's queue, and part of one for the rest.
   constexpr std::size_t body = 4000 * kilobyte;
   constexpr std::size_t most_bodies = 8;
   constexpr int small_kernel_buffer = 65536;
@@ -118,22 +118,22 @@
   front.run_all();
   CHECK_FALSE(kept);
   INFO("held " << held << " bytes");
-  // Else nothing was measured.
+  // Otherwise the measurement missed the turn.
   CHECK(held > body);
   CHECK(held < most_bodies * body);
 }
 
-TEST_CASE("a host says that it reaches the disks of the set that have answered it") {
+TEST_CASE("a host counts the disks of the set that have answered it as reached") {
   stub_disks disks(taken);
   ledger_client& ledger = disks.front.ledger;
-  SECTION("a host that was just started has reached none") { CHECK(ledger.reached() == 0); }
-  SECTION("an idle host finds out") {
+  SECTION("a host that has just started has reached none") { CHECK(ledger.reached() == 0); }
+  SECTION("an idle host finds out by probes") {
     disks.mute = {disk_id("b")};
     ledger.tick();
     disks.front.run_for(100ms);
     CHECK(ledger.reached() == disk_names.size() - 1);
   }
-  SECTION("a busy host knows") {
+  SECTION("a busy host finds out by its requests") {
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(100ms);
     CHECK(ledger.reached() == disk_names.size());
@@ -144,7 +144,7 @@
     ledger.take_set({set_epoch(2), {disk_id("a"), disk_id("b"), disk_id("c")}, {}}, "test");
     CHECK(ledger.reached() == 3);
   }
-  SECTION("a host that finds a disk silent for another host knows") {
+  SECTION("a relayed request to a silent disk counts too") {
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(100ms);
     disks.mute = {disk_id("b")};
@@ -158,19 +158,19 @@
   const std::vector<disk_id> first_four(disk_names.begin(), disk_names.end() - 1);
   const std::vector<http::endpoint> four_places(disks.places.begin(), disks.places.end() - 1);
   CHECK(disks.front.passes_on(disk_id("e")));
-  SECTION("listed no more, but still in the set: turns may depend on it") {
+  SECTION("no longer listed, but still in the set: turns may depend on it") {
     disks.front.list_disks(four_places);
     CHECK(disks.front.passes_on(disk_id("e")));
     disks.front.ledger.take_set({set_epoch(2), first_four, {}}, "test");
     CHECK_FALSE(disks.front.passes_on(disk_id("e")));
   }
-  SECTION("out of the set, but still listed: it may join") {
+  SECTION("no longer in the set, but still listed: it may join") {
     disks.front.ledger.take_set({set_epoch(2), first_four, {}}, "test");
     CHECK(disks.front.passes_on(disk_id("e")));
     disks.front.list_disks(four_places);
     CHECK_FALSE(disks.front.passes_on(disk_id("e")));
   }
-  SECTION("questions underway end") {
+  SECTION("requests in flight end") {
     disks.mute = {disk_id("e")};
     bool kept = false;
     disks.front.begin_settle(kept_turn_request("t1"), whole_result(2600), 3s, kept);
@@ -183,7 +183,7 @@
   }
 }
 
-TEST_CASE("a history of any size comes from two disks at most over a slow link") {
+TEST_CASE("a history of any size is read from at most two disks over a slow link") {
   // 30 Mbit/s: 1,000,000 bytes take 0.27 s.
   constexpr double rate = 3.75e6;
   struct row {
@@ -195,7 +195,7 @@
   for (const row& item : rows) {
     INFO("history of " << item.bytes << " bytes");
     stub_disks disks(taken, rate);
-    // The connections are there already.
+    // Opens the connections.
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.history_bytes = item.bytes;
     turn_request next = kept_turn_request("t2");
@@ -210,8 +210,8 @@
   }
 }
 
-TEST_CASE("a history is read although the disks that are asked for it first are silent") {
-  // The disk of this zone, and the one that is asked beside it.
+TEST_CASE("a history is read although the first two disks that are asked for it are silent") {
+  // The disk of this zone, and the one that is asked second.
   for (const char* second : {"b", "c", "d", "e"}) {
     INFO("silent: a and " << second);
     stub_disks disks(taken);
@@ -223,7 +223,7 @@
     next.previous = request_id("t0");
     const auto began = steady::now();
     CHECK(disks.front.admit(next, 3s).kind == admission_kind::admitted);
-    // Found silent after 0.2 s; the patience for a long history is 4 s.
+    // Silence is detected after 0.2 s; the time limit for a long history is 4 s.
     CHECK(steady::now() - began < 800ms);
   }
 }
--- a/libs/front/test/place_exchange_test.cc
+++ b/libs/front/test/place_exchange_test.cc
@@ -1,4 +1,4 @@
-// Calls that claim places over a network in memory, and what happens when it loses messages.
+// Calls that claim places over a network in memory, which may lose messages.
 #include "hawthornlane/front/place_exchange.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -33,14 +33,14 @@
 const place_target first_server = target_of("s1");
 const place_target second_server = target_of("s2");
 
-/// A call's claims, and how they ended.
+/// One call's claims and their result.
 struct claimed_call {
   place_wait wait;
   std::optional<claim_result> result;
   std::chrono::steady_clock::duration took{};
 };
 
-/// Some hosts with an exchange each; messages arrive at once, or are lost.
+/// Hosts with one exchange each; messages arrive at once, or are lost.
 class place_network {
 public:
   explicit place_network(int hosts) {
@@ -55,7 +55,7 @@
     }
   }
 
-  /// All hosts know both servers as full, whoever keeps them.
+  /// Makes both servers full in the directory of every host, whichever is the keeper.
   void fill() {
     this->tell(places);
     this->run(place_queue::learning_time + 20ms);
@@ -122,11 +122,11 @@
 
   boost::asio::io_context context;
   std::set<host_id> live;
-  /// These get and answer nothing, and nobody knows yet.
+  /// Hosts that receive and answer nothing, and are still in `live`.
   std::set<host_id> silent;
-  /// Hosts that refuse connections, though others believe that they live.
+  /// Hosts that refuse connections, and are still in `live`.
   std::set<host_id> refusing;
-  /// Messages of this kind get lost.
+  /// Messages with this method are lost.
   std::optional<gossip_method> lost;
 
 private:
@@ -175,7 +175,7 @@
 
 }  // namespace
 
-TEST_CASE("a call waits at full servers, and the first grant wins") {
+TEST_CASE("a call waits at full servers and goes to the first one that grants a place") {
   const int hosts = GENERATE(1, 2, 7, 57);
   INFO(hosts << " hosts");
   place_network network(hosts);
@@ -189,7 +189,7 @@
   REQUIRE(call->result);
   CHECK(call->result->outcome == kind::granted);
   CHECK(call->result->server == second_server.server);
-  // The other claim is withdrawn: a call that comes later has nobody before it.
+  // The other claim is withdrawn: a later call there is first in the queue.
   CHECK(network.exchange(network.keeper(first_server)).waiting(first_server.key) == 0);
   const auto later = network.claim(host, {first_server});
   network.tell(first_server, places - 1);
@@ -199,14 +199,14 @@
   CHECK_FALSE(network.counters().empty());
 }
 
-TEST_CASE("a claim that no keeper answers ends within 10 ms") {
+TEST_CASE("a claim that no keeper can decide ends within 10 ms") {
   struct row {
     const char* what;
     bool learned;
     bool silent;
   };
   const row rows[] = {
-      {"the keeper is cut off", true, true},
+      {"the keeper is unreachable", true, true},
       {"the keeper has just become one", false, false},
   };
   for (const row& item : rows) {
@@ -226,17 +226,17 @@
   }
 }
 
-TEST_CASE("a keeper that dies costs a pause, and its claims go to the next") {
+TEST_CASE("claims at a failed keeper move to the next one with a repeat") {
   struct row {
     const char* what;
-    /// It is cut off before the others know, and they know after this.
+    /// Time from the failure until the other hosts detect it.
     duration known_after;
-    /// Its process is gone: connections are refused at once.
+    /// Its process has ended: connections are refused at once.
     bool refuses;
   };
-  const row rows[] = {{"known at once", 0ms, false},
-                      {"known later", 100ms, false},
-                      {"refuses connections, known later", 200ms, true}};
+  const row rows[] = {{"detected at once", 0ms, false},
+                      {"detected later", 100ms, false},
+                      {"refuses connections, detected later", 200ms, true}};
   for (const row& item : rows) {
     INFO(item.what);
     place_network network(7);
@@ -257,7 +257,7 @@
   }
 }
 
-TEST_CASE("a grant that is lost is given again with the next repeat") {
+TEST_CASE("a lost grant is sent again with the next repeat") {
   place_network network(7);
   network.fill();
   const auto call = network.claim(network.other_host(), {first_server});
@@ -268,7 +268,7 @@
   CHECK(call->result->outcome == kind::granted);
 }
 
-TEST_CASE("the places of a host that is gone go to the next claim") {
+TEST_CASE("places granted to a failed host go to the next claim") {
   struct row {
     const char* what;
     bool known;
@@ -276,9 +276,9 @@
     duration within;
   };
   const row rows[] = {
-      {"a host known as dead", true, false, 5ms},
-      {"a host that is cut off", false, false, place_queue::grant_lifetime + 30ms},
-      {"a caller that has left", false, true, 5ms},
+      {"a host that is known to have failed", true, false, 5ms},
+      {"an unreachable host, not yet detected", false, false, place_queue::grant_lifetime + 30ms},
+      {"a caller that has disconnected", false, true, 5ms},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -306,13 +306,13 @@
   }
 }
 
-TEST_CASE("a call that cannot get a place in its time is refused at once with the wait") {
+TEST_CASE("a call that cannot get a place in time is refused at once with the expected wait") {
   place_network network(7);
   network.fill();
   const host_id host = network.other_host();
   std::vector<std::shared_ptr<claimed_call>> before;
   std::shared_ptr<claimed_call> refused;
-  // 5 s at 2 places a second, and half of those before wait elsewhere too.
+  // 5 s at 2 places per second; half of the calls ahead also wait at the other server.
   for (int number = 0; number < 30 && !refused; ++number) {
     const auto call = network.claim(host, {first_server, second_server});
     if (call->result) {
@@ -330,7 +330,7 @@
   network.run(5ms);
 }
 
-TEST_CASE("a message about places that is none is refused") {
+TEST_CASE("a malformed place message is refused") {
   place_network network(1);
   const auto method = GENERATE(gossip_method::claim, gossip_method::withdraw, gossip_method::grant);
   place_exchange& exchange = network.exchange(host_id("front-0"));
--- a/libs/front/test/quota_client_test.cc
+++ b/libs/front/test/quota_client_test.cc
@@ -1,4 +1,4 @@
-// How a front host asks the keepers of quotas: whom next, how long, and what it concludes.
+// How a front host asks the keepers of quotas: their order, the time limits and the decision.
 #include "hawthornlane/front/quota_client.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -17,13 +17,13 @@
 
 namespace {
 
-/// What a keeper does with a question.
+/// A keeper's reaction to a request.
 enum class reply { grant, refuse, not_kept, fail, silence };
 
-/// Keepers that answer as a test says, and a client that asks them.
+/// Keepers with scripted replies, and a client that asks them.
 class asked_keepers {
 public:
-  /// The replies of each keeper in turn; the last one goes on for ever.
+  /// The successive replies of each keeper; the last one repeats.
   explicit asked_keepers(std::vector<std::vector<reply>> by_keeper)
       : replies(std::move(by_keeper)), client(context, make_hooks()) {}
 
@@ -35,7 +35,7 @@
       quota_question question;
       question.account = client_account("north");
       result = co_await this->client.admit(question, 7, until);
-      // Questions to silent keepers may still be under way.
+      // Requests to silent keepers may still be in flight.
       this->took = std::chrono::steady_clock::now() - began;
     };
     asio::co_spawn(this->context, ask(), asio::detached);
@@ -44,7 +44,7 @@
   }
 
   std::chrono::steady_clock::duration took{};
-  /// Keepers that are known not to answer.
+  /// Keepers that the client believes to be unreachable.
   std::set<std::size_t> unreached;
   std::vector<std::size_t> asked;
 
@@ -72,7 +72,7 @@
     const std::vector<reply>& script = this->replies[number];
     const reply what = script[std::min(next++, script.size() - 1)];
     this->asked.push_back(number);
-    // A silent keeper's question ends when its time is over.
+    // A request to a silent keeper ends at its time limit.
     const auto timer = std::make_shared<asio::steady_timer>(this->context);
     timer->expires_after(what == reply::silence ? limit : duration(1ms));
     timer->async_wait([timer, what, done = std::move(done)](const boost::system::error_code&) {
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE("what the answers of the keepers come to, and how soon") {
+TEST_CASE("the keepers' answers lead to the right decision in time") {
   using enum reply;
   struct row {
     std::string what;
@@ -120,7 +120,7 @@
        {{fail, not_kept, grant}, {fail, not_kept, grant}, {fail, not_kept, grant}},
        quota_decision::granted,
        300ms},
-      {"none can tell", {{not_kept}, {not_kept}, {fail}}, quota_decision::unknown, 600ms},
+      {"none can decide", {{not_kept}, {not_kept}, {fail}}, quota_decision::unknown, 600ms},
       {"all are silent", {{silence}, {silence}, {silence}}, quota_decision::unknown, 900ms},
   }));
   INFO(item.what);
@@ -133,13 +133,13 @@
   }
 }
 
-TEST_CASE("a call asks no longer than its caller waits") {
+TEST_CASE("a call stops asking keepers at its deadline") {
   asked_keepers keepers({{reply::not_kept}, {reply::not_kept}});
   CHECK(keepers.admit(60ms).decision == quota_decision::unknown);
   CHECK(keepers.took < 200ms);
 }
 
-TEST_CASE("keepers that do not answer are asked last") {
+TEST_CASE("keepers believed unreachable are asked last") {
   asked_keepers keepers({{reply::grant}, {reply::grant}, {reply::grant}});
   keepers.unreached = {0, 2};
   keepers.admit();
--- a/libs/front/test/relay_choice_test.cc
+++ b/libs/front/test/relay_choice_test.cc
@@ -1,4 +1,4 @@
-// Which host passes questions on, and that askers do not all use the same.
+// Choice of the relay for requests to disk hosts, and its spread over the candidates.
 #include "hawthornlane/front/relay_choice.h"
 
 #include <catch2/catch.hpp>
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-TEST_CASE("a question goes by way of the host that reaches the most disk hosts") {
+TEST_CASE("the relay is the host that reaches the most disk hosts") {
   struct row {
     const char* what;
     std::vector<relay_candidate> candidates;
     std::optional<host_id> chosen;
   };
   const row rows[] = {
-      {"nobody", {}, std::nullopt},
-      {"nobody who reaches one", {host("a", "here", 0)}, std::nullopt},
+      {"no candidate", {}, std::nullopt},
+      {"no candidate that reaches a disk", {host("a", "here", 0)}, std::nullopt},
       {"the most disks", {host("a", "here", 1), host("b", "there", 3)}, host_id("b")},
       {"the same zone", {host("a", "there", 3), host("b", "here", 3)}, host_id("b")},
   };
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_CASE("askers spread over the hosts that reach as many disk hosts") {
+TEST_CASE("askers spread over the relays that reach equally many disk hosts") {
   std::vector<relay_candidate> candidates;
   for (int number = 0; number < 36; ++number) {
     candidates.push_back(host("front-" + std::to_string(number), number % 4 == 0 ? "a" : "b", 3));
--- a/libs/front/test/slow_disks.h
+++ b/libs/front/test/slow_disks.h
@@ -1,4 +1,4 @@
-// Disk hosts behind slow links, for tests of what turns cost on them.
+// Stub disk hosts behind slow links, for tests of the traffic that turns cause there.
 #pragma once
 
 #include <malloc.h>
@@ -30,7 +30,7 @@
 const std::vector<disk_id> disk_names = {disk_id("a"), disk_id("b"), disk_id("c"), disk_id("d"),
                                          disk_id("e")};
 
-/// A front host's side of the ledger, on a context of its own.
+/// A ledger client of a front host, with its own io_context.
 class front_side {
 public:
   front_side()
@@ -41,7 +41,7 @@
     });
   }
 
-  /// Where each disk is, in the order of `disk_names`; those beyond are listed no more.
+  /// Lists disks at these addresses, in the order of `disk_names`; further disks are not listed.
   void list_disks(const std::vector<http::endpoint>& places) {
     std::vector<host_entry> hosts;
     for (std::size_t at = 0; at < places.size(); ++at) {
@@ -58,7 +58,7 @@
     this->ledger.take_set({set_epoch(1), disk_names, {}}, "test");
   }
 
-  /// Both return at once; the results are there when `open` is 0 again.
+  /// Both return at once; the results are set when `open` is 0 again.
   void begin_admit(const turn_request& turn, duration limit, turn_admission& result) {
     this->spawn([this, turn, limit, &result]() -> asio::awaitable<void> {
       result = co_await this->ledger.admit(turn, steady::now() + limit);
@@ -95,7 +95,7 @@
   ledger_client ledger;
   int open = 0;
 
-  /// Whether a question that another front host cannot ask itself is answered here.
+  /// Whether this host relays a request of another front host to the disk and gets an answer.
   bool passes_on(const disk_id& disk) {
     const relayed_question probe{disk, static_cast<std::uint16_t>(ledger_method::probe), ""};
     std::optional<bool> answered;
@@ -125,19 +125,19 @@
   }
 };
 
-/// A host's link: what it may send in all, to whomever, and what may come to it. A pump
-/// for each connection and direction, one rate for each direction.
+/// A host's link with limited rates for everything that it sends and receives. One pump for each
+/// connection and direction, one rate for each direction.
 class slow_link {
 public:
   slow_link(asio::io_context& io, double bytes_a_second)
       : context(io), up(bytes_a_second), down(bytes_a_second) {}
 
-  /// An address that leads to `to` over this link.
+  /// Returns an address that forwards to `to` over this link.
   http::endpoint towards(const http::endpoint& to) {
     const tcp::endpoint here(asio::ip::make_address(any_port.address), 0);
     const auto acceptor = std::make_shared<tcp::acceptor>(this->context);
     acceptor->open(here.protocol());
-    // Else the kernel takes megabytes that the link has not carried.
+    // Otherwise the kernel buffers megabytes that the link has not carried.
     acceptor->set_option(asio::socket_base::receive_buffer_size(kernel_buffer));
     acceptor->bind(here);
     acceptor->listen();
@@ -205,8 +205,7 @@
   direction down;
 };
 
-/// Five disk hosts and another front host that passes questions on to them, all on real
-/// connections.
+/// Five disk hosts and another front host that relays requests to them, all on real connections.
 class stub_disks {
 public:
   /// Answers one append.
@@ -251,13 +250,13 @@
 public:
   front_side front;
   slow_link link;
-  /// Appends that reached each disk, by whatever way.
+  /// Appends that reached each disk, directly or relayed.
   std::map<disk_id, int> appends;
-  /// Questions for a chain that reached any disk, by whatever way.
+  /// Reads of a chain that reached any disk, directly or relayed.
   int chain_reads = 0;
-  /// Bytes of the one turn that all disks hold.
+  /// Size of the one turn that all disks hold.
   std::size_t history_bytes = 0;
-  /// These take questions and say nothing.
+  /// Disks that receive requests and do not answer.
   std::set<disk_id> mute;
   /// In the order of `disk_names`.
   std::vector<http::endpoint> places;
@@ -297,7 +296,7 @@
       return;
     }
     ++this->appends[disk];
-    // About what a sync takes.
+    // About the time of a sync.
     const auto timer = std::make_shared<asio::steady_timer>(this->front.context, 2ms);
     timer->async_wait([timer, reply, bytes = to_bytes(this->answer(disk, *request))](
                           const boost::system::error_code&) { reply(bytes); });
@@ -341,7 +340,7 @@
   return answer;
 }
 
-/// Refuses epoch 1; tells of epoch 2 only after a while.
+/// Refuses epoch 1; reports epoch 2 only after the delay `late`.
 inline stub_disks::answer_hook late_with_the_news(duration late) {
   return [late, began = steady::now()](const disk_id& disk, const append_request& request) {
     program_answer answer;
@@ -353,7 +352,7 @@
   };
 }
 
-/// Bytes that this process has asked for and not given back.
+/// Heap bytes that this process has allocated and not freed.
 inline std::size_t bytes_in_use() {
   const struct mallinfo2 heap = mallinfo2();
   return heap.uordblks + heap.hblkhd;
