--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -63,12 +63,13 @@
   void started(const service_name& service, placement_id id);
   /// Enables sharing of loads, prompt locations and speeds with other hosts.
   void share_by(directory_exchange& with) { this->exchange = &with; }
-  /// Enables claims: a call for a full server claims a place (a slot) at the server's keeper,
-  /// the host that owns the server's directory entry.
+  /// Enables claims: a call for a full server claims a place (a slot) at the server's directory
+  /// host, which stores the server's directory entry.
   void claim_by(place_exchange& with) { this->places = &with; }
-  /// Stores what a keeper of directory entries has answered.
+  /// Stores the answer of a directory host.
   void take_answer(const directory_answer& answer);
-  /// Reports this host's loads again: keepers drop the counts of a host that stops reporting.
+  /// Reports this host's loads again, since directory hosts drop the counts of a host that stops
+  /// reporting.
   void renew_loads();
   /// Whether some server is known to have processed this part of a prompt.
   [[nodiscard]] bool knows(const service_name& service, prompt_part_key part) {
@@ -92,9 +93,9 @@
     server_pool pool;
     /// Calls at servers and waiting, smoothed.
     double demand = 0;
-    /// Servers that were last logged as set aside.
+    /// Unhealthy servers, as last logged.
     std::set<backend_server_id> set_aside;
-    /// Servers that were last logged as slow.
+    /// Slow servers, as last logged.
     std::set<backend_server_id> slow;
     /// The speed gauges of this service show measured values and not their default.
     bool shows_speeds = false;
@@ -103,7 +104,7 @@
   };
 
   service_pool& pool_of(const service_name& name);
-  /// Asks the keepers for the loads and prompt locations that affect this placement.
+  /// Asks the directory hosts for the loads and prompt locations that affect this placement.
   boost::asio::awaitable<void> ask_others(const server_pool& pool,
                                           const placement_request& request);
   /// Claims a place if the servers that the call would go to are full. Returns false if the call
--- a/libs/front/include/hawthornlane/front/directory_exchange.h
+++ b/libs/front/include/hawthornlane/front/directory_exchange.h
@@ -1,5 +1,5 @@
-// Exchanges entries of the placement directory between front hosts. The host that owns an entry is
-// its keeper.
+// Exchanges entries of the placement directory between front hosts. Each entry is stored by one
+// host, its directory host.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,7 +15,7 @@
 
 namespace hawthornlane::front {
 
-/// Updates and queries from one host to a keeper.
+/// Updates and queries from one host to a directory host.
 struct directory_message {
   host_id from;
   std::vector<server_load> loads;
@@ -32,7 +32,7 @@
   }
 };
 
-/// The keeper's answer.
+/// The directory host's answer.
 struct directory_answer {
   /// For each server that was reported or queried: the calls of all hosts except the asker, plus
   /// the calls that wait for a place.
@@ -60,28 +60,28 @@
   std::function<std::vector<host_id>()> hosts;
   /// Sends a message to another host.
   std::function<void(const host_id& to, const std::string& payload, net::rpc_done done)> send;
-  /// Handles a keeper's answer.
+  /// Handles a directory host's answer.
   std::function<void(const directory_answer&)> take;
   /// A host has reported a new load, which replaces `before`; optional.
   std::function<void(const host_id&, const server_load&, std::uint32_t before)> counted;
-  /// Number of calls that wait for a place at a server whose keeper is this host; optional.
+  /// Number of calls that wait for a place at a server whose entry this host stores; optional.
   std::function<std::uint32_t(server_key)> waiting;
 };
 
-/// One host's side of the directory: the entries that it keeps, and messages to the keepers of
-/// the others. Not thread-safe.
+/// One host's side of the directory: the entries that it stores, and messages to the directory
+/// hosts of the others. Not thread-safe.
 class directory_exchange {
 public:
   directory_exchange(boost::asio::io_context& context, host_id own, exchange_hooks hooks);
 
-  /// Sends changes at this host to the keepers.
+  /// Sends changes at this host to the directory hosts.
   void tell(const directory_update& update);
-  /// Queries the keepers and waits until all have answered or the time limit is over. Answers go to
-  /// the `take` callback.
+  /// Queries the directory hosts and waits until all have answered or the time limit is over.
+  /// Answers go to the `take` callback.
   boost::asio::awaitable<void> ask(directory_question question);
   /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(const std::string& payload);
-  /// The entries that this host keeps.
+  /// The entries that this host stores.
   [[nodiscard]] const placement_directory& entries() const { return this->directory; }
 
 private:
@@ -90,8 +90,8 @@
   using messages = std::map<host_id, directory_message>;
   directory_message& message_to(messages& all, std::uint64_t key,
                                 const std::vector<host_id>& hosts) const;
-  /// Sends the message, passes the answer to the `take` callback and then calls `done`, also if the
-  /// keeper does not answer.
+  /// Sends the message, passes the answer to the `take` callback and then calls `done`, also if
+  /// there is no answer.
   void send(const host_id& keeper, const directory_message& message, std::function<void()> done);
   directory_answer answer(const directory_message& message);
 
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -1,5 +1,5 @@
-// Claims places (slots) at full backend servers. Hosts send claims to the server's keeper, the
-// host that owns its directory entry; the keeper queues them and grants places.
+// Claims places (slots) at full backend servers. Hosts send claims to the server's directory host,
+// which stores the server's directory entry, queues the claims and grants places.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -46,7 +46,7 @@
     granted,
     /// Refused at all servers.
     refused,
-    /// No keeper could decide: the call is placed by this host's own information.
+    /// No directory host could decide: the call is placed by this host's own information.
     unknown,
     caller_left
   };
@@ -54,7 +54,7 @@
   /// Only if granted.
   backend_server_id server;
   server_key key;
-  /// Only if refused: the keepers' estimate of the time until a place is free.
+  /// Only if refused: the directory hosts' estimate of the time until a place is free.
   duration wait{};
 };
 
@@ -71,8 +71,8 @@
   bool left = false;
 };
 
-/// Sends this host's claims to keepers, and queues all hosts' claims at the servers whose keeper
-/// is this host. Not thread-safe.
+/// Sends this host's claims to directory hosts, and queues all hosts' claims at the servers whose
+/// directory host is this one. Not thread-safe.
 class place_exchange {
 public:
   /// `counts`: the loads that hosts have reported to this one; must outlive the exchange.
@@ -80,14 +80,14 @@
                  call_metrics& metrics, place_hooks hooks);
 
   /// Claims a place at each of `targets` and waits until one is granted, all are refused, or no
-  /// keeper can decide.
+  /// directory host can decide.
   boost::asio::awaitable<claim_result> claim(const placement_request& request,
                                              std::vector<place_target> targets, place_wait& wait);
   /// Returns a granted place that the call will not use.
   void give_back(placement_id call, server_key server);
   /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(gossip_method method, const std::string& payload);
-  /// A host has reported a new load of a server whose keeper is this host.
+  /// A host has reported a new load of a server whose directory host is this one.
   void count_changed(const host_id& host, const server_load& load, std::uint32_t before);
   /// Number of waiting calls that would delay another call for this server.
   [[nodiscard]] std::uint32_t waiting(server_key server) const;
@@ -104,8 +104,8 @@
   claim_result result_of(const open_claim& item);
   void send_claims(const open_claim_ptr& item);
   void take_answer(const open_claim_ptr& item, std::size_t target, const claim_answer& answer);
-  /// Handles a missing answer. A claim that waits stays valid: its keeper was busy, or the repeat
-  /// goes to the next keeper.
+  /// Handles a missing answer. A claim that waits stays valid: its directory host was busy, or the
+  /// repeat goes to the next one.
   static void lose_answer(open_claim& item, std::size_t target);
   /// Withdraws the call's claims at all servers but the one that it uses.
   void withdraw_others(const open_claim& item);
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -1,4 +1,4 @@
-// Claims places at full backend servers at their keepers.
+// Claims places at full backend servers at their directory hosts.
 #include "hawthornlane/front/place_exchange.h"
 
 #include <fmt/format.h>
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Time limit for a keeper's answer; the call is then placed without it. This is five round trips
-/// to another zone.
+/// Time limit for a directory host's answer; the call is then placed without it. This is five
+/// round trips to another zone.
 constexpr std::chrono::milliseconds answer_limit{10};
 
 }  // namespace
@@ -28,7 +28,7 @@
   struct claimed_target {
     place_target target;
     claim_state state = open_claim::claim_state::asked;
-    /// The keeper has answered the latest repeat.
+    /// The directory host has answered the latest repeat.
     bool answered = false;
     duration wait{};
     std::uint32_t ahead = 0;
@@ -165,8 +165,8 @@
     if (item->granted || target.state == open_claim::claim_state::refused) {
       continue;
     }
-    // A keeper that is briefly busy still holds the claim: a waiting claim goes back to `asked`
-    // only if the previous repeat was not answered.
+    // A directory host that is briefly busy still holds the claim: a waiting claim goes back to
+    // `asked` only if the previous repeat was not answered.
     const bool keeps = target.state == open_claim::claim_state::waiting && target.answered;
     target.state = keeps ? open_claim::claim_state::waiting : open_claim::claim_state::asked;
     target.answered = false;
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -41,7 +41,7 @@
   return request;
 }
 
-/// One other host, named so that it is the server's keeper.
+/// One other host, named so that it is the server's directory host.
 std::vector<host_id> others_that_keep(server_key server) {
   for (int number = 0;; ++number) {
     host_id name("other-" + std::to_string(number));
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE("a call whose caller disconnects while keepers are queried gets no server") {
+TEST_CASE("a call whose caller disconnects while directory hosts are queried gets no server") {
   one_server_host host;
   boost::asio::io_context& context = host.context;
   call_placer& placer = host.placer;
@@ -170,7 +170,7 @@
     boost::asio::io_context& context = host.context;
     call_placer& placer = host.placer;
     std::vector<net::rpc_done> unanswered;
-    // The server's keeper is the silent host or this one, depending on the hash.
+    // The server's directory host is the silent host or this one, depending on the hash.
     std::size_t told = 0;
     exchange_hooks hooks = silent_host(unanswered);
     hooks.take = [&told](const directory_answer& answer) { told += answer.loads.size(); };
--- a/libs/front/test/directory_exchange_test.cc
+++ b/libs/front/test/directory_exchange_test.cc
@@ -116,7 +116,7 @@
   CHECK(network.ask(1, {{}, {line}}).locations.empty());
 }
 
-TEST_CASE("a keeper that does not answer delays a placement only briefly") {
+TEST_CASE("a directory host that does not answer delays a placement only briefly") {
   exchange_network network(2);
   network.silence(1);
   directory_question all;
--- a/libs/front/test/place_exchange_test.cc
+++ b/libs/front/test/place_exchange_test.cc
@@ -55,7 +55,7 @@
     }
   }
 
-  /// Makes both servers full in the directory of every host, whichever is the keeper.
+  /// Makes both servers full in the directory of every host, whichever is the directory host.
   void fill() {
     this->tell(places);
     this->run(place_queue::learning_time + 20ms);
@@ -199,15 +199,15 @@
   CHECK_FALSE(network.counters().empty());
 }
 
-TEST_CASE("a claim that no keeper can decide ends within 10 ms") {
+TEST_CASE("a claim that no directory host can decide ends within 10 ms") {
   struct row {
     const char* what;
     bool learned;
     bool silent;
   };
   const row rows[] = {
-      {"the keeper is unreachable", true, true},
-      {"the keeper has just become one", false, false},
+      {"the directory host is unreachable", true, true},
+      {"the directory host has just become one", false, false},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -226,7 +226,7 @@
   }
 }
 
-TEST_CASE("claims at a failed keeper move to the next one with a repeat") {
+TEST_CASE("claims at a failed directory host move to the next one with a repeat") {
   struct row {
     const char* what;
     /// Time from the failure until the other hosts detect it.
