--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -62,18 +62,18 @@
   /// The first part of a call's answer has arrived.
   void started(const service_name& service, placement_id id);
   /// Enables sharing of loads, prompt locations and speeds with other hosts.
-  void share_by(directory_exchange& with) { this->exchange = &with; }
+  void set_directory_exchange(directory_exchange& with) { this->exchange = &with; }
   /// Enables claims: a call for a full server claims a place (a slot) at the server's directory
   /// host, which stores the server's directory entry.
-  void claim_by(place_exchange& with) { this->places = &with; }
+  void set_place_exchange(place_exchange& with) { this->places = &with; }
   /// Stores the answer of a directory host.
-  void take_answer(const directory_answer& answer);
+  void apply_directory_response(const directory_response& answer);
   /// Reports this host's loads again, since directory hosts drop the counts of a host that stops
   /// reporting.
-  void renew_loads();
+  void report_loads();
   /// Whether some server is known to have processed this part of a prompt.
-  [[nodiscard]] bool knows(const service_name& service, prompt_part_key part) {
-    return this->pool_of(service).pool.knows(part);
+  [[nodiscard]] bool has_prompt_part(const service_name& service, prompt_part_key part) {
+    return this->pool_of(service).pool.has_prompt_part(part);
   }
   [[nodiscard]] bool lists_servers(const service_name& service);
 
@@ -85,7 +85,7 @@
   [[nodiscard]] std::vector<service_demand> demand() const;
   /// Divides scarce places between this host and the others. `others` has one entry per other
   /// host and service.
-  void take_demand(const std::vector<service_demand>& others);
+  void apply_demand(const std::vector<service_demand>& others);
 
 private:
   struct service_pool {
@@ -94,7 +94,7 @@
     /// Calls at servers and waiting, smoothed.
     double demand = 0;
     /// Unhealthy servers, as last logged.
-    std::set<backend_server_id> set_aside;
+    std::set<backend_server_id> unhealthy;
     /// Slow servers, as last logged.
     std::set<backend_server_id> slow;
     /// The speed gauges of this service show measured values and not their default.
--- a/libs/front/include/hawthornlane/front/directory_exchange.h
+++ b/libs/front/include/hawthornlane/front/directory_exchange.h
@@ -24,7 +24,7 @@
   std::vector<prompt_part_key> asked_parts;
   /// Appended to the message if not empty, and not part of `serialize`: hosts of older versions
   /// ignore the trailing bytes.
-  std::vector<told_speed> speeds;
+  std::vector<speed_report> speeds;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -33,14 +33,14 @@
 };
 
 /// The directory host's answer.
-struct directory_answer {
+struct directory_response {
   /// For each server that was reported or queried: the calls of all hosts except the asker, plus
   /// the calls that wait for a place.
   std::vector<server_load> loads;
   /// Known locations of the queried parts.
   std::vector<part_location> locations;
   /// Other hosts' speed estimates of the same servers; appended as in `directory_message`.
-  std::vector<told_speed> speeds;
+  std::vector<speed_report> speeds;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -49,21 +49,21 @@
 };
 
 std::string bytes_of(const directory_message& message);
-std::string bytes_of(const directory_answer& answer);
+std::string bytes_of(const directory_response& answer);
 /// Nothing if the bytes are malformed.
 std::optional<directory_message> directory_message_from(const std::string& bytes);
-std::optional<directory_answer> directory_answer_from(const std::string& bytes);
+std::optional<directory_response> directory_answer_from(const std::string& bytes);
 
 /// Callbacks from the exchange to the rest of the host.
-struct exchange_hooks {
+struct directory_hooks {
   /// The other live front hosts.
   std::function<std::vector<host_id>()> hosts;
   /// Sends a message to another host.
   std::function<void(const host_id& to, const std::string& payload, net::rpc_done done)> send;
   /// Handles a directory host's answer.
-  std::function<void(const directory_answer&)> take;
+  std::function<void(const directory_response&)> take;
   /// A host has reported a new load, which replaces `before`; optional.
-  std::function<void(const host_id&, const server_load&, std::uint32_t before)> counted;
+  std::function<void(const host_id&, const server_load&, std::uint32_t before)> load_changed;
   /// Number of calls that wait for a place at a server whose entry this host stores; optional.
   std::function<std::uint32_t(server_key)> waiting;
 };
@@ -72,13 +72,13 @@
 /// hosts of the others. Not thread-safe.
 class directory_exchange {
 public:
-  directory_exchange(boost::asio::io_context& context, host_id own, exchange_hooks hooks);
+  directory_exchange(boost::asio::io_context& context, host_id own, directory_hooks hooks);
 
   /// Sends changes at this host to the directory hosts.
   void tell(const directory_update& update);
   /// Queries the directory hosts and waits until all have answered or the time limit is over.
   /// Answers go to the `take` callback.
-  boost::asio::awaitable<void> ask(directory_question question);
+  boost::asio::awaitable<void> ask(directory_request question);
   /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(const std::string& payload);
   /// The entries that this host stores.
@@ -93,11 +93,11 @@
   /// Sends the message, passes the answer to the `take` callback and then calls `done`, also if
   /// there is no answer.
   void send(const host_id& keeper, const directory_message& message, std::function<void()> done);
-  directory_answer answer(const directory_message& message);
+  directory_response answer(const directory_message& message);
 
   boost::asio::io_context& context;
   host_id self;
-  exchange_hooks hooks;
+  directory_hooks hooks;
   placement_directory directory;
 };
 
--- a/libs/front/include/hawthornlane/front/ledger_client.h
+++ b/libs/front/include/hawthornlane/front/ledger_client.h
@@ -14,15 +14,15 @@
 #include "hawthornlane/front/gossip_messages.h"
 #include "hawthornlane/front/peer_traffic.h"
 #include "hawthornlane/front/turn_cache.h"
-#include "hawthornlane/front/turn_keeper.h"
+#include "hawthornlane/front/turn_store.h"
 #include "hawthornlane/net/rpc.h"
 #include "hawthornlane/platform_adapter/store_objects.h"
-#include "hawthornlane/turn_ledger/rounds.h"
+#include "hawthornlane/turn_ledger/quorum_checks.h"
 
 namespace hawthornlane::front {
 
 /// Reserves, reads and settles turns at the disks of the current set. Not thread-safe.
-class ledger_client final : public turn_keeper {
+class ledger_client final : public turn_store {
 public:
   ledger_client(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
                 const discovery::fleet_state& fleet, availability_zone here,
@@ -32,9 +32,9 @@
   ~ledger_client() override;
 
   /// Adopts the set of disks from a page of the hosts' objects, if it holds a newer one.
-  void take_set(const platform_adapter::object_page& page);
+  void adopt_ledger_set(const platform_adapter::object_page& page);
   /// Adopts `told` if its epoch is newer. `source` is for the log.
-  void take_set(const ledger_set& told, const std::string& source);
+  void adopt_ledger_set(const ledger_set& told, const std::string& source);
   /// Updates the links after the list of hosts has changed.
   void refresh_hosts();
 
@@ -45,10 +45,10 @@
 
   /// Relays a request to a disk host through another front host.
   using relay_hook =
-      std::function<void(const relayed_question&, duration limit, net::rpc_done done)>;
+      std::function<void(const relayed_request&, duration limit, net::rpc_done done)>;
   void set_relay(relay_hook hook) { this->relay = std::move(hook); }
   /// Sets where the bytes of direct requests to disk hosts are counted.
-  void count_in(peer_traffic shared) { this->traffic = std::move(shared); }
+  void set_traffic(peer_traffic shared) { this->traffic = std::move(shared); }
   /// Relays a request of another front host that cannot reach a disk host directly.
   void serve_relayed(const std::string& payload, const net::rpc_reply& reply);
   /// Probes disk hosts that are suspected or have never answered.
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -103,7 +103,7 @@
   /// Determines how the claim ended; counts and logs it.
   claim_result result_of(const open_claim& item);
   void send_claims(const open_claim_ptr& item);
-  void take_answer(const open_claim_ptr& item, std::size_t target, const claim_answer& answer);
+  void take_answer(const open_claim_ptr& item, std::size_t target, const claim_response& answer);
   /// Handles a missing answer. A claim that waits stays valid: its directory host was busy, or the
   /// repeat goes to the next one.
   static void lose_answer(open_claim& item, std::size_t target);
--- a/libs/front/include/hawthornlane/front/quota_gate.h
+++ b/libs/front/include/hawthornlane/front/quota_gate.h
@@ -13,7 +13,7 @@
 struct quota_admission {
   quota_decision decision = quota_decision::unknown;
   /// Only if over the limit: the time until a call can be granted again.
-  duration room_in{};
+  duration retry_after{};
 };
 
 /// Charges calls to their accounts' quotas. Not thread-safe; the coroutines run on one thread.
@@ -26,7 +26,7 @@
 
   /// A call that is not granted must not be sent. `spread`: a hash that is equal for all calls of a
   /// program; it orders the keepers that are asked.
-  virtual boost::asio::awaitable<quota_admission> admit(quota_question question,
+  virtual boost::asio::awaitable<quota_admission> admit(quota_request question,
                                                         std::uint64_t spread,
                                                         net::steady_time until) = 0;
 };
