--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -33,7 +33,7 @@
 class placement_wait {
 public:
   /// The caller has disconnected: the call no longer needs a server.
-  void leave();
+  void cancel();
 
 private:
   friend class call_placer;
@@ -75,7 +75,7 @@
   [[nodiscard]] bool has_prompt_part(const service_name& service, prompt_part_key part) {
     return this->pool_of(service).pool.has_prompt_part(part);
   }
-  [[nodiscard]] bool lists_servers(const service_name& service);
+  [[nodiscard]] bool has_listed_servers(const service_name& service);
 
   /// Passes the current lists of servers to the pools.
   void refresh_servers();
@@ -98,27 +98,27 @@
     /// Slow servers, as last logged.
     std::set<backend_server_id> slow;
     /// The speed gauges of this service show measured values and not their default.
-    bool shows_speeds = false;
+    bool exports_speeds = false;
     /// Places are scarce: each host is limited to its share of them.
     bool scarce = false;
   };
 
   service_pool& pool_of(const service_name& name);
   /// Asks the directory hosts for the loads and prompt locations that affect this placement.
-  boost::asio::awaitable<void> ask_others(const server_pool& pool,
-                                          const placement_request& request);
+  boost::asio::awaitable<void> query_directory(const server_pool& pool,
+                                               const placement_request& request);
   /// Claims a place if the servers that the call would go to are full. Returns false if the call
   /// must be placed by this host's own information.
   boost::asio::awaitable<bool> claim(server_pool& pool, const placement_request& request,
-                                     placement_wait& wait, acquired_server& got);
-  void tell_changes(server_pool& pool);
+                                     placement_wait& wait, acquired_server& acquired);
+  void report_changes(server_pool& pool);
   void set_speed_gauges(const service_name& name, double fastest, double slowest);
   /// Updates the speed gauges and logs servers that have become slow.
-  void show_speeds(const service_name& name, service_pool& item);
+  void export_speeds(const service_name& name, service_pool& item);
   void deliver(const std::vector<placement>& placed);
   void share_places(const service_name& name, service_pool& item,
                     const std::vector<service_demand>& others, timestamp now);
-  void log_set_aside(const service_name& name, service_pool& item, timestamp now);
+  void log_unhealthy(const service_name& name, service_pool& item, timestamp now);
 
   boost::asio::io_context& context;
   host_id own;
--- a/libs/front/include/hawthornlane/front/call_service.h
+++ b/libs/front/include/hawthornlane/front/call_service.h
@@ -36,7 +36,7 @@
   /// Number of calls that have been read and not answered.
   [[nodiscard]] std::size_t in_flight() const { return this->calls; }
   /// Rejects all further calls; used near the end of a planned stop.
-  void reject_new_calls() { this->turning_away = true; }
+  void reject_new_calls() { this->rejecting_calls = true; }
 
 private:
   struct call;
@@ -48,11 +48,11 @@
   std::optional<failure> decode(call& one);
   std::optional<failure> find_route(call& one);
   /// Finds the account of the caller's key, where the route requires one.
-  static std::optional<failure> identify(call& one);
+  static std::optional<failure> authenticate(call& one);
   /// Scopes the ids that the caller chose to its account.
-  static void keep_apart(call& one);
+  static void scope_ids(call& one);
   /// Whether the key is still valid in the newest configuration; checked again after a wait.
-  [[nodiscard]] bool still_identified(const call& one) const;
+  [[nodiscard]] bool still_authenticated(const call& one) const;
   /// Charges the call to its account's quota.
   boost::asio::awaitable<bool> admit_to_quota(call& one);
   /// Reserves the call's turn in the ledger, if its route stores turns or its program has a budget.
@@ -60,10 +60,10 @@
 
   // Placement.
   /// Runs one attempt at one server; returns true if the call should be tried at another one.
-  boost::asio::awaitable<bool> run_once(call& one);
+  boost::asio::awaitable<bool> run_attempt(call& one);
   boost::asio::awaitable<acquired_server> acquire(call& one);
   /// Whether this host knows that the program of this prompt has been served before.
-  bool goes_on(const service_name& service, const std::vector<prompt_piece>& prompt);
+  bool continues_program(const service_name& service, const std::vector<prompt_piece>& prompt);
 
   // Dispatch to one server.
   boost::asio::awaitable<relay::try_outcome> try_server(call& one, const backend_entry& server);
@@ -73,15 +73,15 @@
   boost::asio::awaitable<bool> stream_head(call& one, const relay::backend_answer& head);
   boost::asio::awaitable<bool> stream_bytes(call& one, std::string_view bytes);
   /// Reports the attempt's outcome to the placer, for the server's health and speed.
-  void note_try(const call& one, const acquired_server& got, relay::try_outcome outcome);
+  void report_outcome(const call& one, const acquired_server& acquired, relay::try_outcome outcome);
   [[nodiscard]] bool may_try_again(const call& one, relay::try_outcome outcome) const;
 
   // Settlement.
   boost::asio::awaitable<void> finish_whole(call& one);
   boost::asio::awaitable<void> finish_stream(call& one);
   boost::asio::awaitable<void> give_up(call& one, failure why, duration wait = {});
-  boost::asio::awaitable<void> settle_broken(call& one);
-  static token_count tokens_handed_out(const call& one);
+  boost::asio::awaitable<void> settle_incomplete(call& one);
+  static token_count tokens_sent(const call& one);
   void log_call(const call& one) const;
 
   discovery::fleet_state& fleet;
@@ -93,7 +93,7 @@
   call_metrics& metrics;
   net::steady_time started_at = std::chrono::steady_clock::now();
   std::size_t calls = 0;
-  bool turning_away = false;
+  bool rejecting_calls = false;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/directory_exchange.h
+++ b/libs/front/include/hawthornlane/front/directory_exchange.h
@@ -75,10 +75,10 @@
   directory_exchange(boost::asio::io_context& context, host_id own, directory_hooks hooks);
 
   /// Sends changes at this host to the directory hosts.
-  void tell(const directory_update& update);
+  void report(const directory_update& update);
   /// Queries the directory hosts and waits until all have answered or the time limit is over.
   /// Answers go to the `take` callback.
-  boost::asio::awaitable<void> ask(directory_request question);
+  boost::asio::awaitable<void> query(directory_request request);
   /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(const std::string& payload);
   /// The entries that this host stores.
@@ -86,13 +86,14 @@
 
 private:
   /// This host and the other live hosts.
-  [[nodiscard]] std::vector<host_id> keepers() const;
+  [[nodiscard]] std::vector<host_id> directory_hosts() const;
   using messages = std::map<host_id, directory_message>;
   directory_message& message_to(messages& all, std::uint64_t key,
                                 const std::vector<host_id>& hosts) const;
   /// Sends the message, passes the answer to the `take` callback and then calls `done`, also if
   /// there is no answer.
-  void send(const host_id& keeper, const directory_message& message, std::function<void()> done);
+  void send(const host_id& directory_host, const directory_message& message,
+            std::function<void()> done);
   directory_response answer(const directory_message& message);
 
   boost::asio::io_context& context;
--- a/libs/front/include/hawthornlane/front/ledger_client.h
+++ b/libs/front/include/hawthornlane/front/ledger_client.h
@@ -33,8 +33,8 @@
 
   /// Adopts the set of disks from a page of the hosts' objects, if it holds a newer one.
   void adopt_ledger_set(const platform_adapter::object_page& page);
-  /// Adopts `told` if its epoch is newer. `source` is for the log.
-  void adopt_ledger_set(const ledger_set& told, const std::string& source);
+  /// Adopts `newer` if its epoch is newer. `source` is for the log.
+  void adopt_ledger_set(const ledger_set& newer, const std::string& source);
   /// Updates the links after the list of hosts has changed.
   void refresh_hosts();
 
@@ -72,31 +72,32 @@
   struct settle_state;
 
   /// A request to one or more disk hosts.
-  struct question {
+  struct disk_request {
     ledger_method method{};
     /// Shared by all disks, and by direct and relayed sends: it may hold a turn's whole body.
     std::shared_ptr<const std::string> payload;
     /// Time for an answer, direct and relayed together, without the transfer times below.
     duration limit{};
     /// Time for the request to leave this host, after all bytes in flight. Set when it is sent.
-    duration sending{};
+    duration send_time{};
     /// Time for the answer to arrive.
-    duration arriving{};
+    duration arrival_time{};
     /// Called if a disk host did not answer and the request is relayed instead; may be empty.
-    std::function<void()> on_silence;
+    std::function<void()> on_no_answer;
 
-    [[nodiscard]] duration on_the_way() const { return this->sending + this->arriving; }
+    [[nodiscard]] duration transfer_time() const { return this->send_time + this->arrival_time; }
   };
-  [[nodiscard]] static question make_question(ledger_method method, std::string payload,
-                                              duration limit);
+  [[nodiscard]] static disk_request make_request(ledger_method method, std::string payload,
+                                                 duration limit);
   /// Time to send `bytes` after all bytes in flight over this host's link, which the connections
   /// to all disks share.
   [[nodiscard]] duration time_to_send(std::size_t bytes) const;
   /// Wraps `done`: counts the bytes as in flight until it is called.
-  net::rpc_done while_underway(std::size_t bytes, net::rpc_done done);
+  net::rpc_done count_in_flight(std::size_t bytes, net::rpc_done done);
   /// Sends a request to a disk host, directly or through another front host.
-  void ask(const disk_id& disk, const question& what, net::rpc_done done);
-  void ask_by_relay(const disk_id& disk, const question& what, duration limit, net::rpc_done done);
+  void ask(const disk_id& disk, const disk_request& what, net::rpc_done done);
+  void ask_by_relay(const disk_id& disk, const disk_request& what, duration limit,
+                    net::rpc_done done);
   /// Records the outcome of a direct request.
   void note_outcome(const disk_id& disk, net::rpc_failure why);
   /// Drops links to disk hosts that are neither listed nor in the set.
@@ -114,7 +115,8 @@
   };
   /// Sends the same request to some disks of a set.
   template <class Answer>
-  void ask_each(const std::vector<disk_id>& disks, question what, const round_hooks<Answer>& hooks);
+  void ask_each(const std::vector<disk_id>& disks, disk_request what,
+                const round_hooks<Answer>& hooks);
 
   void send_appends(const std::shared_ptr<admission_state>& state);
   void send_collects(const std::shared_ptr<admission_state>& state);
@@ -133,17 +135,17 @@
   std::shared_ptr<settle_state> begin_settlement(append_request& request);
   /// Stores a record at a majority of the current set or a later one; returns false if `until`
   /// passes first. The record is not copied, since it may hold a whole turn.
-  boost::asio::awaitable<bool> keep_record(append_request& request, net::steady_time until);
-  boost::asio::awaitable<void> keep_withdrawal(append_request request);
+  boost::asio::awaitable<bool> store_record(append_request& request, net::steady_time until);
+  boost::asio::awaitable<void> store_withdrawal(append_request request);
   /// Whether a withdrawal for the turn's program is not yet stored by a majority.
-  [[nodiscard]] bool withdraws(const turn_request& turn) const;
+  [[nodiscard]] bool is_withdrawing(const turn_request& turn) const;
   void send_settlement(const std::shared_ptr<settle_state>& state,
                        const std::vector<disk_id>& disks);
   void conclude(const admission_state& state, turn_admission& result);
   void note_stale(const std::optional<ledger_set>& newest);
   /// Whether the set at epoch `asked` is still the newest known. Asking it again gives the same
   /// answer until a newer set is known, so callers must pause before they retry.
-  [[nodiscard]] bool holds_still(set_epoch asked) const;
+  [[nodiscard]] bool is_newest_epoch(set_epoch asked) const;
 
   boost::asio::io_context& context;
   net::deadline_sweeper& sweeper;
@@ -155,7 +157,7 @@
   peer_traffic traffic;
   net::steady_time next_probe{};
   /// Invariant: bytes of all unanswered requests, counting each copy.
-  std::size_t bytes_underway = 0;
+  std::size_t bytes_in_flight = 0;
   turn_cache cache;
   /// Number of withdrawals not yet stored by a majority. Invariant: each count is above 0.
   std::map<program_id, std::uint32_t> withdrawals;
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -62,7 +62,7 @@
 class place_wait {
 public:
   /// The caller has disconnected.
-  void leave();
+  void cancel();
 
 private:
   friend class place_exchange;
@@ -84,7 +84,7 @@
   boost::asio::awaitable<claim_result> claim(const placement_request& request,
                                              std::vector<place_target> targets, place_wait& wait);
   /// Returns a granted place that the call will not use.
-  void give_back(placement_id call, server_key server);
+  void return_place(placement_id call, server_key server);
   /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(gossip_method method, const std::string& payload);
   /// A host has reported a new load of a server whose directory host is this one.
@@ -98,23 +98,23 @@
   using open_claim = place_wait::open_claim;
   using open_claim_ptr = std::shared_ptr<open_claim>;
 
-  [[nodiscard]] host_id keeper_of_server(server_key server) const;
+  [[nodiscard]] host_id directory_host_of(server_key server) const;
   boost::asio::awaitable<void> wait_for_grant(open_claim_ptr item);
   /// Determines how the claim ended; counts and logs it.
   claim_result result_of(const open_claim& item);
   void send_claims(const open_claim_ptr& item);
-  void take_answer(const open_claim_ptr& item, std::size_t target, const claim_response& answer);
+  void apply_response(const open_claim_ptr& item, std::size_t target, const claim_response& answer);
   /// Handles a missing answer. A claim that waits stays valid: its directory host was busy, or the
   /// repeat goes to the next one.
-  static void lose_answer(open_claim& item, std::size_t target);
+  static void handle_missing_answer(open_claim& item, std::size_t target);
   /// Withdraws the call's claims at all servers but the one that it uses.
   void withdraw_others(const open_claim& item);
   void send_withdrawal(const place_grant& withdrawn);
   /// Sends all new grants to their hosts.
-  void tell_grants();
-  void tell_grant(const place_grant& grant);
+  void send_grants();
+  void send_grant(const place_grant& grant);
   /// Accepts a grant for a call of this host; returns whether the call still wants the place.
-  bool take_grant(const place_grant& grant);
+  bool accept_grant(const place_grant& grant);
   static void log_refused(const open_claim& item, duration wait);
 
   boost::asio::io_context& context;
@@ -125,8 +125,8 @@
   /// As of the latest tick.
   std::optional<std::vector<host_id>> live_hosts;
   std::map<placement_id, open_claim_ptr> open;
-  /// Guards against reentry: grants that are added while `tell_grants` runs are sent by its loop.
-  bool telling = false;
+  /// Guards against reentry: grants that are added while `send_grants` runs are sent by its loop.
+  bool sending_grants = false;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/quota_client.h
+++ b/libs/front/include/hawthornlane/front/quota_client.h
@@ -1,4 +1,4 @@
-// The front host's client of the quotas: asks the disk hosts that keep them.
+// The front host's client of the quotas: asks the quota managers, which run on disk hosts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,36 +12,36 @@
 
 namespace hawthornlane::front {
 
-/// Callbacks to reach the disk hosts.
+/// Callbacks to reach the quota managers.
 struct quota_hooks {
-  /// The disks whose hosts keep the quotas (the keepers); empty if not known yet.
+  /// The disks whose hosts are quota managers; empty if not known yet.
   std::function<std::vector<disk_id>()> keepers;
-  /// Whether this host believes that a keeper answers.
+  /// Whether this host believes that a manager answers.
   std::function<bool(const disk_id&)> reaches;
   std::function<void(const disk_id&, std::string payload, duration limit, net::rpc_done)> ask;
 };
 
-/// Asks the keepers one after the other; the next one after a short delay if the previous one has
-/// not answered. While no keeper grants or refuses, for example when all hosts have just started,
+/// Asks the managers one after the other, the next one after a short delay if the previous one has
+/// not answered. While no manager grants or refuses, for example when all hosts have just started,
 /// it retries for a short time: a refused caller would lose more time than that. Not thread-safe.
 class quota_client final : public quota_gate {
 public:
   quota_client(boost::asio::io_context& io, quota_hooks with)
       : context(io), hooks(std::move(with)) {}
 
-  boost::asio::awaitable<quota_admission> admit(quota_request question, std::uint64_t spread,
+  boost::asio::awaitable<quota_admission> admit(quota_request request, std::uint64_t program_hash,
                                                 net::steady_time until) override;
 
 private:
-  struct asking;
-  /// Asks each keeper once.
+  struct round_state;
+  /// Asks each manager once.
   boost::asio::awaitable<quota_admission> ask_round(const std::string& payload,
-                                                    std::uint64_t spread,
+                                                    std::uint64_t program_hash,
                                                     net::steady_time give_up_at);
-  /// The keepers in the order in which they are asked: reachable ones first, then by a hash with
-  /// `spread`, so that the calls of an account use all parts of its quota evenly.
-  [[nodiscard]] std::vector<disk_id> order_of(std::uint64_t spread) const;
-  void ask(const std::shared_ptr<asking>& state, std::size_t keeper);
+  /// The managers in the order in which they are asked: reachable ones first, then by a rendezvous
+  /// hash, so that the calls of an account use all parts of its quota evenly.
+  [[nodiscard]] std::vector<disk_id> ordered_managers(std::uint64_t program_hash) const;
+  void ask(const std::shared_ptr<round_state>& state, std::size_t manager);
 
   boost::asio::io_context& context;
   quota_hooks hooks;
--- a/libs/front/include/hawthornlane/front/quota_gate.h
+++ b/libs/front/include/hawthornlane/front/quota_gate.h
@@ -24,10 +24,10 @@
   quota_gate& operator=(const quota_gate&) = delete;
   virtual ~quota_gate() = default;
 
-  /// A call that is not granted must not be sent. `spread`: a hash that is equal for all calls of a
-  /// program; it orders the keepers that are asked.
-  virtual boost::asio::awaitable<quota_admission> admit(quota_request question,
-                                                        std::uint64_t spread,
+  /// A call that is not granted must not be sent. `program_hash` must be equal for all calls of a
+  /// program; it orders the managers that are asked.
+  virtual boost::asio::awaitable<quota_admission> admit(quota_request request,
+                                                        std::uint64_t program_hash,
                                                         net::steady_time until) = 0;
 };
 
--- a/libs/front/include/hawthornlane/front/turn_cache.h
+++ b/libs/front/include/hawthornlane/front/turn_cache.h
@@ -13,7 +13,7 @@
 /// LRU cache, bounded by bytes.
 class turn_cache {
 public:
-  explicit turn_cache(std::size_t most_bytes) : most(most_bytes) {}
+  explicit turn_cache(std::size_t max_bytes) : capacity(max_bytes) {}
 
   void add(const stored_turn& turn) {
     if (this->turns.contains(turn.id)) {
@@ -21,10 +21,10 @@
     }
     this->order.push_front(turn.id);
     this->turns.emplace(turn.id, entry{turn, this->order.begin()});
-    this->held += size_of(turn);
-    while (this->held > this->most && !this->order.empty()) {
+    this->cached_bytes += size_of(turn);
+    while (this->cached_bytes > this->capacity && !this->order.empty()) {
       const auto oldest = this->turns.find(this->order.back());
-      this->held -= size_of(oldest->second.turn);
+      this->cached_bytes -= size_of(oldest->second.turn);
       this->turns.erase(oldest);
       this->order.pop_back();
     }
@@ -62,9 +62,9 @@
     return turn.input.size() + turn.output.size() + overhead;
   }
 
-  std::size_t most;
-  /// Invariant: the sum of the sizes in `turns`; at most `most` after each `add`.
-  std::size_t held = 0;
+  std::size_t capacity;
+  /// Invariant: the sum of the sizes in `turns`; at most `capacity` after each `add`.
+  std::size_t cached_bytes = 0;
   std::list<request_id> order;
   std::map<request_id, entry> turns;
 };
--- a/libs/front/src/address_choice.cc
+++ b/libs/front/src/address_choice.cc
@@ -19,8 +19,8 @@
   }
   const double even_share =
       zones.empty() ? 0 : static_cast<double>(all.size()) / static_cast<double>(zones.size());
-  const bool enough = near.size() >= enough_in_zone &&
-                      static_cast<double>(near.size()) >= least_zone_share * even_share;
+  const bool enough = near.size() >= min_hosts_in_zone &&
+                      static_cast<double>(near.size()) >= min_zone_share * even_share;
   return enough ? near : all;
 }
 
--- a/libs/front/src/call_admission.cc
+++ b/libs/front/src/call_admission.cc
@@ -18,7 +18,7 @@
   if (auto unroutable = this->find_route(one)) {
     return unroutable;
   }
-  if (auto unknown = identify(one)) {
+  if (auto unknown = authenticate(one)) {
     return unknown;
   }
   one.service = route_table::choose_service(*one.taken, service_draw(one.terms));
@@ -34,7 +34,7 @@
     return reason;
   }
   one.terms = std::move(*terms);
-  one.turn_name = one.terms.id;
+  one.ledger_turn_id = one.terms.id;
   return std::nullopt;
 }
 
@@ -43,7 +43,7 @@
   if (!one.table) {
     return failure{error_kind::not_ready, "no configuration has been received yet"};
   }
-  if (this->turning_away) {
+  if (this->rejecting_calls) {
     return failure{error_kind::host_leaving, "the host is stopping"};
   }
   one.taken = one.table->find(one.terms.host_name, one.request.path);
@@ -55,7 +55,7 @@
   return std::nullopt;
 }
 
-std::optional<failure> call_service::identify(call& one) {
+std::optional<failure> call_service::authenticate(call& one) {
   const account_table_ptr& accounts = one.table->source().accounts;
   if (!accounts) {
     return std::nullopt;
@@ -66,14 +66,14 @@
                    fmt::format("{} in version {}", one.terms.key ? "unknown key" : "no key",
                                one.table->version().get())};
   }
-  keep_apart(one);
+  scope_ids(one);
   return std::nullopt;
 }
 
-void call_service::keep_apart(call& one) {
+void call_service::scope_ids(call& one) {
   const client_account holder =
       one.caller_account == nullptr ? client_account() : one.caller_account->name;
-  one.turn_name = request_id(within_account(holder, one.terms.id.get()));
+  one.ledger_turn_id = request_id(within_account(holder, one.terms.id.get()));
   if (one.terms.program) {
     one.terms.program = program_id(within_account(holder, one.terms.program->get()));
   }
@@ -85,7 +85,7 @@
   }
 }
 
-bool call_service::still_identified(const call& one) const {
+bool call_service::still_authenticated(const call& one) const {
   const route_table_ptr& newest = this->fleet.table();
   if (one.caller_account == nullptr || one.taken->open_to_all || newest == one.table ||
       !newest->source().accounts) {
@@ -104,9 +104,10 @@
   question.limit = one.caller_account->limit;
   question.version = limit_version(one.table->version().get());
   if (one.terms.program) {
-    const bool may_begin = one.taken->kind == call_kind::stream && !one.terms.previous;
-    const bool begins = may_begin && !this->goes_on(one.service, pieces_of(one.terms.prefix));
-    question.program = quota_program{program_key(hash_of(one.terms.program->get())), begins};
+    const bool may_be_first_turn = one.taken->kind == call_kind::stream && !one.terms.previous;
+    const bool is_first_turn =
+        may_be_first_turn && !this->continues_program(one.service, pieces_of(one.terms.prefix));
+    question.program = quota_program{program_key(hash_of(one.terms.program->get())), is_first_turn};
   }
   const net::steady_time began = steady::now();
   const quota_admission admission =
@@ -115,7 +116,7 @@
   if (admission.decision == quota_decision::granted) {
     co_return true;
   }
-  failure why{error_kind::quota_unknown, "no disk host that keeps the quota could decide"};
+  failure why{error_kind::quota_unknown, "no quota manager could decide"};
   if (admission.decision == quota_decision::over_limit) {
     why.kind = error_kind::over_limit;
     why.detail = fmt::format("exceeds {} calls per second with a burst of {}, retry in {} ms",
@@ -134,7 +135,7 @@
     co_return true;
   }
   turn_request turn;
-  turn.id = one.turn_name;
+  turn.id = one.ledger_turn_id;
   turn.program = *one.terms.program;
   turn.most = one.terms.most_output;
   turn.budget = one.terms.budget;
--- a/libs/front/src/call_dispatch.cc
+++ b/libs/front/src/call_dispatch.cc
@@ -15,7 +15,7 @@
 
 /// Attempts per call. Each costs a few milliseconds, and after this many refusals the whole
 /// service is full.
-constexpr int most_tries = 6;
+constexpr int max_tries = 6;
 
 server_outcome health_of(try_outcome outcome) {
   switch (outcome) {
@@ -54,13 +54,14 @@
   return "";
 }
 
-void call_service::note_try(const call& one, const acquired_server& got, try_outcome outcome) {
+void call_service::report_outcome(const call& one, const acquired_server& acquired,
+                                  try_outcome outcome) {
   constexpr int first_server_error = 500;
   server_outcome health = health_of(outcome);
   if (outcome == try_outcome::whole && one.answer.status >= first_server_error) {
     health = server_outcome::error_answer;
   }
-  this->placer.finished(one.service, got.id, health);
+  this->placer.finished(one.service, acquired.id, health);
 }
 
 relay::dispatch_terms call_service::terms_for(const call& one, const backend_entry& server) {
@@ -104,7 +105,7 @@
       co_await this->backends.run(request, sink, one.handle, one.answer, one.detail);
   const try_outcome outcome = checked(one, ended);
   const bool may_have_run = outcome != try_outcome::not_sent && outcome != try_outcome::not_run;
-  one.runs += may_have_run ? 1 : 0;
+  one.possible_runs += may_have_run ? 1 : 0;
   this->metrics.count(fmt::format("tries_{}", name_of(outcome)));
   co_return outcome;
 }
@@ -130,14 +131,14 @@
 }
 
 bool call_service::may_try_again(const call& one, try_outcome outcome) const {
-  const bool time_left = steady::now() + least_service_time < one.until;
-  if (!time_left || one.tries >= most_tries || one.caller.gone()) {
+  const bool time_left = steady::now() + min_service_time < one.until;
+  if (!time_left || one.tries >= max_tries || one.caller.gone()) {
     return false;
   }
   if (outcome == try_outcome::not_sent || outcome == try_outcome::not_run) {
     return true;
   }
-  if (outcome == try_outcome::timed_out || one.runs >= one.taken->max_attempts) {
+  if (outcome == try_outcome::timed_out || one.possible_runs >= one.taken->max_attempts) {
     return false;
   }
   return one.taken->kind == call_kind::idempotent || one.taken->resumable;
@@ -161,7 +162,7 @@
   for (relay::stream_event& item : one.splitter.add(bytes)) {
     out += item.bytes;
     if (one.events == one.events_before) {
-      this->placer.started(one.service, one.placed);
+      this->placer.started(one.service, one.attempt_id);
     }
     if (one.events == 0) {
       one.first_event_at = steady::now();
--- a/libs/front/src/call_metrics.cc
+++ b/libs/front/src/call_metrics.cc
@@ -13,14 +13,13 @@
 
 /// Range of the histograms in milliseconds. Finer bins would not change an on-call decision.
 constexpr unsigned bins = 40;
-constexpr double least_ms = 0.1;
-constexpr double most_ms = 20'000;
+constexpr double min_ms = 0.1;
+constexpr double max_ms = 20'000;
 
 }  // namespace
 
 struct call_metrics::latency {
-  bh::histogram<std::tuple<log_axis>> counts =
-      bh::make_histogram(log_axis(bins, least_ms, most_ms));
+  bh::histogram<std::tuple<log_axis>> counts = bh::make_histogram(log_axis(bins, min_ms, max_ms));
   std::uint64_t number = 0;
   double sum_ms = 0;
 
@@ -33,7 +32,7 @@
         return bin.bin().upper();
       }
     }
-    return most_ms;
+    return max_ms;
   }
 };
 
@@ -63,11 +62,11 @@
     out += fmt::format("{} {}\n", name, value);
   }
   constexpr double median = 0.5;
-  constexpr double high = 0.95;
-  constexpr double highest = 0.99;
+  constexpr double p95 = 0.95;
+  constexpr double p99 = 0.99;
   for (const auto& [name, slot] : this->latencies) {
     out += fmt::format("{}_count {}\n{}_sum_ms {:.1f}\n", name, slot->number, name, slot->sum_ms);
-    for (const double share : {median, high, highest}) {
+    for (const double share : {median, p95, p99}) {
       out += fmt::format("{}_ms{{quantile=\"{}\"}} {:.2f}\n", name, share, slot->quantile(share));
     }
   }
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -17,7 +17,7 @@
 
 /// Weight of a new sample in the smoothed demand, which is taken every 100 ms. Hosts exchange
 /// their demand about once a second, and a single call must not change the shares.
-constexpr double newest_part = 0.3;
+constexpr double demand_sample_weight = 0.3;
 
 }  // namespace
 
@@ -29,9 +29,9 @@
   bool left = false;
 };
 
-void placement_wait::leave() {
+void placement_wait::cancel() {
   this->left = true;
-  this->place.leave();
+  this->place.cancel();
   if (this->waiting != nullptr) {
     this->waiting->left = true;
     this->waiting->signal.wake();
@@ -71,7 +71,7 @@
   }
 }
 
-bool call_placer::lists_servers(const service_name& service) {
+bool call_placer::has_listed_servers(const service_name& service) {
   return !this->pool_of(service).pool.listed().empty();
 }
 
@@ -93,7 +93,7 @@
   const timestamp now = discovery::scheduler_now();
   for (auto& [name, item] : this->pools) {
     if (item.pool.flush_ended_calls(now)) {
-      this->tell_changes(item.pool);
+      this->report_changes(item.pool);
     }
     if (item.pool.waiting() == 0) {
       continue;
@@ -108,22 +108,22 @@
   }
 }
 
-void call_placer::log_set_aside(const service_name& name, service_pool& item, timestamp now) {
-  std::set<backend_server_id> aside = item.pool.unhealthy(now);
-  if (aside == item.unhealthy) {
+void call_placer::log_unhealthy(const service_name& name, service_pool& item, timestamp now) {
+  std::set<backend_server_id> now_unhealthy = item.pool.unhealthy(now);
+  if (now_unhealthy == item.unhealthy) {
     return;
   }
-  for (const backend_server_id& id : aside) {
+  for (const backend_server_id& id : now_unhealthy) {
     if (!item.unhealthy.contains(id)) {
       log(event::backend_set_aside, {{"server", id.get()}, {"service", name.get()}});
     }
   }
   for (const backend_server_id& id : item.unhealthy) {
-    if (!aside.contains(id)) {
+    if (!now_unhealthy.contains(id)) {
       log(event::backend_trusted, {{"server", id.get()}, {"service", name.get()}});
     }
   }
-  item.unhealthy = std::move(aside);
+  item.unhealthy = std::move(now_unhealthy);
 }
 
 std::vector<service_demand> call_placer::demand() const {
@@ -155,12 +155,12 @@
 void call_placer::report_loads() {
   directory_update update;
   for (auto& [name, item] : this->pools) {
-    this->show_speeds(name, item);
+    this->export_speeds(name, item);
     const std::vector<server_load> loads = item.pool.own_loads();
     update.loads.insert(update.loads.end(), loads.begin(), loads.end());
   }
   if (this->exchange != nullptr && !update.empty()) {
-    this->exchange->tell(update);
+    this->exchange->report(update);
   }
 }
 
@@ -169,22 +169,22 @@
   this->metrics.set(fmt::format("slowest_server_factor_{}", name.get()), slowest);
 }
 
-void call_placer::show_speeds(const service_name& name, service_pool& item) {
+void call_placer::export_speeds(const service_name& name, service_pool& item) {
   // Hysteresis: slow from `slow_from` on, and until the factor drops below `slow_until`.
   constexpr double slow_from = 1.5;
   constexpr double slow_until = 1.25;
   // Log lines per service and run; this runs once a second.
-  constexpr std::size_t most_lines = 4;
+  constexpr std::size_t max_log_lines = 4;
   const std::vector<server_slowdown> slowdowns = item.pool.slowdowns(discovery::scheduler_now());
   if (slowdowns.empty()) {
-    if (item.shows_speeds) {
+    if (item.exports_speeds) {
       this->set_speed_gauges(name, 1, 1);
       item.slow.clear();
-      item.shows_speeds = false;
+      item.exports_speeds = false;
     }
     return;
   }
-  item.shows_speeds = true;
+  item.exports_speeds = true;
   const auto by_factor = [](const server_slowdown& a, const server_slowdown& b) {
     return a.factor < b.factor;
   };
@@ -193,45 +193,44 @@
   this->set_speed_gauges(name, fastest->factor, slowest->factor);
   std::set<backend_server_id> still_slow;
   std::size_t lines = 0;
-  for (const server_slowdown& pace : slowdowns) {
-    const bool was_slow = item.slow.contains(pace.id);
-    const bool turned_slow = !was_slow && pace.factor >= slow_from && lines < most_lines;
+  for (const server_slowdown& slowdown : slowdowns) {
+    const bool was_slow = item.slow.contains(slowdown.id);
+    const bool turned_slow = !was_slow && slowdown.factor >= slow_from && lines < max_log_lines;
     if (turned_slow) {
       ++lines;
-      log(event::backend_slow, {{"server", pace.id.get()},
+      log(event::backend_slow, {{"server", slowdown.id.get()},
                                 {"service", name.get()},
-                                {"factor", fmt::format("{:.2f}", pace.factor)},
-                                {"weight", fmt::format("{:.0f}", pace.weight)}});
+                                {"factor", fmt::format("{:.2f}", slowdown.factor)},
+                                {"weight", fmt::format("{:.0f}", slowdown.weight)}});
     }
-    if (turned_slow || (was_slow && pace.factor >= slow_until)) {
-      still_slow.insert(pace.id);
+    if (turned_slow || (was_slow && slowdown.factor >= slow_until)) {
+      still_slow.insert(slowdown.id);
     }
   }
   item.slow = std::move(still_slow);
 }
 
-void call_placer::tell_changes(server_pool& pool) {
+void call_placer::report_changes(server_pool& pool) {
   directory_update update = pool.take_update();
   pool.add_speeds(update, discovery::scheduler_now());
   if (this->exchange != nullptr && !update.empty()) {
-    this->exchange->tell(update);
+    this->exchange->report(update);
   }
 }
 
-asio::awaitable<void> call_placer::ask_others(const server_pool& pool,
-                                              const placement_request& request) {
+asio::awaitable<void> call_placer::query_directory(const server_pool& pool,
+                                                   const placement_request& request) {
   if (this->exchange == nullptr) {
     co_return;
   }
-  const directory_request question =
-      pool.directory_request_for(request, discovery::scheduler_now());
-  if (!question.empty()) {
-    co_await this->exchange->ask(question);
+  const directory_request lookup = pool.directory_request_for(request, discovery::scheduler_now());
+  if (!lookup.empty()) {
+    co_await this->exchange->query(lookup);
   }
 }
 
 asio::awaitable<bool> call_placer::claim(server_pool& pool, const placement_request& request,
-                                         placement_wait& wait, acquired_server& got) {
+                                         placement_wait& wait, acquired_server& acquired) {
   if (this->places == nullptr) {
     co_return false;
   }
@@ -245,9 +244,9 @@
     const auto began = steady::now();
     const claim_result result =
         co_await this->places->claim(request, std::move(targets), wait.place);
-    got.waited = std::chrono::duration_cast<duration>(steady::now() - began);
-    got.caller_left = result.outcome == claim_result::kind::caller_left;
-    got.retry_in = result.wait;
+    acquired.waited = std::chrono::duration_cast<duration>(steady::now() - began);
+    acquired.caller_left = result.outcome == claim_result::kind::caller_left;
+    acquired.retry_in = result.wait;
     if (result.outcome != claim_result::kind::granted) {
       co_return result.outcome != claim_result::kind::unknown;
     }
@@ -257,13 +256,13 @@
   const auto placed = pool.place_at(request, server, discovery::scheduler_now());
   if (!placed) {
     if (granted) {
-      this->places->give_back(request.id, *granted);
+      this->places->return_place(request.id, *granted);
     }
     co_return false;
   }
-  got.server = placed->server;
-  got.basis = placed->basis;
-  this->tell_changes(pool);
+  acquired.server = placed->server;
+  acquired.basis = placed->basis;
+  this->report_changes(pool);
   co_return true;
 }
 
@@ -271,14 +270,14 @@
   const timestamp now = discovery::scheduler_now();
   for (auto& [name, item] : this->pools) {
     this->deliver(item.pool.tick(now));
-    this->log_set_aside(name, item, now);
+    this->log_unhealthy(name, item, now);
     this->share_places(name, item, others, now);
   }
 }
 
 void call_placer::share_places(const service_name& name, service_pool& item,
                                const std::vector<service_demand>& others, timestamp now) {
-  item.demand += newest_part * (static_cast<double>(item.pool.demand()) - item.demand);
+  item.demand += demand_sample_weight * (static_cast<double>(item.pool.demand()) - item.demand);
   service_load load;
   load.places = item.pool.healthy_places(now);
   load.own_calls = item.demand;
@@ -303,58 +302,58 @@
 asio::awaitable<acquired_server> call_placer::acquire(const service_name& service,
                                                       placement_request request,
                                                       placement_wait& wait) {
-  acquired_server got;
+  acquired_server acquired;
   this->last_placement = this->last_placement.next();
-  got.id = this->last_placement;
-  request.id = got.id;
+  acquired.id = this->last_placement;
+  request.id = acquired.id;
   server_pool& pool = this->pool_of(service).pool;
-  co_await this->ask_others(pool, request);
+  co_await this->query_directory(pool, request);
   if (wait.left) {
-    got.caller_left = true;
-    co_return got;
+    acquired.caller_left = true;
+    co_return acquired;
   }
-  const bool claimed = co_await this->claim(pool, request, wait, got);
+  const bool claimed = co_await this->claim(pool, request, wait, acquired);
   if (claimed) {
-    co_return got;
+    co_return acquired;
   }
   std::vector<placement> placed;
   const submit_outcome outcome = pool.submit(request, discovery::scheduler_now(), placed);
   if (outcome == submit_outcome::refused) {
-    co_return got;
+    co_return acquired;
   }
   if (outcome == submit_outcome::placed) {
-    got.server = placed.front().server;
-    got.basis = placed.front().basis;
-    this->tell_changes(pool);
-    co_return got;
+    acquired.server = placed.front().server;
+    acquired.basis = placed.front().basis;
+    this->report_changes(pool);
+    co_return acquired;
   }
   const auto began = steady::now();
   placement_wait::waiter waiting(this->context);
-  this->waiters.emplace(got.id, &waiting);
+  this->waiters.emplace(acquired.id, &waiting);
   wait.waiting = &waiting;
   co_await waiting.signal.wait();
   wait.waiting = nullptr;
-  this->waiters.erase(got.id);
+  this->waiters.erase(acquired.id);
   const auto queued = std::chrono::duration_cast<duration>(steady::now() - began);
-  got.waited += queued;
+  acquired.waited += queued;
   this->metrics.record("queue_wait", queued);
-  got.caller_left = waiting.left;
+  acquired.caller_left = waiting.left;
   if (waiting.left) {
-    pool.cancel(got.id);
-    this->finished(service, got.id, server_outcome::caller_left);
-    co_return got;
+    pool.cancel(acquired.id);
+    this->finished(service, acquired.id, server_outcome::caller_left);
+    co_return acquired;
   }
   if (waiting.chosen) {
-    got.server = waiting.chosen->server;
-    got.basis = waiting.chosen->basis;
+    acquired.server = waiting.chosen->server;
+    acquired.basis = waiting.chosen->basis;
   }
-  co_return got;
+  co_return acquired;
 }
 
 void call_placer::finished(const service_name& service, placement_id id, server_outcome outcome) {
   server_pool& pool = this->pool_of(service).pool;
   this->deliver(pool.finished(id, outcome, discovery::scheduler_now()));
-  this->tell_changes(pool);
+  this->report_changes(pool);
 }
 
 void call_placer::started(const service_name& service, placement_id id) {
--- a/libs/front/src/call_service.cc
+++ b/libs/front/src/call_service.cc
@@ -21,7 +21,7 @@
 constexpr double retry_seconds = 0.25;
 /// Maximum jitter added to Retry-After: callers that were refused together return over a span of
 /// up to twice `retry_seconds`.
-constexpr double retry_spread = 0.25;
+constexpr double retry_jitter = 0.25;
 
 /// Retry-After while too few disk hosts answer, or no server is listed after an outage of the
 /// store: about half the time that such a state lasts. A program has few attempts, and they
@@ -31,7 +31,7 @@
 constexpr double starting_retry_seconds = 0.4;
 /// Time after the start during which a host counts as starting. A host without a configuration
 /// after this is waiting for the store or its peers.
-constexpr auto longest_start = std::chrono::seconds(1);
+constexpr auto startup_time = std::chrono::seconds(1);
 
 /// Affinity key: calls with the same key prefer the same server. On a sticky route all calls of a
 /// program share one key, because the prompt of a sub-agent begins with its parent's.
@@ -73,10 +73,10 @@
     const bool long_wait =
         why.kind == error_kind::history_unavailable || why.kind == error_kind::not_ready ||
         why.kind == error_kind::no_listed_server || why.kind == error_kind::quota_unknown;
-    const bool starting = steady::now() - this->started_at < longest_start;
+    const bool starting = steady::now() - this->started_at < startup_time;
     const double recovery = starting ? starting_retry_seconds : recovery_retry_seconds;
     const double least = std::max(long_wait ? recovery : retry_seconds, to_seconds(wait));
-    headers.push_back({"Retry-After", fmt::format("{:.2f}", least + retry_spread * part)});
+    headers.push_back({"Retry-After", fmt::format("{:.2f}", least + retry_jitter * part)});
   }
   this->metrics.count(fmt::format("refused_{}", row.name));
   log(event::call_refused, {{"request", id},
@@ -94,7 +94,7 @@
   caller.connection().watch_for_close([this, &one] {
     one.caller.note_gone();
     one.handle.abandon();
-    one.wait.leave();
+    one.wait.cancel();
     this->metrics.count("callers_left");
   });
   co_await this->run(one);
@@ -103,9 +103,9 @@
 }
 
 asio::awaitable<void> call_service::run(call& one) {
-  const std::optional<failure> unfit = this->prepare(one);
-  if (unfit) {
-    co_await this->refuse(one.caller, *unfit, one.terms.id.get());
+  const std::optional<failure> rejection = this->prepare(one);
+  if (rejection) {
+    co_await this->refuse(one.caller, *rejection, one.terms.id.get());
     co_return;
   }
   if (!co_await this->admit_to_quota(one) || !co_await this->admit_to_ledger(one)) {
@@ -113,60 +113,60 @@
   }
   bool again = true;
   while (again) {
-    again = co_await this->run_once(one);
+    again = co_await this->run_attempt(one);
   }
   this->log_call(one);
 }
 
-asio::awaitable<bool> call_service::run_once(call& one) {
-  const acquired_server got = co_await this->acquire(one);
-  if (!this->still_identified(one)) {
-    if (got.server) {
-      this->placer.finished(one.service, got.id, server_outcome::caller_left);
+asio::awaitable<bool> call_service::run_attempt(call& one) {
+  const acquired_server acquired = co_await this->acquire(one);
+  if (!this->still_authenticated(one)) {
+    if (acquired.server) {
+      this->placer.finished(one.service, acquired.id, server_outcome::caller_left);
     }
-    const bool may_have_run = one.runs > 0;
+    const bool may_have_run = one.possible_runs > 0;
     const failure why{may_have_run ? error_kind::backend_failed : error_kind::not_authenticated,
                       "the key was revoked while the call was waiting"};
     co_await this->give_up(one, why);
     co_return false;
   }
-  if (got.caller_left) {
+  if (acquired.caller_left) {
     one.outcome = "caller_left";
-    co_await this->settle_broken(one);
+    co_await this->settle_incomplete(one);
     co_return false;
   }
-  if (!got.server) {
+  if (!acquired.server) {
     failure why{error_kind::no_backend_server,
                 one.detail.empty() ? "no server can serve it before its deadline" : one.detail};
-    if (got.retry_in > duration{}) {
-      why.detail = fmt::format("a place is expected in {} ms", got.retry_in.count() / 1000);
+    if (acquired.retry_in > duration{}) {
+      why.detail = fmt::format("a place is expected in {} ms", acquired.retry_in.count() / 1000);
     }
-    if (one.runs > 0) {
+    if (one.possible_runs > 0) {
       // An earlier attempt may have run, so the answer must not say that the call was not run.
       why.kind = error_kind::backend_failed;
-    } else if (!this->placer.lists_servers(one.service)) {
+    } else if (!this->placer.has_listed_servers(one.service)) {
       why.kind = error_kind::no_listed_server;
     }
-    co_await this->give_up(one, why, got.retry_in);
+    co_await this->give_up(one, why, acquired.retry_in);
     co_return false;
   }
-  const try_outcome outcome = co_await this->try_server(one, *got.server);
-  this->note_try(one, got, outcome);
+  const try_outcome outcome = co_await this->try_server(one, *acquired.server);
+  this->report_outcome(one, acquired, outcome);
   one.outcome = name_of(outcome);
   if (outcome == try_outcome::whole) {
     co_await this->finish_whole(one);
     co_return false;
   }
   if (outcome == try_outcome::abandoned) {
-    co_await this->settle_broken(one);
+    co_await this->settle_incomplete(one);
     co_return false;
   }
-  one.tried.insert(got.server->id);
+  one.tried.insert(acquired.server->id);
   if (this->may_try_again(one, outcome)) {
     co_return true;
   }
   failure why{error_kind::backend_failed, one.detail};
-  if (one.runs == 0) {
+  if (one.possible_runs == 0) {
     why.kind = error_kind::no_backend_server;
   } else if (outcome == try_outcome::timed_out) {
     why.kind = error_kind::deadline_exceeded;
@@ -176,10 +176,10 @@
 }
 
 asio::awaitable<acquired_server> call_service::acquire(call& one) {
-  acquired_server got;
+  acquired_server acquired;
   if (one.caller.gone()) {
-    got.caller_left = true;
-    co_return got;
+    acquired.caller_left = true;
+    co_return acquired;
   }
   const timestamp now = discovery::scheduler_now();
   const auto left = std::chrono::duration_cast<duration>(one.until - steady::now());
@@ -189,23 +189,25 @@
   if (one.taken->sticky) {
     request.prompt = pieces_of(one.terms.prefix);
   }
-  request.begun = one.terms.previous.has_value() || this->goes_on(one.service, request.prompt);
-  const bool has_own = one.caller_account != nullptr && one.caller_account->priority;
-  request.priority = has_own ? *one.caller_account->priority : one.taken->priority;
+  request.begun =
+      one.terms.previous.has_value() || this->continues_program(one.service, request.prompt);
+  const bool has_account_priority = one.caller_account != nullptr && one.caller_account->priority;
+  request.priority = has_account_priority ? *one.caller_account->priority : one.taken->priority;
   if (one.caller_account != nullptr) {
     request.account = one.caller_account->name;
   }
   request.wanted_by = now + one.terms.program_time_left.value_or(left);
-  request.give_up_at = now + left - least_service_time;
+  request.give_up_at = now + left - min_service_time;
   request.tried = one.tried;
-  got = co_await this->placer.acquire(one.service, request, one.wait);
-  one.placed = got.id;
-  one.basis = got.basis;
-  one.queued_ms += got.waited.count() / 1000;
-  co_return got;
+  acquired = co_await this->placer.acquire(one.service, request, one.wait);
+  one.attempt_id = acquired.id;
+  one.basis = acquired.basis;
+  one.queued_ms += acquired.waited.count() / 1000;
+  co_return acquired;
 }
 
-bool call_service::goes_on(const service_name& service, const std::vector<prompt_piece>& prompt) {
+bool call_service::continues_program(const service_name& service,
+                                     const std::vector<prompt_piece>& prompt) {
   // The first part is shared by all programs of a kind; the second is specific to the program.
   return prompt.size() > 1 && this->placer.has_prompt_part(service, prompt[1].key);
 }
--- a/libs/front/src/call_settlement.cc
+++ b/libs/front/src/call_settlement.cc
@@ -13,7 +13,7 @@
 
 /// Time limit for recording the tokens that a broken turn has used. Until they are recorded, its
 /// whole reservation counts against the budget.
-constexpr auto settle_patience = std::chrono::seconds(2);
+constexpr auto settle_timeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -24,13 +24,13 @@
   }
   one.status = one.answer.status;
   if (one.turn) {
-    co_await this->settle_broken(one);
+    co_await this->settle_incomplete(one);
   }
   const std::vector<http::header> headers = relay::end_to_end(one.answer.headers);
   co_await one.caller.respond(one.answer.status, headers, one.answer.body);
 }
 
-token_count call_service::tokens_handed_out(const call& one) {
+token_count call_service::tokens_sent(const call& one) {
   const service* pool = one.table->find_service(one.service);
   const std::int64_t each =
       pool != nullptr && pool->engine ? pool->engine->tokens_per_event.get() : 1;
@@ -40,7 +40,7 @@
 asio::awaitable<void> call_service::finish_stream(call& one) {
   if (one.turn) {
     turn_result result;
-    result.used = tokens_handed_out(one);
+    result.used = tokens_sent(one);
     result.whole = true;
     result.input = one.request.body;
     result.output = std::move(one.output);
@@ -60,18 +60,18 @@
   co_await one.caller.finish();
 }
 
-asio::awaitable<void> call_service::settle_broken(call& one) {
+asio::awaitable<void> call_service::settle_incomplete(call& one) {
   if (!one.turn || one.settled) {
     co_return;
   }
   one.settled = true;
-  if (one.runs == 0) {
+  if (one.possible_runs == 0) {
     this->turns.withdraw(*one.turn);
     co_return;
   }
   turn_result result;
-  result.used = tokens_handed_out(one);
-  const net::steady_time until = steady::now() + settle_patience;
+  result.used = tokens_sent(one);
+  const net::steady_time until = steady::now() + settle_timeout;
   co_await this->turns.settle(*one.turn, std::move(result), until);
 }
 
@@ -83,7 +83,7 @@
     one.status = answer_for(why.kind).http_status;
     co_await this->refuse(one.caller, why, one.terms.id.get(), wait);
   }
-  co_await this->settle_broken(one);
+  co_await this->settle_incomplete(one);
 }
 
 void call_service::log_call(const call& one) const {
--- a/libs/front/src/call_state.h
+++ b/libs/front/src/call_state.h
@@ -18,7 +18,7 @@
 
 /// A call that cannot start this long before its deadline will miss it: the fastest calls of both
 /// users' workloads take about this long.
-constexpr duration least_service_time = std::chrono::milliseconds(40);
+constexpr duration min_service_time = std::chrono::milliseconds(40);
 /// Extra time for a stream to end by itself after the call's deadline. The server stops at the
 /// deadline that it was sent.
 constexpr duration timeout_slack = std::chrono::milliseconds(150);
@@ -35,8 +35,8 @@
   return pieces;
 }
 
-/// Hash that chooses the service of a split route and the disk host asked first for a quota; equal
-/// for all calls of a program.
+/// Hash that chooses the service of a split route and the quota manager to ask first; equal for all
+/// calls of a program.
 inline std::uint64_t service_draw(const relay::call_terms& terms) {
   return hash_of(terms.program ? terms.program->get() : terms.id.get());
 }
@@ -61,14 +61,14 @@
   /// Points into `table`; null if the caller's key belongs to no account.
   const account* caller_account = nullptr;
   /// The call's id in the ledger, scoped to the account.
-  request_id turn_name;
+  request_id ledger_turn_id;
   /// The service chosen from the route's services.
   service_name service;
   net::steady_time arrived = std::chrono::steady_clock::now();
   net::steady_time until;
   std::set<backend_server_id> tried;
   /// Number of attempts that a server may have started to run.
-  std::uint32_t runs = 0;
+  std::uint32_t possible_runs = 0;
   int tries = 0;
   relay::try_handle handle;
   placement_wait wait;
@@ -83,7 +83,7 @@
   std::optional<std::uint64_t> last_event;
   std::int64_t events = 0;
   /// Of the current attempt: its placement id, and the number of events relayed before it.
-  placement_id placed;
+  placement_id attempt_id;
   std::int64_t events_before = 0;
   std::string output;
   net::steady_time first_event_at;
--- a/libs/front/src/directory_exchange.cc
+++ b/libs/front/src/directory_exchange.cc
@@ -13,7 +13,7 @@
 
 /// Time limit for a query; the call is then placed without the answer. This is five round trips
 /// to another zone, and a tenth of the one-way latency from a turn's caller.
-constexpr std::chrono::milliseconds ask_limit{10};
+constexpr std::chrono::milliseconds query_timeout{10};
 
 template <class Message>
 std::string bytes_with_speeds(const Message& message) {
@@ -47,7 +47,7 @@
 directory_exchange::directory_exchange(asio::io_context& io, host_id own, directory_hooks with)
     : context(io), self(std::move(own)), hooks(std::move(with)) {}
 
-std::vector<host_id> directory_exchange::keepers() const {
+std::vector<host_id> directory_exchange::directory_hosts() const {
   std::vector<host_id> hosts = this->hooks.hosts();
   hosts.push_back(this->self);
   return hosts;
@@ -60,8 +60,8 @@
   return message;
 }
 
-void directory_exchange::tell(const directory_update& update) {
-  const std::vector<host_id> hosts = this->keepers();
+void directory_exchange::report(const directory_update& update) {
+  const std::vector<host_id> hosts = this->directory_hosts();
   messages all;
   for (const server_load& load : update.loads) {
     this->message_to(all, load.server.get(), hosts).loads.push_back(load);
@@ -72,19 +72,19 @@
   for (const speed_report& speed : update.speeds) {
     this->message_to(all, speed.server.get(), hosts).speeds.push_back(speed);
   }
-  for (const auto& [keeper, message] : all) {
-    this->send(keeper, message, [] {});
+  for (const auto& [directory_host, message] : all) {
+    this->send(directory_host, message, [] {});
   }
 }
 
-void directory_exchange::send(const host_id& keeper, const directory_message& message,
+void directory_exchange::send(const host_id& directory_host, const directory_message& message,
                               std::function<void()> done) {
-  if (keeper == this->self) {
+  if (directory_host == this->self) {
     this->hooks.take(this->answer(message));
     done();
     return;
   }
-  this->hooks.send(keeper, bytes_of(message),
+  this->hooks.send(directory_host, bytes_of(message),
                    [this, done = std::move(done)](net::rpc_failure why, const std::string& bytes) {
                      const bool good = why == net::rpc_failure::none;
                      const auto answer = good ? directory_answer_from(bytes) : std::nullopt;
@@ -95,31 +95,31 @@
                    });
 }
 
-asio::awaitable<void> directory_exchange::ask(directory_request question) {
-  const std::vector<host_id> hosts = this->keepers();
+asio::awaitable<void> directory_exchange::query(directory_request request) {
+  const std::vector<host_id> hosts = this->directory_hosts();
   messages all;
-  for (const server_key& server : question.servers) {
+  for (const server_key& server : request.servers) {
     this->message_to(all, server.get(), hosts).asked_servers.push_back(server);
   }
-  for (const prompt_part_key& part : question.parts) {
+  for (const prompt_part_key& part : request.parts) {
     this->message_to(all, part.get(), hosts).asked_parts.push_back(part);
   }
-  struct open_question {
-    explicit open_question(asio::io_context& io) : answered(io) {}
+  struct open_request {
+    explicit open_request(asio::io_context& io) : answered(io) {}
     net::async_signal answered;
     std::size_t missing = 0;
   };
-  const auto open = std::make_shared<open_question>(this->context);
+  const auto open = std::make_shared<open_request>(this->context);
   open->missing = all.size();
-  for (const auto& [keeper, message] : all) {
-    this->send(keeper, message, [open] {
+  for (const auto& [directory_host, message] : all) {
+    this->send(directory_host, message, [open] {
       if (--open->missing == 0) {
         open->answered.wake();
       }
     });
   }
   if (open->missing > 0) {
-    co_await open->answered.wait_until(std::chrono::steady_clock::now() + ask_limit);
+    co_await open->answered.wait_until(std::chrono::steady_clock::now() + query_timeout);
   }
 }
 
--- a/libs/front/src/ledger_admission.cc
+++ b/libs/front/src/ledger_admission.cc
@@ -13,18 +13,18 @@
 
 namespace {
 
-constexpr duration read_limit = std::chrono::milliseconds(400);
+constexpr duration read_timeout = std::chrono::milliseconds(400);
 /// Time after which a second disk host is also asked for a chain; one that holds a short chain
 /// answers within some 10 ms. The rest are not asked: each would send the whole chain and share
 /// the link with the first one, which may be in the middle of sending a long one.
-constexpr auto chain_patience = std::chrono::milliseconds(25);
+constexpr auto second_read_delay = std::chrono::milliseconds(25);
 /// Wait for the remaining disks after a majority has the reservation: if all answer, no second
 /// round is needed. About the spread of sync times of healthy disks.
 constexpr auto last_disk_wait = std::chrono::milliseconds(4);
 /// Time for which an admission is retried while the set of disks changes. A change that needs no
 /// copying takes less.
-constexpr auto admit_patience = std::chrono::milliseconds(300);
-constexpr auto admit_pause = std::chrono::milliseconds(40);
+constexpr auto admit_retry_time = std::chrono::milliseconds(300);
+constexpr auto admit_retry_interval = std::chrono::milliseconds(40);
 
 }  // namespace
 
@@ -96,7 +96,7 @@
   };
   hooks.stale = [state](const disk_id&) { state->note_stale(); };
   this->ask_each(state->set.all(),
-                 make_question(ledger_method::append, to_bytes(request), append_limit), hooks);
+                 make_request(ledger_method::append, to_bytes(request), append_timeout), hooks);
 }
 
 void ledger_client::send_collects(const std::shared_ptr<admission_state>& state) {
@@ -113,7 +113,7 @@
   };
   hooks.stale = [state](const disk_id&) { state->note_stale(); };
   this->ask_each(state->set.all(),
-                 make_question(ledger_method::collect, to_bytes(request), read_limit), hooks);
+                 make_request(ledger_method::collect, to_bytes(request), read_timeout), hooks);
 }
 
 void ledger_client::send_chain_reads(const std::shared_ptr<admission_state>& state,
@@ -129,9 +129,9 @@
     state->ask_all_for_chain_now();
   };
   hooks.stale = [state](const disk_id&) { state->note_stale(); };
-  question read = make_question(ledger_method::chain, to_bytes(request), read_limit);
-  read.arriving = chain_arrival;
-  read.on_silence = [state] { state->ask_all_for_chain_now(); };
+  disk_request read = make_request(ledger_method::chain, to_bytes(request), read_timeout);
+  read.arrival_time = chain_transfer_time;
+  read.on_no_answer = [state] { state->ask_all_for_chain_now(); };
   state->asked_for_chain.insert(state->asked_for_chain.end(), disks.begin(), disks.end());
   this->ask_each(disks, read, hooks);
 }
@@ -163,7 +163,7 @@
 }
 
 void ledger_client::ask_first_for_chain(const std::shared_ptr<admission_state>& state) {
-  state->second_asked_for_chain_at = steady::now() + chain_patience;
+  state->second_asked_for_chain_at = steady::now() + second_read_delay;
   // Members in the same zone are chosen by the turn's hash, so they share the reads of its hosts.
   if (const auto disk = this->choose_for_chain(*state, true)) {
     this->send_chain_reads(state, {*disk});
@@ -263,7 +263,7 @@
   if (turn.kept && turn.previous) {
     cached = this->cache.history(*turn.previous);
   }
-  const net::steady_time patient_until = std::min(until, steady::now() + admit_patience);
+  const net::steady_time retry_until = std::min(until, steady::now() + admit_retry_time);
   while (true) {
     if (!this->set) {
       result.detail = "no set of disks has been received yet";
@@ -274,19 +274,19 @@
     state->needs_chain = turn.kept && turn.previous && !cached;
     const bool concluded = co_await this->admit_once(state, result);
     // Reservations that this host is still withdrawing may be what exceeds the budget: retry.
-    const bool may_fit = result.kind == admission_kind::over_budget && this->withdraws(turn);
+    const bool may_fit = result.kind == admission_kind::over_budget && this->is_withdrawing(turn);
     if (concluded && result.kind != admission_kind::unavailable && !may_fit) {
       break;
     }
     if (!concluded) {
       result.detail = "the set of disks is changing";
     }
-    if (steady::now() + admit_pause >= patient_until) {
+    if (steady::now() + admit_retry_interval >= retry_until) {
       break;
     }
-    if (this->holds_still(state->set.epoch)) {
+    if (this->is_newest_epoch(state->set.epoch)) {
       net::async_signal pause(this->context);
-      co_await pause.wait_until(steady::now() + admit_pause);
+      co_await pause.wait_until(steady::now() + admit_retry_interval);
     }
   }
   if (result.kind == admission_kind::admitted && cached) {
--- a/libs/front/src/ledger_client.cc
+++ b/libs/front/src/ledger_client.cc
@@ -15,12 +15,12 @@
 /// Time for a direct answer; after it the request is relayed through another front host, which may
 /// still reach the disk host. A healthy disk host answers within some ten milliseconds of
 /// receiving the request, also under load.
-constexpr duration direct_patience = std::chrono::milliseconds(200);
+constexpr duration direct_timeout = std::chrono::milliseconds(200);
 /// Interval between probes of a disk host that is not reached.
-constexpr auto disk_probe_pause = std::chrono::milliseconds(300);
+constexpr auto disk_probe_interval = std::chrono::milliseconds(300);
 
 /// True if the other host gave no answer at all; a refusal is an answer.
-bool is_silence(net::rpc_failure why) {
+bool is_no_answer(net::rpc_failure why) {
   return why == net::rpc_failure::unknown || why == net::rpc_failure::unreachable;
 }
 
@@ -40,20 +40,20 @@
     }
     // A malformed object is reported where the hosts' entries of the same page are read.
     failure ignored;
-    if (const auto told = platform_adapter::ledger_set_from(item.object, ignored)) {
-      this->adopt_ledger_set(*told, "store");
+    if (const auto newer = platform_adapter::ledger_set_from(item.object, ignored)) {
+      this->adopt_ledger_set(*newer, "store");
     }
   }
 }
 
-void ledger_client::adopt_ledger_set(const ledger_set& told, const std::string& source) {
-  if (this->set && told.epoch <= this->set->epoch) {
+void ledger_client::adopt_ledger_set(const ledger_set& newer, const std::string& source) {
+  if (this->set && newer.epoch <= this->set->epoch) {
     return;
   }
-  this->set = told;
-  log(event::ledger_set_changed, {{"epoch", std::to_string(told.epoch.get())},
-                                  {"members", std::to_string(told.members.size())},
-                                  {"joint", told.joint() ? "yes" : "no"},
+  this->set = newer;
+  log(event::ledger_set_changed, {{"epoch", std::to_string(newer.epoch.get())},
+                                  {"members", std::to_string(newer.members.size())},
+                                  {"joint", newer.joint() ? "yes" : "no"},
                                   {"source", source}});
   this->drop_links();
 }
@@ -93,7 +93,7 @@
     return;
   }
   disk_link& known = found->second;
-  if (!is_silence(why)) {
+  if (!is_no_answer(why)) {
     known.answered = true;
   } else if (!known.suspected) {
     known.suspected = true;
@@ -102,75 +102,75 @@
 }
 
 duration ledger_client::time_to_send(std::size_t bytes) const {
-  const auto before_it = static_cast<std::int64_t>(this->bytes_underway + bytes);
-  return duration(std::chrono::seconds(1)) * before_it / cautious_link_rate;
+  const auto before_it = static_cast<std::int64_t>(this->bytes_in_flight + bytes);
+  return duration(std::chrono::seconds(1)) * before_it / assumed_link_rate;
 }
 
-net::rpc_done ledger_client::while_underway(std::size_t bytes, net::rpc_done done) {
-  this->bytes_underway += bytes;
+net::rpc_done ledger_client::count_in_flight(std::size_t bytes, net::rpc_done done) {
+  this->bytes_in_flight += bytes;
   return [this, bytes, done = std::move(done)](net::rpc_failure why, std::string answer) {
-    this->bytes_underway -= bytes;
+    this->bytes_in_flight -= bytes;
     done(why, std::move(answer));
   };
 }
 
-void ledger_client::ask_by_relay(const disk_id& disk, const question& what, duration limit,
+void ledger_client::ask_by_relay(const disk_id& disk, const disk_request& what, duration limit,
                                  net::rpc_done done) {
-  const relayed_request passed_on{disk, static_cast<std::uint16_t>(what.method), *what.payload};
-  this->relay(passed_on, limit, this->while_underway(what.payload->size(), std::move(done)));
+  const relayed_request relayed{disk, static_cast<std::uint16_t>(what.method), *what.payload};
+  this->relay(relayed, limit, this->count_in_flight(what.payload->size(), std::move(done)));
 }
 
-void ledger_client::ask(const disk_id& disk, const question& what, net::rpc_done done) {
+void ledger_client::ask(const disk_id& disk, const disk_request& what, net::rpc_done done) {
   const auto found = this->links.find(disk);
   if (found == this->links.end() || found->second.suspected) {
-    this->ask_by_relay(disk, what, what.limit + what.on_the_way(), std::move(done));
+    this->ask_by_relay(disk, what, what.limit + what.transfer_time(), std::move(done));
     return;
   }
-  const duration direct_limit = std::min(what.limit, direct_patience);
-  const duration rest = what.limit - direct_limit;
-  auto retry = [this, disk, what, rest, done = std::move(done)](net::rpc_failure why,
-                                                                std::string answer) {
+  const duration direct_limit = std::min(what.limit, direct_timeout);
+  const duration remaining = what.limit - direct_limit;
+  auto retry = [this, disk, what, remaining, done = std::move(done)](net::rpc_failure why,
+                                                                     std::string answer) {
     this->note_outcome(disk, why);
-    if (!is_silence(why)) {
+    if (!is_no_answer(why)) {
       done(why, std::move(answer));
       return;
     }
-    if (rest <= duration::zero()) {
+    if (remaining <= duration::zero()) {
       done(why, {});
       return;
     }
-    this->ask_by_relay(disk, what, rest + what.on_the_way(), done);
-    if (what.on_silence) {
-      what.on_silence();
+    this->ask_by_relay(disk, what, remaining + what.transfer_time(), done);
+    if (what.on_no_answer) {
+      what.on_no_answer();
     }
   };
   const std::size_t bytes = what.payload->size();
   found->second.link->call(static_cast<std::uint16_t>(what.method), *what.payload,
-                           direct_limit + what.on_the_way(),
+                           direct_limit + what.transfer_time(),
                            this->traffic.call(traffic_kind::disks, bytes,
-                                              this->while_underway(bytes, std::move(retry))));
+                                              this->count_in_flight(bytes, std::move(retry))));
 }
 
 void ledger_client::serve_relayed(const std::string& payload, const net::rpc_reply& reply) {
-  auto question = from_bytes<relayed_request>(payload);
-  const auto found = question ? this->links.find(question->disk) : this->links.end();
+  auto disk_request = from_bytes<relayed_request>(payload);
+  const auto found = disk_request ? this->links.find(disk_request->disk) : this->links.end();
   // A request is relayed only once: refuse it if this host does not reach the disk host either.
   if (found == this->links.end() || found->second.suspected) {
     reply(std::nullopt);
     return;
   }
-  const std::size_t bytes = question->payload.size();
-  const bool is_chain = static_cast<ledger_method>(question->method) == ledger_method::chain;
-  const duration patience =
-      direct_patience + this->time_to_send(bytes) + (is_chain ? chain_arrival : duration::zero());
-  auto done = [this, disk = question->disk, reply](net::rpc_failure why, std::string answer) {
+  const std::size_t bytes = disk_request->payload.size();
+  const bool is_chain = static_cast<ledger_method>(disk_request->method) == ledger_method::chain;
+  const duration timeout = direct_timeout + this->time_to_send(bytes) +
+                           (is_chain ? chain_transfer_time : duration::zero());
+  auto done = [this, disk = disk_request->disk, reply](net::rpc_failure why, std::string answer) {
     this->note_outcome(disk, why);
     const bool good = why == net::rpc_failure::none;
     reply(good ? std::optional(std::move(answer)) : std::nullopt);
   };
-  found->second.link->call(
-      question->method, std::move(question->payload), patience,
-      this->traffic.call(traffic_kind::disks, bytes, this->while_underway(bytes, std::move(done))));
+  found->second.link->call(disk_request->method, std::move(disk_request->payload), timeout,
+                           this->traffic.call(traffic_kind::disks, bytes,
+                                              this->count_in_flight(bytes, std::move(done))));
 }
 
 void ledger_client::tick() {
@@ -178,13 +178,13 @@
   if (now < this->next_probe) {
     return;
   }
-  this->next_probe = now + disk_probe_pause;
-  const duration patience = direct_patience + this->time_to_send(0);
+  this->next_probe = now + disk_probe_interval;
+  const duration timeout = direct_timeout + this->time_to_send(0);
   for (auto& [disk, known] : this->links) {
     if (known.reached()) {
       continue;
     }
-    known.link->call(static_cast<std::uint16_t>(ledger_method::probe), "", patience,
+    known.link->call(static_cast<std::uint16_t>(ledger_method::probe), "", timeout,
                      [this, disk = disk](net::rpc_failure why, const std::string& bytes) {
                        const auto answer = from_bytes<probe_response>(bytes);
                        const auto found = this->links.find(disk);
@@ -229,12 +229,12 @@
 
 void ledger_client::ask_disk(const disk_id& disk, ledger_method method, std::string payload,
                              duration limit, net::rpc_done done) {
-  question what = make_question(method, std::move(payload), limit);
-  what.sending = this->time_to_send(what.payload->size());
+  disk_request what = make_request(method, std::move(payload), limit);
+  what.send_time = this->time_to_send(what.payload->size());
   this->ask(disk, what, std::move(done));
 }
 
-bool ledger_client::holds_still(set_epoch asked) const {
+bool ledger_client::is_newest_epoch(set_epoch asked) const {
   return this->set && this->set->epoch == asked;
 }
 
@@ -244,11 +244,11 @@
   }
 }
 
-ledger_client::question ledger_client::make_question(ledger_method method, std::string payload,
-                                                     duration limit) {
+ledger_client::disk_request ledger_client::make_request(ledger_method method, std::string payload,
+                                                        duration limit) {
   // The encoder may have reserved up to twice the size.
   payload.shrink_to_fit();
-  question made;
+  disk_request made;
   made.method = method;
   made.payload = std::make_shared<const std::string>(std::move(payload));
   made.limit = limit;
--- a/libs/front/src/ledger_rounds.h
+++ b/libs/front/src/ledger_rounds.h
@@ -9,15 +9,15 @@
 
 /// Time limit for an append, without its transfer. An append waits for a sync of 2 to 5 ms and for
 /// earlier ones; a disk host that takes longer than this is faulty.
-inline constexpr duration append_limit = std::chrono::milliseconds(500);
+inline constexpr duration append_timeout = std::chrono::milliseconds(500);
 /// Assumed bytes per second for sending a host's own requests: half of what a link of 30 Mbit/s
 /// carries, since callers and backend servers share it.
-inline constexpr std::int64_t cautious_link_rate = 2'000'000;
+inline constexpr std::int64_t assumed_link_rate = 2'000'000;
 /// Time for a chain to arrive. Its size is unknown, so this assumes the largest payload. A disk
 /// host that does not answer is detected by the reservation that is sent at the same time.
-inline constexpr duration chain_arrival = duration(std::chrono::seconds(1)) *
-                                          static_cast<std::int64_t>(net::largest_payload) /
-                                          cautious_link_rate;
+inline constexpr duration chain_transfer_time = duration(std::chrono::seconds(1)) *
+                                                static_cast<std::int64_t>(net::largest_payload) /
+                                                assumed_link_rate;
 
 /// Builds the ledger record of a turn in the given phase.
 ledger_record record_of(const turn_request& turn, reservation_phase phase, token_count used);
@@ -37,9 +37,9 @@
 };
 
 template <class Answer>
-void ledger_client::ask_each(const std::vector<disk_id>& disks, question what,
+void ledger_client::ask_each(const std::vector<disk_id>& disks, disk_request what,
                              const round_hooks<Answer>& hooks) {
-  what.sending = this->time_to_send(what.payload->size() * disks.size());
+  what.send_time = this->time_to_send(what.payload->size() * disks.size());
   for (const disk_id& disk : disks) {
     this->ask(disk, what, [this, disk, hooks](net::rpc_failure why, const std::string& bytes) {
       const bool good = why == net::rpc_failure::none;
--- a/libs/front/src/ledger_settlement.cc
+++ b/libs/front/src/ledger_settlement.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr auto settle_pause = std::chrono::milliseconds(50);
+constexpr auto settle_retry_interval = std::chrono::milliseconds(50);
 /// Time for which a withdrawal is retried while disk hosts are down: about a restart plus a change
 /// of the set of disks.
-constexpr auto withdraw_patience = std::chrono::seconds(6);
+constexpr auto withdraw_timeout = std::chrono::seconds(6);
 /// Extra retention, since the clocks of hosts may differ or step.
 constexpr duration retention_margin = std::chrono::seconds(15);
 
@@ -43,13 +43,13 @@
 /// One settlement at one set, with all its attempts. Shared with the answer callbacks, which may
 /// run after it is over.
 struct ledger_client::settle_state {
-  settle_state(asio::io_context& context, const ledger_set& at, question request)
+  settle_state(asio::io_context& context, const ledger_set& at, disk_request request)
       : round(at), append(std::move(request)), signal(context) {}
 
   /// Answers to earlier attempts count too: the record is the same, and the disk stored it before
   /// it refused this set. A disk whose answer is pending is not asked again.
   disk_round round;
-  question append;
+  disk_request append;
   net::async_signal signal;
   /// A disk has refused this set since the last attempt.
   bool stale = false;
@@ -58,7 +58,7 @@
     this->round.failed(disk);
     this->signal.wake();
   }
-  [[nodiscard]] bool over() const {
+  [[nodiscard]] bool is_over() const {
     return this->round.majority() || this->stale || this->round.cannot_succeed();
   }
 };
@@ -68,7 +68,7 @@
   request.epoch = this->set->epoch;
   return std::make_shared<settle_state>(
       this->context, *this->set,
-      make_question(ledger_method::append, to_bytes(request), append_limit));
+      make_request(ledger_method::append, to_bytes(request), append_timeout));
 }
 
 void ledger_client::send_settlement(const std::shared_ptr<settle_state>& state,
@@ -87,16 +87,16 @@
   this->ask_each(disks, state->append, hooks);
 }
 
-asio::awaitable<bool> ledger_client::keep_record(append_request& request, net::steady_time until) {
+asio::awaitable<bool> ledger_client::store_record(append_request& request, net::steady_time until) {
   std::shared_ptr<settle_state> state;
   while (this->set) {
-    if (!state || !this->holds_still(state->round.of().epoch)) {
+    if (!state || !this->is_newest_epoch(state->round.of().epoch)) {
       state = this->begin_settlement(request);
       this->send_settlement(state, state->round.of().all());
     } else {
       this->send_settlement(state, state->round.retry());
     }
-    while (!state->over() && steady::now() < until) {
+    while (!state->is_over() && steady::now() < until) {
       co_await state->signal.wait_until(until);
     }
     if (state->round.majority()) {
@@ -105,9 +105,9 @@
     if (steady::now() >= until) {
       co_return false;
     }
-    if (this->holds_still(state->round.of().epoch)) {
+    if (this->is_newest_epoch(state->round.of().epoch)) {
       net::async_signal pause(this->context);
-      co_await pause.wait_until(steady::now() + settle_pause);
+      co_await pause.wait_until(steady::now() + settle_retry_interval);
     }
   }
   co_return false;
@@ -121,7 +121,7 @@
     request.record.turn =
         stored_turn{turn.id, turn.previous, std::move(result.input), std::move(result.output)};
   }
-  const bool kept = co_await this->keep_record(request, until);
+  const bool kept = co_await this->store_record(request, until);
   if (kept && request.record.turn) {
     this->cache.add(*request.record.turn);
   }
@@ -136,20 +136,20 @@
   request.record = record_of(turn, reservation_phase::withdrawn, token_count(0));
   // Until a majority has stored the withdrawal, the reservation counts in full. The program could
   // be refused as over budget although it is not.
-  asio::co_spawn(this->context, this->keep_withdrawal(std::move(request)), asio::detached);
+  asio::co_spawn(this->context, this->store_withdrawal(std::move(request)), asio::detached);
 }
 
-asio::awaitable<void> ledger_client::keep_withdrawal(append_request request) {
+asio::awaitable<void> ledger_client::store_withdrawal(append_request request) {
   const program_id program = request.record.program;
   ++this->withdrawals[program];
-  co_await this->keep_record(request, steady::now() + withdraw_patience);
+  co_await this->store_record(request, steady::now() + withdraw_timeout);
   const auto pending = this->withdrawals.find(program);
   if (--pending->second == 0) {
     this->withdrawals.erase(pending);
   }
 }
 
-bool ledger_client::withdraws(const turn_request& turn) const {
+bool ledger_client::is_withdrawing(const turn_request& turn) const {
   return this->withdrawals.contains(turn.program);
 }
 
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -18,7 +18,7 @@
 
 /// Time limit for a directory host's answer; the call is then placed without it. This is five
 /// round trips to another zone.
-constexpr std::chrono::milliseconds answer_limit{10};
+constexpr std::chrono::milliseconds answer_timeout{10};
 
 }  // namespace
 
@@ -49,7 +49,7 @@
   bool left = false;
 };
 
-void place_wait::leave() {
+void place_wait::cancel() {
   this->left = true;
   if (const auto item = this->open.lock()) {
     item->left = true;
@@ -69,10 +69,10 @@
     this->queue.hosts_changed(discovery::scheduler_now());
   }
   this->queue.sweep(discovery::scheduler_now());
-  this->tell_grants();
+  this->send_grants();
 }
 
-host_id place_exchange::keeper_of_server(server_key server) const {
+host_id place_exchange::directory_host_of(server_key server) const {
   std::vector<host_id> hosts = this->hooks.hosts();
   hosts.push_back(this->self);
   return directory_host_for(server.get(), hosts).value_or(this->self);
@@ -108,8 +108,8 @@
     const auto sent = steady::now();
     this->send_claims(item);
     while (!is_over() && item->count(open_claim::claim_state::asked) > 0 &&
-           steady::now() < sent + answer_limit) {
-      co_await item->changed.wait_until(sent + answer_limit);
+           steady::now() < sent + answer_timeout) {
+      co_await item->changed.wait_until(sent + answer_timeout);
     }
     for (auto& target : item->targets) {
       target.state = target.state == open_claim::claim_state::asked
@@ -167,8 +167,8 @@
     }
     // A directory host that is briefly busy still holds the claim: a waiting claim goes back to
     // `asked` only if the previous repeat was not answered.
-    const bool keeps = target.state == open_claim::claim_state::waiting && target.answered;
-    target.state = keeps ? open_claim::claim_state::waiting : open_claim::claim_state::asked;
+    const bool still_waits = target.state == open_claim::claim_state::waiting && target.answered;
+    target.state = still_waits ? open_claim::claim_state::waiting : open_claim::claim_state::asked;
     target.answered = false;
     place_claim claim;
     claim.from = {this->self, item->request.id.get()};
@@ -180,26 +180,26 @@
     claim.account = item->request.account;
     claim.wanted_in = std::chrono::duration_cast<duration>(item->request.wanted_by - now);
     claim.given_up_in = std::chrono::duration_cast<duration>(item->request.give_up_at - now);
-    const host_id keeper = this->keeper_of_server(claim.server);
-    if (keeper == this->self) {
-      this->take_answer(item, number, this->queue.claim(claim, now));
-      this->tell_grants();
+    const host_id directory_host = this->directory_host_of(claim.server);
+    if (directory_host == this->self) {
+      this->apply_response(item, number, this->queue.claim(claim, now));
+      this->send_grants();
       continue;
     }
-    this->hooks.send(keeper, gossip_method::claim, to_bytes(claim),
+    this->hooks.send(directory_host, gossip_method::claim, to_bytes(claim),
                      [this, item, number](net::rpc_failure why, const std::string& bytes) {
                        const bool good = why == net::rpc_failure::none;
                        const auto answer = good ? from_bytes<claim_response>(bytes) : std::nullopt;
                        if (answer) {
-                         this->take_answer(item, number, *answer);
+                         this->apply_response(item, number, *answer);
                        } else {
-                         lose_answer(*item, number);
+                         handle_missing_answer(*item, number);
                        }
                      });
   }
 }
 
-void place_exchange::lose_answer(open_claim& item, std::size_t number) {
+void place_exchange::handle_missing_answer(open_claim& item, std::size_t number) {
   auto& target = item.targets[number];
   target.answered = false;
   if (target.state == open_claim::claim_state::asked) {
@@ -208,15 +208,15 @@
   item.changed.wake();
 }
 
-void place_exchange::take_answer(const open_claim_ptr& item, std::size_t number,
-                                 const claim_response& answer) {
+void place_exchange::apply_response(const open_claim_ptr& item, std::size_t number,
+                                    const claim_response& answer) {
   auto& target = item->targets[number];
   target.wait = answer.wait;
   target.ahead = answer.ahead;
   target.answered = true;
   switch (answer.outcome) {
     case claim_outcome::granted:
-      this->take_grant({{this->self, item->request.id.get()}, target.target.key});
+      this->accept_grant({{this->self, item->request.id.get()}, target.target.key});
       target.state = open_claim::claim_state::waiting;
       break;
     case claim_outcome::waiting:
@@ -247,55 +247,55 @@
   }
 }
 
-void place_exchange::give_back(placement_id call, server_key server) {
+void place_exchange::return_place(placement_id call, server_key server) {
   this->send_withdrawal({{this->self, call.get()}, server});
 }
 
 void place_exchange::send_withdrawal(const place_grant& withdrawn) {
-  const host_id keeper = this->keeper_of_server(withdrawn.server);
-  if (keeper == this->self) {
+  const host_id directory_host = this->directory_host_of(withdrawn.server);
+  if (directory_host == this->self) {
     this->queue.withdraw(withdrawn.to, withdrawn.server, discovery::scheduler_now());
-    this->tell_grants();
+    this->send_grants();
     return;
   }
-  this->hooks.send(keeper, gossip_method::withdraw, to_bytes(withdrawn),
+  this->hooks.send(directory_host, gossip_method::withdraw, to_bytes(withdrawn),
                    [](net::rpc_failure, const std::string&) {});
 }
 
 void place_exchange::count_changed(const host_id& host, const server_load& load,
                                    std::uint32_t before) {
   this->queue.count_changed(host, load, before, discovery::scheduler_now());
-  this->tell_grants();
+  this->send_grants();
 }
 
 std::uint32_t place_exchange::waiting(server_key server) const {
   return static_cast<std::uint32_t>(this->queue.waiting(server));
 }
 
-void place_exchange::tell_grants() {
+void place_exchange::send_grants() {
   // A grant to a call of this host, or an unwanted one, can trigger the next grant recursively.
-  if (this->telling) {
+  if (this->sending_grants) {
     return;
   }
-  this->telling = true;
+  this->sending_grants = true;
   std::vector<place_grant> grants = this->queue.take_grants();
   while (!grants.empty()) {
     for (const place_grant& grant : grants) {
-      this->tell_grant(grant);
+      this->send_grant(grant);
     }
     grants = this->queue.take_grants();
   }
-  this->telling = false;
+  this->sending_grants = false;
 }
 
-void place_exchange::tell_grant(const place_grant& grant) {
+void place_exchange::send_grant(const place_grant& grant) {
   const auto unwanted = [this, grant] {
     this->metrics.count("grants_unwanted");
     this->queue.withdraw(grant.to, grant.server, discovery::scheduler_now());
-    this->tell_grants();
+    this->send_grants();
   };
   if (grant.to.host == this->self) {
-    if (!this->take_grant(grant)) {
+    if (!this->accept_grant(grant)) {
       unwanted();
     }
     return;
@@ -311,7 +311,7 @@
                    });
 }
 
-bool place_exchange::take_grant(const place_grant& grant) {
+bool place_exchange::accept_grant(const place_grant& grant) {
   const auto found = this->open.find(placement_id(grant.to.call));
   if (found == this->open.end() || found->second->left) {
     return false;
@@ -357,7 +357,7 @@
       return std::nullopt;
     }
     const claim_response answer = this->queue.claim(*claim, now);
-    this->tell_grants();
+    this->send_grants();
     return to_bytes(answer);
   }
   const auto grant = from_bytes<place_grant>(payload);
@@ -365,10 +365,10 @@
     return std::nullopt;
   }
   if (method == gossip_method::grant) {
-    return to_bytes(grant_answer{grant->to.host == this->self && this->take_grant(*grant)});
+    return to_bytes(grant_answer{grant->to.host == this->self && this->accept_grant(*grant)});
   }
   this->queue.withdraw(grant->to, grant->server, now);
-  this->tell_grants();
+  this->send_grants();
   return std::string();
 }
 
--- a/libs/front/src/quota_client.cc
+++ b/libs/front/src/quota_client.cc
@@ -14,23 +14,23 @@
 
 namespace {
 
-/// Delay after which the next keeper is asked too. A healthy keeper answers within a few
+/// Delay after which the next manager is asked too. A healthy manager answers within a few
 /// milliseconds.
-constexpr auto patience = std::chrono::milliseconds(40);
-/// Time limit for the answer of one keeper, also if relayed through another front host.
-constexpr duration answer_limit = std::chrono::milliseconds(250);
+constexpr auto next_manager_delay = std::chrono::milliseconds(40);
+/// Time limit for the answer of one manager, also if relayed through another front host.
+constexpr duration answer_timeout = std::chrono::milliseconds(250);
 /// Time limit for the decision. After it the caller should rather try another host.
-constexpr auto longest_wait = std::chrono::milliseconds(400);
-/// Pause before the keepers are asked again if none could decide.
-constexpr auto pause_between_rounds = std::chrono::milliseconds(40);
+constexpr auto decision_timeout = std::chrono::milliseconds(400);
+/// Pause before the managers are asked again if none could decide.
+constexpr auto round_interval = std::chrono::milliseconds(40);
 
 }  // namespace
 
 /// Shared with the answer callbacks, which may run after the call has continued.
-struct quota_client::asking {
-  asking(asio::io_context& context, std::vector<disk_id> asked, std::string question)
+struct quota_client::round_state {
+  round_state(asio::io_context& context, std::vector<disk_id> asked, std::string request)
       : keepers(std::move(asked)),
-        payload(std::move(question)),
+        payload(std::move(request)),
         round(keepers.size()),
         signal(context) {}
 
@@ -40,32 +40,32 @@
   net::async_signal signal;
 };
 
-std::vector<disk_id> quota_client::order_of(std::uint64_t spread) const {
-  struct ranked_keeper {
+std::vector<disk_id> quota_client::ordered_managers(std::uint64_t program_hash) const {
+  struct ranked_manager {
     bool silent = false;
     std::uint64_t weight = 0;
-    disk_id keeper;
-    auto operator<=>(const ranked_keeper&) const = default;
+    disk_id manager;
+    auto operator<=>(const ranked_manager&) const = default;
   };
   std::vector<disk_id> keepers = this->hooks.keepers();
-  std::vector<ranked_keeper> ranked;
+  std::vector<ranked_manager> ranked;
   ranked.reserve(keepers.size());
-  for (disk_id& keeper : keepers) {
-    const bool silent = !this->hooks.reaches(keeper);
-    const std::uint64_t weight = rendezvous_weight(keeper.get(), spread);
-    ranked.push_back({silent, weight, std::move(keeper)});
+  for (disk_id& manager : keepers) {
+    const bool silent = !this->hooks.reaches(manager);
+    const std::uint64_t weight = rendezvous_weight(manager.get(), program_hash);
+    ranked.push_back({silent, weight, std::move(manager)});
   }
   std::sort(ranked.begin(), ranked.end());
   std::vector<disk_id> order;
   order.reserve(ranked.size());
-  for (ranked_keeper& item : ranked) {
-    order.push_back(std::move(item.keeper));
+  for (ranked_manager& item : ranked) {
+    order.push_back(std::move(item.manager));
   }
   return order;
 }
 
-void quota_client::ask(const std::shared_ptr<asking>& state, std::size_t keeper) {
-  this->hooks.ask(state->keepers[keeper], state->payload, answer_limit,
+void quota_client::ask(const std::shared_ptr<round_state>& state, std::size_t manager) {
+  this->hooks.ask(state->keepers[manager], state->payload, answer_timeout,
                   [state](net::rpc_failure why, const std::string& bytes) {
                     const bool good = why == net::rpc_failure::none;
                     const auto answer = good ? from_bytes<quota_response>(bytes) : std::nullopt;
@@ -78,43 +78,44 @@
                   });
 }
 
-asio::awaitable<quota_admission> quota_client::admit(quota_request question, std::uint64_t spread,
+asio::awaitable<quota_admission> quota_client::admit(quota_request request,
+                                                     std::uint64_t program_hash,
                                                      net::steady_time until) {
-  std::string payload = to_bytes(question);
-  if (question.program) {
-    payload += to_bytes(question.program);
+  std::string payload = to_bytes(request);
+  if (request.program) {
+    payload += to_bytes(request.program);
   }
-  const net::steady_time give_up_at = std::min(until, steady::now() + longest_wait);
-  quota_admission result = co_await this->ask_round(payload, spread, give_up_at);
+  const net::steady_time give_up_at = std::min(until, steady::now() + decision_timeout);
+  quota_admission result = co_await this->ask_round(payload, program_hash, give_up_at);
   while (result.decision == quota_decision::unknown &&
-         steady::now() + pause_between_rounds < give_up_at) {
+         steady::now() + round_interval < give_up_at) {
     net::async_signal pause(this->context);
-    co_await pause.wait_until(steady::now() + pause_between_rounds);
-    result = co_await this->ask_round(payload, spread, give_up_at);
+    co_await pause.wait_until(steady::now() + round_interval);
+    result = co_await this->ask_round(payload, program_hash, give_up_at);
   }
   co_return result;
 }
 
 asio::awaitable<quota_admission> quota_client::ask_round(const std::string& payload,
-                                                         std::uint64_t spread,
+                                                         std::uint64_t program_hash,
                                                          net::steady_time give_up_at) {
-  const std::vector<disk_id> keepers = this->order_of(spread);
-  const auto state = std::make_shared<asking>(this->context, keepers, payload);
-  net::steady_time ask_next_at = steady::now();
+  const std::vector<disk_id> keepers = this->ordered_managers(program_hash);
+  const auto state = std::make_shared<round_state>(this->context, keepers, payload);
+  net::steady_time next_request_at = steady::now();
   while (state->round.decision() == quota_decision::undecided) {
     const net::steady_time now = steady::now();
     if (now >= give_up_at) {
       break;
     }
-    if (now >= ask_next_at || !state->round.waits()) {
+    if (now >= next_request_at || !state->round.waits()) {
       const auto next = state->round.ask_next();
-      ask_next_at = next ? now + patience : net::never;
+      next_request_at = next ? now + next_manager_delay : net::never;
       if (next) {
         this->ask(state, *next);
         continue;
       }
     }
-    co_await state->signal.wait_until(std::min(ask_next_at, give_up_at));
+    co_await state->signal.wait_until(std::min(next_request_at, give_up_at));
   }
   quota_admission result;
   result.decision = state->round.final_decision();
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -31,7 +31,7 @@
   return entry;
 }
 
-placement_request turn_request() {
+placement_request make_request() {
   placement_request request;
   request.affinity = 7;
   for (std::uint64_t key = 1; key <= 20; ++key) {
@@ -42,7 +42,7 @@
 }
 
 /// One other host, named so that it is the server's directory host.
-std::vector<host_id> others_that_keep(server_key server) {
+std::vector<host_id> host_that_stores(server_key server) {
   for (int number = 0;; ++number) {
     host_id name("other-" + std::to_string(number));
     if (directory_host_for(server.get(), {host_id("own"), name}) == name) {
@@ -76,18 +76,18 @@
   placer.set_directory_exchange(exchange);
 
   placement_wait wait;
-  acquired_server got;
+  acquired_server acquired;
   const auto acquire = [&]() -> boost::asio::awaitable<void> {
-    got = co_await placer.acquire(service_name("models"), turn_request(), wait);
+    acquired = co_await placer.acquire(service_name("models"), make_request(), wait);
   };
   boost::asio::co_spawn(context, acquire(), boost::asio::detached);
-  boost::asio::steady_timer leaves(context, std::chrono::milliseconds(2));
-  leaves.async_wait([&wait](const boost::system::error_code&) { wait.leave(); });
+  boost::asio::steady_timer disconnects(context, std::chrono::milliseconds(2));
+  disconnects.async_wait([&wait](const boost::system::error_code&) { wait.cancel(); });
   context.run();
 
   CHECK_FALSE(unanswered.empty());
-  CHECK(got.caller_left);
-  CHECK_FALSE(got.server);
+  CHECK(acquired.caller_left);
+  CHECK_FALSE(acquired.server);
 }
 
 TEST_CASE("only a call for a full server claims a place, and only if claims are enabled") {
@@ -117,7 +117,7 @@
     std::vector<gossip_method> sent;
     place_hooks hooks;
     const server_key key = server_key_of(backend_server_id("s1"));
-    hooks.hosts = [key] { return others_that_keep(key); };
+    hooks.hosts = [key] { return host_that_stores(key); };
     hooks.send = [&sent](const host_id&, gossip_method method, const std::string&,
                          const net::rpc_done& done) {
       sent.push_back(method);
@@ -127,14 +127,14 @@
     place_exchange places(context, host_id("own"), counts, host.metrics, hooks);
     placer.set_place_exchange(places);
 
-    placement_request request = turn_request();
+    placement_request request = make_request();
     request.prompt.resize(item.has_prompt ? request.prompt.size() : 0);
     placement_wait wait;
-    acquired_server got;
+    acquired_server acquired;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
-      got = co_await placer.acquire(service_name("models"), request, wait);
+      acquired = co_await placer.acquire(service_name("models"), request, wait);
     };
-    REQUIRE(placer.lists_servers(service_name("models")));
+    REQUIRE(placer.has_listed_servers(service_name("models")));
     directory_response loads;
     loads.loads.push_back({key, item.calls});
     placer.apply_directory_response(loads);
@@ -143,9 +143,9 @@
 
     CHECK(sent == std::vector<gossip_method>(item.claims, gossip_method::claim));
     // A refused claim ends the call at once, with the time after which to retry.
-    CHECK(got.server.has_value() == (item.claims == 0));
-    CHECK(got.retry_in == std::chrono::seconds(item.claims == 0 ? 0 : 7));
-    CHECK(got.waited < std::chrono::milliseconds(100));
+    CHECK(acquired.server.has_value() == (item.claims == 0));
+    CHECK(acquired.retry_in == std::chrono::seconds(item.claims == 0 ? 0 : 7));
+    CHECK(acquired.waited < std::chrono::milliseconds(100));
   }
 }
 
@@ -154,7 +154,7 @@
     const char* what;
     bool learns_speed;
     int calls_before;
-    bool told;
+    bool reported;
   };
   // The server has four places.
   const row rows[] = {
@@ -171,18 +171,19 @@
     call_placer& placer = host.placer;
     std::vector<net::rpc_done> unanswered;
     // The server's directory host is the silent host or this one, depending on the hash.
-    std::size_t told = 0;
+    std::size_t reported = 0;
     directory_hooks hooks = silent_host(unanswered);
-    hooks.take = [&told](const directory_response& answer) { told += answer.loads.size(); };
+    hooks.take = [&reported](const directory_response& answer) { reported += answer.loads.size(); };
     directory_exchange exchange(context, host_id("own"), hooks);
     placer.set_directory_exchange(exchange);
 
     placement_wait wait;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
-      placement_request request = turn_request();
+      placement_request request = make_request();
       request.prompt.clear();
-      const acquired_server got = co_await placer.acquire(service_name("models"), request, wait);
-      CHECK(got.server.has_value());
+      const acquired_server acquired =
+          co_await placer.acquire(service_name("models"), request, wait);
+      CHECK(acquired.server.has_value());
     };
     const auto call = [&] {
       boost::asio::co_spawn(context, acquire(), boost::asio::detached);
@@ -192,11 +193,11 @@
     for (int number = 0; number < item.calls_before; ++number) {
       call();
     }
-    constexpr int looks = 20;
-    for (int number = 0; number < looks; ++number) {
+    constexpr int repeats = 20;
+    for (int number = 0; number < repeats; ++number) {
       placer.apply_demand({});
     }
     call();
-    CHECK((unanswered.size() + told > 0) == item.told);
+    CHECK((unanswered.size() + reported > 0) == item.reported);
   }
 }
--- a/libs/front/test/directory_exchange_test.cc
+++ b/libs/front/test/directory_exchange_test.cc
@@ -25,15 +25,15 @@
     }
   }
 
-  void tell(int host, const directory_update& update) {
-    this->members.at(this->names[host])->tell(update);
+  void report(int host, const directory_update& update) {
+    this->members.at(this->names[host])->report(update);
   }
 
   /// All answers that `host` got.
-  directory_response ask(int host, const directory_request& question) {
+  directory_response query(int host, const directory_request& request) {
     const host_id name = this->names[host];
     this->taken[name] = {};
-    boost::asio::co_spawn(this->context, this->members.at(name)->ask(question),
+    boost::asio::co_spawn(this->context, this->members.at(name)->query(request),
                           boost::asio::detached);
     this->context.run();
     this->context.restart();
@@ -91,8 +91,8 @@
   INFO(hosts << " hosts");
   exchange_network network(hosts);
   const part_location location{line, server, token_count(900)};
-  network.tell(0, {{{server, 5}}, {location}, {}});
-  const directory_response answer = network.ask(hosts - 1, {{server}, {line}});
+  network.report(0, {{{server, 5}}, {location}, {}});
+  const directory_response answer = network.query(hosts - 1, {{server}, {line}});
   REQUIRE(answer.loads.size() == 1);
   // A host's own calls are not in its answer.
   CHECK(answer.loads.front() == server_load{server, hosts == 1 ? 0U : 5U});
@@ -104,16 +104,16 @@
   exchange_network network(3);
   const backend_server_id id("s1");
   const server_key former = server_key_of(id, incarnation(100));
-  network.tell(0, {{{former, 5}}, {}, {}});
+  network.report(0, {{{former, 5}}, {}, {}});
   const server_key restarted = server_key_of(id, incarnation(200));
-  const directory_response answer = network.ask(2, {{restarted}, {}});
+  const directory_response answer = network.query(2, {{restarted}, {}});
   REQUIRE(answer.loads.size() == 1);
   CHECK(answer.loads.front() == server_load{restarted, 0});
 }
 
 TEST_CASE("a prompt part without a reported location is missing from the answer") {
   exchange_network network(3);
-  CHECK(network.ask(1, {{}, {line}}).locations.empty());
+  CHECK(network.query(1, {{}, {line}}).locations.empty());
 }
 
 TEST_CASE("a directory host that does not answer delays a placement only briefly") {
@@ -124,7 +124,7 @@
     all.parts.emplace_back(key * 7919);
   }
   const auto began = std::chrono::steady_clock::now();
-  network.ask(0, all);
+  network.query(0, all);
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(500));
 }
 
@@ -137,9 +137,9 @@
 TEST_CASE("an answer with loads includes the speeds that other hosts reported") {
   exchange_network network(3);
   const speed_report speed{server, {700, 80, 0, 0}};
-  network.tell(0, {{{server, 5}}, {}, {speed}});
-  CHECK(network.ask(0, {{server}, {}}).speeds.empty());
-  const directory_response answer = network.ask(2, {{server}, {}});
+  network.report(0, {{{server, 5}}, {}, {speed}});
+  CHECK(network.query(0, {{server}, {}}).speeds.empty());
+  const directory_response answer = network.query(2, {{server}, {}});
   REQUIRE(answer.speeds.size() == 1);
   CHECK(answer.speeds.front().server == server);
   CHECK(answer.speeds.front().word.slow == 700);
--- a/libs/front/test/ledger_traffic_test.cc
+++ b/libs/front/test/ledger_traffic_test.cc
@@ -10,19 +10,19 @@
 
 TEST_CASE("disks that refuse a set before they know the next one are retried with pauses") {
   // Members learn of a new set some 0.3 s after they start to refuse the previous one.
-  constexpr int most_appends = 10;
+  constexpr int max_appends = 10;
   SECTION("a turn is admitted once the set is known") {
-    stub_disks disks(late_with_the_news(200ms));
+    stub_disks disks(reports_new_set_after(200ms));
     const turn_admission admission = disks.front.admit(kept_turn_request("t1"), 3s);
     CHECK(admission.kind == admission_kind::admitted);
     CHECK(disks.appends.size() == disk_names.size());
-    CHECK(disks.most_appends() < most_appends);
+    CHECK(disks.max_appends() < max_appends);
   }
   SECTION("a turn is stored once the set is known") {
-    stub_disks disks(late_with_the_news(300ms));
+    stub_disks disks(reports_new_set_after(300ms));
     CHECK(disks.front.settle(kept_turn_request("t1"), whole_result(2600), 3s));
     CHECK(disks.appends.size() == disk_names.size());
-    CHECK(disks.most_appends() < most_appends);
+    CHECK(disks.max_appends() < max_appends);
   }
 }
 
@@ -37,7 +37,7 @@
     // The turn is stored at a majority; the other disks follow.
     disks.front.run_for(200ms);
     CHECK(disks.appends.size() == disk_names.size());
-    CHECK(disks.most_appends() == 1);
+    CHECK(disks.max_appends() == 1);
     CHECK(disks.front.ledger.reached() == disk_names.size());
     CHECK(disks.link.carried_up() < (size + 2 * kilobyte) * disk_names.size());
   }
@@ -55,15 +55,15 @@
   CHECK(admission.kind == admission_kind::admitted);
   disks.front.run_for(200ms);
   // One append per turn.
-  CHECK(disks.most_appends() == 2);
+  CHECK(disks.max_appends() == 2);
   CHECK(disks.front.ledger.reached() == disk_names.size());
 }
 
 TEST_CASE("a disk is not sent a turn again while its answer to the first send is pending") {
   // Three disks refuse, so that there is no majority; the other two never answer.
-  class two_slow_disks {
+  class refusing_disks {
   public:
-    two_slow_disks() {
+    refusing_disks() {
       this->servers.reserve(disk_names.size());
       this->places.reserve(disk_names.size());
       for (std::size_t at = 0; at < disk_names.size(); ++at) {
@@ -80,12 +80,12 @@
       this->front.list_disks(this->places);
     }
 
-    front_side front;
+    ledger_host front;
     std::vector<std::unique_ptr<net::rpc_server>> servers;
     std::vector<http::endpoint> places;
     std::map<std::size_t, int> asked;
   };
-  two_slow_disks disks;
+  refusing_disks disks;
   CHECK_FALSE(disks.front.settle(kept_turn_request("t1"), whole_result(2600), 180ms));
   CHECK(disks.asked[0] > 2);
   CHECK(disks.asked[3] == 1);
@@ -96,13 +96,13 @@
   // Listening sockets that are never read. One body in the record, one encoded for all disks, one
   // in each link's queue, and part of one for the rest.
   constexpr std::size_t body = 4000 * kilobyte;
-  constexpr std::size_t most_bodies = 8;
+  constexpr std::size_t max_bodies = 8;
   constexpr int small_kernel_buffer = 65536;
-  front_side front;
-  std::vector<tcp::acceptor> mute;
+  ledger_host front;
+  std::vector<tcp::acceptor> silent;
   std::vector<http::endpoint> places;
   for (std::size_t at = 0; at < disk_names.size(); ++at) {
-    tcp::acceptor& one = mute.emplace_back(front.context, tcp::v4());
+    tcp::acceptor& one = silent.emplace_back(front.context, tcp::v4());
     one.set_option(asio::socket_base::receive_buffer_size(small_kernel_buffer));
     one.bind({asio::ip::make_address(any_port.address), 0});
     one.listen();
@@ -120,7 +120,7 @@
   INFO("held " << held << " bytes");
   // Otherwise the measurement missed the turn.
   CHECK(held > body);
-  CHECK(held < most_bodies * body);
+  CHECK(held < max_bodies * body);
 }
 
 TEST_CASE("a host counts the disks of the set that have answered it as reached") {
@@ -128,7 +128,7 @@
   ledger_client& ledger = disks.front.ledger;
   SECTION("a host that has just started has reached none") { CHECK(ledger.reached() == 0); }
   SECTION("an idle host finds out by probes") {
-    disks.mute = {disk_id("b")};
+    disks.silent = {disk_id("b")};
     ledger.tick();
     disks.front.run_for(100ms);
     CHECK(ledger.reached() == disk_names.size() - 1);
@@ -147,8 +147,8 @@
   SECTION("a relayed request to a silent disk counts too") {
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(100ms);
-    disks.mute = {disk_id("b")};
-    CHECK_FALSE(disks.front.passes_on(disk_id("b")));
+    disks.silent = {disk_id("b")};
+    CHECK_FALSE(disks.front.relays_to(disk_id("b")));
     CHECK(ledger.reached() == disk_names.size() - 1);
   }
 }
@@ -157,21 +157,21 @@
   stub_disks disks(taken);
   const std::vector<disk_id> first_four(disk_names.begin(), disk_names.end() - 1);
   const std::vector<http::endpoint> four_places(disks.places.begin(), disks.places.end() - 1);
-  CHECK(disks.front.passes_on(disk_id("e")));
+  CHECK(disks.front.relays_to(disk_id("e")));
   SECTION("no longer listed, but still in the set: turns may depend on it") {
     disks.front.list_disks(four_places);
-    CHECK(disks.front.passes_on(disk_id("e")));
+    CHECK(disks.front.relays_to(disk_id("e")));
     disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
-    CHECK_FALSE(disks.front.passes_on(disk_id("e")));
+    CHECK_FALSE(disks.front.relays_to(disk_id("e")));
   }
   SECTION("no longer in the set, but still listed: it may join") {
     disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
-    CHECK(disks.front.passes_on(disk_id("e")));
+    CHECK(disks.front.relays_to(disk_id("e")));
     disks.front.list_disks(four_places);
-    CHECK_FALSE(disks.front.passes_on(disk_id("e")));
+    CHECK_FALSE(disks.front.relays_to(disk_id("e")));
   }
   SECTION("requests in flight end") {
-    disks.mute = {disk_id("e")};
+    disks.silent = {disk_id("e")};
     bool kept = false;
     disks.front.begin_settle(kept_turn_request("t1"), whole_result(2600), 3s, kept);
     disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
@@ -179,7 +179,7 @@
     disks.front.run_all();
     disks.front.run_for(100ms);
     CHECK(kept);
-    CHECK_FALSE(disks.front.passes_on(disk_id("e")));
+    CHECK_FALSE(disks.front.relays_to(disk_id("e")));
   }
 }
 
@@ -188,7 +188,7 @@
   constexpr double rate = 3.75e6;
   struct row {
     std::size_t bytes;
-    int most_reads;
+    int max_reads;
   };
   const row rows[] = {
       {20 * kilobyte, 1}, {200 * kilobyte, 2}, {400 * kilobyte, 2}, {1000 * kilobyte, 2}};
@@ -204,9 +204,9 @@
     CHECK(admission.kind == admission_kind::admitted);
     CHECK(admission.history.size() == item.bytes);
     disks.front.run_for(300ms);
-    const auto most_reads = static_cast<std::size_t>(item.most_reads);
-    CHECK(disks.chain_reads <= item.most_reads);
-    CHECK(disks.link.carried_down() < most_reads * item.bytes + 10 * kilobyte);
+    const auto max_reads = static_cast<std::size_t>(item.max_reads);
+    CHECK(disks.chain_reads <= item.max_reads);
+    CHECK(disks.link.carried_down() < max_reads * item.bytes + 10 * kilobyte);
   }
 }
 
@@ -218,7 +218,7 @@
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(50ms);
     disks.history_bytes = 20 * kilobyte;
-    disks.mute = {disk_id("a"), disk_id(second)};
+    disks.silent = {disk_id("a"), disk_id(second)};
     turn_request next = kept_turn_request("t2");
     next.previous = request_id("t0");
     const auto began = steady::now();
--- a/libs/front/test/place_exchange_test.cc
+++ b/libs/front/test/place_exchange_test.cc
@@ -57,16 +57,16 @@
 
   /// Makes both servers full in the directory of every host, whichever is the directory host.
   void fill() {
-    this->tell(places);
+    this->report_load(places);
     this->run(place_queue::warm_up_time + 20ms);
-    this->tell(places);
+    this->report_load(places);
   }
-  void tell(std::uint32_t calls) {
+  void report_load(std::uint32_t calls) {
     for (const place_target& target : {first_server, second_server}) {
-      this->tell(target, calls);
+      this->report_load(target, calls);
     }
   }
-  void tell(const place_target& target, std::uint32_t calls) {
+  void report_load(const place_target& target, std::uint32_t calls) {
     for (auto& [name, item] : this->members) {
       const server_load load{target.key, calls};
       const std::uint32_t before =
@@ -103,14 +103,14 @@
     }
   }
 
-  [[nodiscard]] host_id keeper(const place_target& target) const {
+  [[nodiscard]] host_id directory_host(const place_target& target) const {
     return directory_host_for(target.key.get(), {this->live.begin(), this->live.end()}).value();
   }
-  /// A host that keeps neither server.
+  /// A host that is the directory host of neither server.
   [[nodiscard]] host_id other_host(const std::set<host_id>& not_these = {}) const {
     for (const host_id& name : this->names) {
-      if (name != this->keeper(first_server) && name != this->keeper(second_server) &&
-          !not_these.contains(name)) {
+      if (name != this->directory_host(first_server) &&
+          name != this->directory_host(second_server) && !not_these.contains(name)) {
         return name;
       }
     }
@@ -180,19 +180,19 @@
   INFO(hosts << " hosts");
   place_network network(hosts);
   network.fill();
-  const host_id host = hosts < 7 ? network.keeper(second_server) : network.other_host();
+  const host_id host = hosts < 7 ? network.directory_host(second_server) : network.other_host();
   const auto call = network.claim(host, {first_server, second_server});
   network.run(20ms);
   CHECK_FALSE(call->result);
-  network.tell(second_server, places - 1);
+  network.report_load(second_server, places - 1);
   network.run(5ms);
   REQUIRE(call->result);
   CHECK(call->result->outcome == kind::granted);
   CHECK(call->result->server == second_server.server);
   // The other claim is withdrawn: a later call there is first in the queue.
-  CHECK(network.exchange(network.keeper(first_server)).waiting(first_server.key) == 0);
+  CHECK(network.exchange(network.directory_host(first_server)).waiting(first_server.key) == 0);
   const auto later = network.claim(host, {first_server});
-  network.tell(first_server, places - 1);
+  network.report_load(first_server, places - 1);
   network.run(5ms);
   REQUIRE(later->result);
   CHECK(later->result->outcome == kind::granted);
@@ -207,7 +207,7 @@
   };
   const row rows[] = {
       {"the directory host is unreachable", true, true},
-      {"the directory host has just become one", false, false},
+      {"the directory host has just taken over", false, false},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -216,7 +216,7 @@
       network.fill();
     }
     if (item.silent) {
-      network.silent = {network.keeper(first_server)};
+      network.silent = {network.directory_host(first_server)};
     }
     const auto call = network.claim(network.other_host(), {first_server});
     network.run(50ms);
@@ -241,7 +241,7 @@
     INFO(item.what);
     place_network network(7);
     network.fill();
-    const host_id dead = network.keeper(first_server);
+    const host_id dead = network.directory_host(first_server);
     const host_id host = network.other_host();
     const auto call = network.claim(host, {first_server});
     (item.refuses ? network.refusing : network.silent) = {dead};
@@ -249,8 +249,8 @@
     network.live.erase(dead);
     network.run(2 * place_queue::repeat_interval + 20ms);
     CHECK_FALSE(call->result);
-    CHECK(network.exchange(network.keeper(first_server)).waiting(first_server.key) == 1);
-    network.tell(first_server, places - 1);
+    CHECK(network.exchange(network.directory_host(first_server)).waiting(first_server.key) == 1);
+    network.report_load(first_server, places - 1);
     network.run(5ms);
     REQUIRE(call->result);
     CHECK(call->result->outcome == kind::granted);
@@ -262,7 +262,7 @@
   network.fill();
   const auto call = network.claim(network.other_host(), {first_server});
   network.lost = gossip_method::grant;
-  network.tell(first_server, places - 1);
+  network.report_load(first_server, places - 1);
   network.run(place_queue::repeat_interval + 30ms);
   REQUIRE(call->result);
   CHECK(call->result->outcome == kind::granted);
@@ -288,13 +288,13 @@
     const auto first = network.claim(gone, {first_server});
     const auto second = network.claim(network.other_host({gone}), {first_server});
     if (item.left) {
-      first->wait.leave();
+      first->wait.cancel();
     } else if (item.known) {
       network.live.erase(gone);
     } else {
       network.silent = {gone};
     }
-    network.tell(first_server, places - 1);
+    network.report_load(first_server, places - 1);
     for (duration waited{}; waited < item.within; waited += 5ms) {
       network.run(5ms);
       network.tick();
@@ -325,7 +325,7 @@
   CHECK(refused->result->wait > 4s);
   CHECK(refused->took < 20ms);
   for (const auto& call : before) {
-    call->wait.leave();
+    call->wait.cancel();
   }
   network.run(5ms);
 }
--- a/libs/front/test/quota_client_test.cc
+++ b/libs/front/test/quota_client_test.cc
@@ -1,4 +1,4 @@
-// How a front host asks the keepers of quotas: their order, the time limits and the decision.
+// How a front host asks the quota managers: their order, the time limits and the decision.
 #include "hawthornlane/front/quota_client.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -17,25 +17,25 @@
 
 namespace {
 
-/// A keeper's reaction to a request.
+/// A manager's reaction to a request.
 enum class reply { grant, refuse, not_kept, fail, silence };
 
-/// Keepers with scripted replies, and a client that asks them.
-class asked_keepers {
+/// Managers with scripted replies, and a client that asks them.
+class scripted_managers {
 public:
-  /// The successive replies of each keeper; the last one repeats.
-  explicit asked_keepers(std::vector<std::vector<reply>> by_keeper)
-      : replies(std::move(by_keeper)), client(context, make_hooks()) {}
+  /// The successive replies of each manager; the last one repeats.
+  explicit scripted_managers(std::vector<std::vector<reply>> by_manager)
+      : replies(std::move(by_manager)), client(context, make_hooks()) {}
 
   quota_admission admit(std::chrono::milliseconds time = 2s) {
     quota_admission result;
     const auto began = std::chrono::steady_clock::now();
     const auto ask = [&]() -> asio::awaitable<void> {
       const auto until = std::chrono::steady_clock::now() + time;
-      quota_request question;
-      question.account = client_account("north");
-      result = co_await this->client.admit(question, 7, until);
-      // Requests to silent keepers may still be in flight.
+      quota_request request;
+      request.account = client_account("north");
+      result = co_await this->client.admit(request, 7, until);
+      // Requests to silent managers may still be in flight.
       this->took = std::chrono::steady_clock::now() - began;
     };
     asio::co_spawn(this->context, ask(), asio::detached);
@@ -44,8 +44,8 @@
   }
 
   std::chrono::steady_clock::duration took{};
-  /// Keepers that the client believes to be unreachable.
-  std::set<std::size_t> unreached;
+  /// Managers that the client believes to be unreachable.
+  std::set<std::size_t> unreachable_managers;
   std::vector<std::size_t> asked;
 
 private:
@@ -58,21 +58,21 @@
       }
       return keepers;
     };
-    hooks.reaches = [this](const disk_id& keeper) {
-      return !this->unreached.contains(std::stoul(keeper.get()));
+    hooks.reaches = [this](const disk_id& manager) {
+      return !this->unreachable_managers.contains(std::stoul(manager.get()));
     };
-    hooks.ask = [this](const disk_id& keeper, const std::string&, duration limit,
-                       net::rpc_done done) { this->answer(keeper, limit, std::move(done)); };
+    hooks.ask = [this](const disk_id& manager, const std::string&, duration limit,
+                       net::rpc_done done) { this->answer(manager, limit, std::move(done)); };
     return hooks;
   }
 
-  void answer(const disk_id& keeper, duration limit, net::rpc_done done) {
-    const std::size_t number = std::stoul(keeper.get());
+  void answer(const disk_id& manager, duration limit, net::rpc_done done) {
+    const std::size_t number = std::stoul(manager.get());
     std::size_t& next = this->next_reply[number];
     const std::vector<reply>& script = this->replies[number];
     const reply what = script[std::min(next++, script.size() - 1)];
     this->asked.push_back(number);
-    // A request to a silent keeper ends at its time limit.
+    // A request to a silent manager ends at its time limit.
     const auto timer = std::make_shared<asio::steady_timer>(this->context);
     timer->expires_after(what == reply::silence ? limit : duration(1ms));
     timer->async_wait([timer, what, done = std::move(done)](const boost::system::error_code&) {
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE("the keepers' answers lead to the right decision in time") {
+TEST_CASE("the managers' answers lead to the right decision in time") {
   using enum reply;
   struct row {
     std::string what;
@@ -124,7 +124,7 @@
       {"all are silent", {{silence}, {silence}, {silence}}, quota_decision::unknown, 900ms},
   }));
   INFO(item.what);
-  asked_keepers keepers(item.replies);
+  scripted_managers keepers(item.replies);
   const quota_admission result = keepers.admit();
   CHECK(result.decision == item.decision);
   CHECK(keepers.took < item.at_most);
@@ -133,15 +133,15 @@
   }
 }
 
-TEST_CASE("a call stops asking keepers at its deadline") {
-  asked_keepers keepers({{reply::not_kept}, {reply::not_kept}});
+TEST_CASE("a call stops asking managers at its deadline") {
+  scripted_managers keepers({{reply::not_kept}, {reply::not_kept}});
   CHECK(keepers.admit(60ms).decision == quota_decision::unknown);
   CHECK(keepers.took < 200ms);
 }
 
-TEST_CASE("keepers believed unreachable are asked last") {
-  asked_keepers keepers({{reply::grant}, {reply::grant}, {reply::grant}});
-  keepers.unreached = {0, 2};
+TEST_CASE("managers believed unreachable are asked last") {
+  scripted_managers keepers({{reply::grant}, {reply::grant}, {reply::grant}});
+  keepers.unreachable_managers = {0, 2};
   keepers.admit();
   REQUIRE_FALSE(keepers.asked.empty());
   CHECK(keepers.asked.front() == 1);
--- a/libs/front/test/slow_disks.h
+++ b/libs/front/test/slow_disks.h
@@ -31,9 +31,9 @@
                                          disk_id("e")};
 
 /// A ledger client of a front host, with its own io_context.
-class front_side {
+class ledger_host {
 public:
-  front_side()
+  ledger_host()
       : sweeper(context),
         ledger(context, sweeper, fleet, availability_zone("zone-a"), 64 * kilobyte * kilobyte) {
     this->ledger.set_relay([](const relayed_request&, duration, const net::rpc_done& done) {
@@ -96,7 +96,7 @@
   int open = 0;
 
   /// Whether this host relays a request of another front host to the disk and gets an answer.
-  bool passes_on(const disk_id& disk) {
+  bool relays_to(const disk_id& disk) {
     const relayed_request probe{disk, static_cast<std::uint16_t>(ledger_method::probe), ""};
     std::optional<bool> answered;
     this->ledger.serve_relayed(to_bytes(probe), [&](const std::optional<std::string>& answer) {
@@ -133,7 +133,7 @@
       : context(io), up(bytes_a_second), down(bytes_a_second) {}
 
   /// Returns an address that forwards to `to` over this link.
-  http::endpoint towards(const http::endpoint& to) {
+  http::endpoint forward_to(const http::endpoint& to) {
     const tcp::endpoint here(asio::ip::make_address(any_port.address), 0);
     const auto acceptor = std::make_shared<tcp::acceptor>(this->context);
     acceptor->open(here.protocol());
@@ -236,7 +236,7 @@
         });
   }
 
-  [[nodiscard]] int most_appends() const {
+  [[nodiscard]] int max_appends() const {
     int most = 0;
     for (const auto& [disk, count] : this->appends) {
       most = std::max(most, count);
@@ -248,7 +248,7 @@
   answer_hook answer;
 
 public:
-  front_side front;
+  ledger_host front;
   slow_link link;
   /// Appends that reached each disk, directly or relayed.
   std::map<disk_id, int> appends;
@@ -257,7 +257,7 @@
   /// Size of the one turn that all disks hold.
   std::size_t history_bytes = 0;
   /// Disks that receive requests and do not answer.
-  std::set<disk_id> mute;
+  std::set<disk_id> silent;
   /// In the order of `disk_names`.
   std::vector<http::endpoint> places;
 
@@ -265,12 +265,12 @@
   http::endpoint listen(net::rpc_handler handler) {
     this->servers.push_back(std::make_unique<net::rpc_server>(
         this->front.context, this->front.sweeper, any_port, std::move(handler)));
-    return this->link.towards(this->servers.back()->where());
+    return this->link.forward_to(this->servers.back()->where());
   }
 
   void serve(const disk_id& disk, std::uint16_t method, const std::string& payload,
              const net::rpc_reply& reply) {
-    if (this->mute.contains(disk)) {
+    if (this->silent.contains(disk)) {
       return;
     }
     const auto asked = static_cast<ledger_method>(method);
@@ -340,14 +340,14 @@
   return answer;
 }
 
-/// Refuses epoch 1; reports epoch 2 only after the delay `late`.
-inline stub_disks::answer_hook late_with_the_news(duration late) {
-  return [late, began = steady::now()](const disk_id& disk, const append_request& request) {
+/// Refuses epoch 1; reports epoch 2 only after `delay`.
+inline stub_disks::answer_hook reports_new_set_after(duration delay) {
+  return [delay, began = steady::now()](const disk_id& disk, const append_request& request) {
     program_response answer;
     answer.disk = disk;
     answer.stale = request.epoch < set_epoch(2);
-    const bool knows = steady::now() - began >= late;
-    answer.newest = ledger_set{set_epoch(knows ? 2 : 1), disk_names, {}};
+    const bool knows_new_set = steady::now() - began >= delay;
+    answer.newest = ledger_set{set_epoch(knows_new_set ? 2 : 1), disk_names, {}};
     return answer;
   };
 }
