--- a/libs/front/include/hawthornlane/front/turn_cache.h
+++ b/libs/front/include/hawthornlane/front/turn_cache.h
@@ -1,4 +1,4 @@
-// Recent whole turns at a front host, so that most chains need no disk read.
+// Cache of recent whole turns at a front host, so that most chains need no disk read.
 #pragma once
 
 #include <list>
@@ -10,10 +10,10 @@
 
 namespace hawthornlane::front {
 
-/// Least recently used turns go first; bounded by bytes.
+/// LRU cache, bounded by bytes.
 class turn_cache {
 public:
-  explicit turn_cache(std::size_t most_bytes) : most(most_bytes) {}
+  explicit turn_cache(std::size_t max_bytes) : capacity(max_bytes) {}
 
   void add(const stored_turn& turn) {
     if (this->turns.contains(turn.id)) {
@@ -21,17 +21,17 @@
     }
     this->order.push_front(turn.id);
     this->turns.emplace(turn.id, entry{turn, this->order.begin()});
-    this->held += size_of(turn);
-    while (this->held > this->most && !this->order.empty()) {
+    this->cached_bytes += size_of(turn);
+    while (this->cached_bytes > this->capacity && !this->order.empty()) {
       const auto oldest = this->turns.find(this->order.back());
-      this->held -= size_of(oldest->second.turn);
+      this->cached_bytes -= size_of(oldest->second.turn);
       this->turns.erase(oldest);
       this->order.pop_back();
     }
   }
 
-  /// What was said up to and with that turn, oldest first; nothing when a turn of
-  /// the chain is not here.
+  /// Text of the chain that ends with turn `last`, oldest first; nothing if a turn of the chain is
+  /// not cached.
   std::optional<std::string> history(const request_id& last) {
     std::list<const stored_turn*> chain;
     std::optional<request_id> next = last;
@@ -62,9 +62,9 @@
     return turn.input.size() + turn.output.size() + overhead;
   }
 
-  std::size_t most;
-  /// Invariant: the sum over `turns`, at most `most` after each `add`.
-  std::size_t held = 0;
+  std::size_t capacity;
+  /// Invariant: the sum of the sizes in `turns`; at most `capacity` after each `add`.
+  std::size_t cached_bytes = 0;
   std::list<request_id> order;
   std::map<request_id, entry> turns;
 };
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -1,5 +1,5 @@
-// Callers that leave while a server is looked for, calls for servers that are full, and what hosts
-// tell of calls without a prompt.
+// Callers that disconnect during placement, calls for full servers, and the reporting of calls
+// without a prompt.
 #include "hawthornlane/front/call_placer.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Another host that never answers: each question then takes its full time.
+/// Hooks with one other host that never answers, so that each query runs into its time limit.
 directory_hooks silent_host(std::vector<net::rpc_done>& unanswered) {
   directory_hooks hooks;
   hooks.hosts = [] { return std::vector<host_id>{host_id("silent")}; };
@@ -31,7 +31,7 @@
   return entry;
 }
 
-placement_request turn_request() {
+placement_request make_request() {
   placement_request request;
   request.affinity = 7;
   for (std::uint64_t key = 1; key <= 20; ++key) {
@@ -41,8 +41,8 @@
   return request;
 }
 
-/// Another host, named so that it keeps the server's entry.
-std::vector<host_id> others_that_keep(server_key server) {
+/// One other host, named so that it is the server's directory host.
+std::vector<host_id> host_that_stores(server_key server) {
   for (int number = 0;; ++number) {
     host_id name("other-" + std::to_string(number));
     if (directory_host_for(server.get(), {host_id("own"), name}) == name) {
@@ -51,7 +51,7 @@
   }
 }
 
-/// A host that knows one server.
+/// A host with one listed server.
 struct one_server_host {
   explicit one_server_host(pool_rules rules = {})
       : placer(this->context, host_id("own"), availability_zone("z"), this->fleet, this->metrics,
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE("a call whose caller leaves while other hosts are asked gets no server") {
+TEST_CASE("a call whose caller disconnects while directory hosts are queried gets no server") {
   one_server_host host;
   boost::asio::io_context& context = host.context;
   call_placer& placer = host.placer;
@@ -76,21 +76,21 @@
   placer.set_directory_exchange(exchange);
 
   placement_wait wait;
-  acquired_server got;
+  acquired_server acquired;
   const auto acquire = [&]() -> boost::asio::awaitable<void> {
-    got = co_await placer.acquire(service_name("models"), turn_request(), wait);
+    acquired = co_await placer.acquire(service_name("models"), make_request(), wait);
   };
   boost::asio::co_spawn(context, acquire(), boost::asio::detached);
-  boost::asio::steady_timer leaves(context, std::chrono::milliseconds(2));
-  leaves.async_wait([&wait](const boost::system::error_code&) { wait.leave(); });
+  boost::asio::steady_timer disconnects(context, std::chrono::milliseconds(2));
+  disconnects.async_wait([&wait](const boost::system::error_code&) { wait.cancel(); });
   context.run();
 
   CHECK_FALSE(unanswered.empty());
-  CHECK(got.caller_left);
-  CHECK_FALSE(got.server);
+  CHECK(acquired.caller_left);
+  CHECK_FALSE(acquired.server);
 }
 
-TEST_CASE("only a call for a full server claims a place, and only where places are claimed") {
+TEST_CASE("only a call for a full server claims a place, and only if claims are enabled") {
   constexpr std::uint32_t slots = 4;
   struct row {
     const char* what;
@@ -101,10 +101,10 @@
   };
   const row rows[] = {
       {"an idle server", true, true, 0, 0},
-      {"a server with a place", true, true, slots, 0},
+      {"a server with a free place", true, true, slots, 0},
       {"a full server", true, true, slots + 1, 1},
-      {"a full server, without a prompt", true, false, slots + 1, 0},
-      {"a full server, places not claimed", false, true, slots + 1, 0},
+      {"a full server, call without a prompt", true, false, slots + 1, 0},
+      {"a full server, claims disabled", false, true, slots + 1, 0},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -117,7 +117,7 @@
     std::vector<gossip_method> sent;
     place_hooks hooks;
     const server_key key = server_key_of(backend_server_id("s1"));
-    hooks.hosts = [key] { return others_that_keep(key); };
+    hooks.hosts = [key] { return host_that_stores(key); };
     hooks.send = [&sent](const host_id&, gossip_method method, const std::string&,
                          const net::rpc_done& done) {
       sent.push_back(method);
@@ -127,14 +127,14 @@
     place_exchange places(context, host_id("own"), counts, host.metrics, hooks);
     placer.set_place_exchange(places);
 
-    placement_request request = turn_request();
+    placement_request request = make_request();
     request.prompt.resize(item.has_prompt ? request.prompt.size() : 0);
     placement_wait wait;
-    acquired_server got;
+    acquired_server acquired;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
-      got = co_await placer.acquire(service_name("models"), request, wait);
+      acquired = co_await placer.acquire(service_name("models"), request, wait);
     };
-    REQUIRE(placer.lists_servers(service_name("models")));
+    REQUIRE(placer.has_listed_servers(service_name("models")));
     directory_response loads;
     loads.loads.push_back({key, item.calls});
     placer.apply_directory_response(loads);
@@ -142,25 +142,25 @@
     context.run();
 
     CHECK(sent == std::vector<gossip_method>(item.claims, gossip_method::claim));
-    // What is refused a place is refused at once, with the time to come again.
-    CHECK(got.server.has_value() == (item.claims == 0));
-    CHECK(got.retry_in == std::chrono::seconds(item.claims == 0 ? 0 : 7));
-    CHECK(got.waited < std::chrono::milliseconds(100));
+    // A refused claim ends the call at once, with the time after which to retry.
+    CHECK(acquired.server.has_value() == (item.claims == 0));
+    CHECK(acquired.retry_in == std::chrono::seconds(item.claims == 0 ? 0 : 7));
+    CHECK(acquired.waited < std::chrono::milliseconds(100));
   }
 }
 
-TEST_CASE("calls without a prompt are told only by hosts that learn speeds, and under load") {
+TEST_CASE("calls without a prompt are reported only under load, by hosts that learn speeds") {
   struct row {
     const char* what;
     bool learns_speed;
     int calls_before;
-    bool told;
+    bool reported;
   };
-  // At four places.
+  // The server has four places.
   const row rows[] = {
-      {"not learning", false, 3, false},
-      {"little load", true, 0, false},
-      {"three calls at four places", true, 3, true},
+      {"speeds are not learned", false, 3, false},
+      {"low load", true, 0, false},
+      {"three calls before this one", true, 3, true},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -170,19 +170,20 @@
     boost::asio::io_context& context = host.context;
     call_placer& placer = host.placer;
     std::vector<net::rpc_done> unanswered;
-    // The server's keeper is the silent host or this one, by hash.
-    std::size_t told = 0;
+    // The server's directory host is the silent host or this one, depending on the hash.
+    std::size_t reported = 0;
     directory_hooks hooks = silent_host(unanswered);
-    hooks.take = [&told](const directory_response& answer) { told += answer.loads.size(); };
+    hooks.take = [&reported](const directory_response& answer) { reported += answer.loads.size(); };
     directory_exchange exchange(context, host_id("own"), hooks);
     placer.set_directory_exchange(exchange);
 
     placement_wait wait;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
-      placement_request request = turn_request();
+      placement_request request = make_request();
       request.prompt.clear();
-      const acquired_server got = co_await placer.acquire(service_name("models"), request, wait);
-      CHECK(got.server.has_value());
+      const acquired_server acquired =
+          co_await placer.acquire(service_name("models"), request, wait);
+      CHECK(acquired.server.has_value());
     };
     const auto call = [&] {
       boost::asio::co_spawn(context, acquire(), boost::asio::detached);
@@ -192,11 +193,11 @@
     for (int number = 0; number < item.calls_before; ++number) {
       call();
     }
-    constexpr int looks = 20;
-    for (int number = 0; number < looks; ++number) {
+    constexpr int repeats = 20;
+    for (int number = 0; number < repeats; ++number) {
       placer.apply_demand({});
     }
     call();
-    CHECK((unanswered.size() + told > 0) == item.told);
+    CHECK((unanswered.size() + reported > 0) == item.reported);
   }
 }
--- a/libs/front/test/ledger_traffic_test.cc
+++ b/libs/front/test/ledger_traffic_test.cc
@@ -1,5 +1,5 @@
-// What turns cost on the links to the disk hosts, and in memory, when these links are slow
-// or the disk hosts tell old news.
+// Traffic to the disk hosts and memory that turns use, if the links are slow or the disk hosts
+// report an outdated set.
 #include <catch2/catch.hpp>
 
 #include "slow_disks.h"
@@ -8,21 +8,21 @@
 using namespace hawthornlane::front;
 using namespace hawthornlane::front::slow_disks;
 
-TEST_CASE("disks that refuse a set before they can tell the next one are asked with pauses") {
-  // Members learn of a set some 0.3 s after they were told to refuse the one before.
-  constexpr int most_appends = 10;
+TEST_CASE("disks that refuse a set before they know the next one are retried with pauses") {
+  // Members learn of a new set some 0.3 s after they start to refuse the previous one.
+  constexpr int max_appends = 10;
   SECTION("a turn is admitted once the set is known") {
-    stub_disks disks(late_with_the_news(200ms));
+    stub_disks disks(reports_new_set_after(200ms));
     const turn_admission admission = disks.front.admit(kept_turn_request("t1"), 3s);
     CHECK(admission.kind == admission_kind::admitted);
     CHECK(disks.appends.size() == disk_names.size());
-    CHECK(disks.most_appends() < most_appends);
+    CHECK(disks.max_appends() < max_appends);
   }
-  SECTION("a turn is kept once the set is known") {
-    stub_disks disks(late_with_the_news(300ms));
+  SECTION("a turn is stored once the set is known") {
+    stub_disks disks(reports_new_set_after(300ms));
     CHECK(disks.front.settle(kept_turn_request("t1"), whole_result(2600), 3s));
     CHECK(disks.appends.size() == disk_names.size());
-    CHECK(disks.most_appends() < most_appends);
+    CHECK(disks.max_appends() < max_appends);
   }
 }
 
@@ -34,16 +34,16 @@
     INFO("body of " << size << " bytes");
     stub_disks disks(taken, rate);
     CHECK(disks.front.settle(kept_turn_request("t1"), whole_result(size), 3s));
-    // The turn is kept at a majority; the others follow.
+    // The turn is stored at a majority; the other disks follow.
     disks.front.run_for(200ms);
     CHECK(disks.appends.size() == disk_names.size());
-    CHECK(disks.most_appends() == 1);
+    CHECK(disks.max_appends() == 1);
     CHECK(disks.front.ledger.reached() == disk_names.size());
     CHECK(disks.link.carried_up() < (size + 2 * kilobyte) * disk_names.size());
   }
 }
 
-TEST_CASE("a small question waits for the large ones before it on a slow link") {
+TEST_CASE("a small request queued behind large ones on a slow link does not time out") {
   constexpr double rate = 3.75e6;
   stub_disks disks(taken, rate);
   bool kept = false;
@@ -54,16 +54,16 @@
   CHECK(kept);
   CHECK(admission.kind == admission_kind::admitted);
   disks.front.run_for(200ms);
-  // One of each turn.
-  CHECK(disks.most_appends() == 2);
+  // One append per turn.
+  CHECK(disks.max_appends() == 2);
   CHECK(disks.front.ledger.reached() == disk_names.size());
 }
 
-TEST_CASE("a disk is not sent a turn again while it still has the first one to answer") {
-  // Three disks refuse, so that no majority can come; the others are slow.
-  class two_slow_disks {
+TEST_CASE("a disk is not sent a turn again while its answer to the first send is pending") {
+  // Three disks refuse, so that there is no majority; the other two never answer.
+  class refusing_disks {
   public:
-    two_slow_disks() {
+    refusing_disks() {
       this->servers.reserve(disk_names.size());
       this->places.reserve(disk_names.size());
       for (std::size_t at = 0; at < disk_names.size(); ++at) {
@@ -80,29 +80,29 @@
       this->front.list_disks(this->places);
     }
 
-    front_side front;
+    ledger_host front;
     std::vector<std::unique_ptr<net::rpc_server>> servers;
     std::vector<http::endpoint> places;
     std::map<std::size_t, int> asked;
   };
-  two_slow_disks disks;
+  refusing_disks disks;
   CHECK_FALSE(disks.front.settle(kept_turn_request("t1"), whole_result(2600), 180ms));
   CHECK(disks.asked[0] > 2);
   CHECK(disks.asked[3] == 1);
   CHECK(disks.asked[4] == 1);
 }
 
-TEST_CASE("a turn that waits for its disks holds its body few times") {
-  // Listening sockets that nobody reads from. One body in the record, one encoded for all
-  // disks, one in each link's queue, and a part of one for the rest.
+TEST_CASE("a turn that waits for its disks keeps only a few copies of its body") {
+  // Listening sockets that are never read. One body in the record, one encoded for all disks, one
+  // in each link's queue, and part of one for the rest.
   constexpr std::size_t body = 4000 * kilobyte;
-  constexpr std::size_t most_bodies = 8;
+  constexpr std::size_t max_bodies = 8;
   constexpr int small_kernel_buffer = 65536;
-  front_side front;
-  std::vector<tcp::acceptor> mute;
+  ledger_host front;
+  std::vector<tcp::acceptor> silent;
   std::vector<http::endpoint> places;
   for (std::size_t at = 0; at < disk_names.size(); ++at) {
-    tcp::acceptor& one = mute.emplace_back(front.context, tcp::v4());
+    tcp::acceptor& one = silent.emplace_back(front.context, tcp::v4());
     one.set_option(asio::socket_base::receive_buffer_size(small_kernel_buffer));
     one.bind({asio::ip::make_address(any_port.address), 0});
     one.listen();
@@ -118,22 +118,22 @@
   front.run_all();
   CHECK_FALSE(kept);
   INFO("held " << held << " bytes");
-  // Else nothing was measured.
+  // Otherwise the measurement missed the turn.
   CHECK(held > body);
-  CHECK(held < most_bodies * body);
+  CHECK(held < max_bodies * body);
 }
 
-TEST_CASE("a host says that it reaches the disks of the set that have answered it") {
+TEST_CASE("a host counts the disks of the set that have answered it as reached") {
   stub_disks disks(taken);
   ledger_client& ledger = disks.front.ledger;
-  SECTION("a host that was just started has reached none") { CHECK(ledger.reached() == 0); }
-  SECTION("an idle host finds out") {
-    disks.mute = {disk_id("b")};
+  SECTION("a host that has just started has reached none") { CHECK(ledger.reached() == 0); }
+  SECTION("an idle host finds out by probes") {
+    disks.silent = {disk_id("b")};
     ledger.tick();
     disks.front.run_for(100ms);
     CHECK(ledger.reached() == disk_names.size() - 1);
   }
-  SECTION("a busy host knows") {
+  SECTION("a busy host finds out by its requests") {
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(100ms);
     CHECK(ledger.reached() == disk_names.size());
@@ -144,11 +144,11 @@
     ledger.adopt_ledger_set({set_epoch(2), {disk_id("a"), disk_id("b"), disk_id("c")}, {}}, "test");
     CHECK(ledger.reached() == 3);
   }
-  SECTION("a host that finds a disk silent for another host knows") {
+  SECTION("a relayed request to a silent disk counts too") {
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(100ms);
-    disks.mute = {disk_id("b")};
-    CHECK_FALSE(disks.front.passes_on(disk_id("b")));
+    disks.silent = {disk_id("b")};
+    CHECK_FALSE(disks.front.relays_to(disk_id("b")));
     CHECK(ledger.reached() == disk_names.size() - 1);
   }
 }
@@ -157,21 +157,21 @@
   stub_disks disks(taken);
   const std::vector<disk_id> first_four(disk_names.begin(), disk_names.end() - 1);
   const std::vector<http::endpoint> four_places(disks.places.begin(), disks.places.end() - 1);
-  CHECK(disks.front.passes_on(disk_id("e")));
-  SECTION("listed no more, but still in the set: turns may depend on it") {
+  CHECK(disks.front.relays_to(disk_id("e")));
+  SECTION("no longer listed, but still in the set: turns may depend on it") {
     disks.front.list_disks(four_places);
-    CHECK(disks.front.passes_on(disk_id("e")));
+    CHECK(disks.front.relays_to(disk_id("e")));
     disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
-    CHECK_FALSE(disks.front.passes_on(disk_id("e")));
+    CHECK_FALSE(disks.front.relays_to(disk_id("e")));
   }
-  SECTION("out of the set, but still listed: it may join") {
+  SECTION("no longer in the set, but still listed: it may join") {
     disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
-    CHECK(disks.front.passes_on(disk_id("e")));
+    CHECK(disks.front.relays_to(disk_id("e")));
     disks.front.list_disks(four_places);
-    CHECK_FALSE(disks.front.passes_on(disk_id("e")));
+    CHECK_FALSE(disks.front.relays_to(disk_id("e")));
   }
-  SECTION("questions underway end") {
-    disks.mute = {disk_id("e")};
+  SECTION("requests in flight end") {
+    disks.silent = {disk_id("e")};
     bool kept = false;
     disks.front.begin_settle(kept_turn_request("t1"), whole_result(2600), 3s, kept);
     disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
@@ -179,23 +179,23 @@
     disks.front.run_all();
     disks.front.run_for(100ms);
     CHECK(kept);
-    CHECK_FALSE(disks.front.passes_on(disk_id("e")));
+    CHECK_FALSE(disks.front.relays_to(disk_id("e")));
   }
 }
 
-TEST_CASE("a history of any size comes from two disks at most over a slow link") {
+TEST_CASE("a history of any size is read from at most two disks over a slow link") {
   // 30 Mbit/s: 1,000,000 bytes take 0.27 s.
   constexpr double rate = 3.75e6;
   struct row {
     std::size_t bytes;
-    int most_reads;
+    int max_reads;
   };
   const row rows[] = {
       {20 * kilobyte, 1}, {200 * kilobyte, 2}, {400 * kilobyte, 2}, {1000 * kilobyte, 2}};
   for (const row& item : rows) {
     INFO("history of " << item.bytes << " bytes");
     stub_disks disks(taken, rate);
-    // The connections are there already.
+    // Opens the connections.
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.history_bytes = item.bytes;
     turn_request next = kept_turn_request("t2");
@@ -204,26 +204,26 @@
     CHECK(admission.kind == admission_kind::admitted);
     CHECK(admission.history.size() == item.bytes);
     disks.front.run_for(300ms);
-    const auto most_reads = static_cast<std::size_t>(item.most_reads);
-    CHECK(disks.chain_reads <= item.most_reads);
-    CHECK(disks.link.carried_down() < most_reads * item.bytes + 10 * kilobyte);
+    const auto max_reads = static_cast<std::size_t>(item.max_reads);
+    CHECK(disks.chain_reads <= item.max_reads);
+    CHECK(disks.link.carried_down() < max_reads * item.bytes + 10 * kilobyte);
   }
 }
 
-TEST_CASE("a history is read although the disks that are asked for it first are silent") {
-  // The disk of this zone, and the one that is asked beside it.
+TEST_CASE("a history is read although the first two disks that are asked for it are silent") {
+  // The disk of this zone, and the one that is asked second.
   for (const char* second : {"b", "c", "d", "e"}) {
     INFO("silent: a and " << second);
     stub_disks disks(taken);
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(50ms);
     disks.history_bytes = 20 * kilobyte;
-    disks.mute = {disk_id("a"), disk_id(second)};
+    disks.silent = {disk_id("a"), disk_id(second)};
     turn_request next = kept_turn_request("t2");
     next.previous = request_id("t0");
     const auto began = steady::now();
     CHECK(disks.front.admit(next, 3s).kind == admission_kind::admitted);
-    // Found silent after 0.2 s; the patience for a long history is 4 s.
+    // Silence is detected after 0.2 s; the time limit for a long history is 4 s.
     CHECK(steady::now() - began < 800ms);
   }
 }
--- a/libs/front/test/place_exchange_test.cc
+++ b/libs/front/test/place_exchange_test.cc
@@ -1,4 +1,4 @@
-// Calls that claim places over a network in memory, and what happens when it loses messages.
+// Calls that claim places over a network in memory, which may lose messages.
 #include "hawthornlane/front/place_exchange.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -33,14 +33,14 @@
 const place_target first_server = target_of("s1");
 const place_target second_server = target_of("s2");
 
-/// A call's claims, and how they ended.
+/// One call's claims and their result.
 struct claimed_call {
   place_wait wait;
   std::optional<claim_result> result;
   std::chrono::steady_clock::duration took{};
 };
 
-/// Some hosts with an exchange each; messages arrive at once, or are lost.
+/// Hosts with one exchange each; messages arrive at once, or are lost.
 class place_network {
 public:
   explicit place_network(int hosts) {
@@ -55,18 +55,18 @@
     }
   }
 
-  /// All hosts know both servers as full, whoever keeps them.
+  /// Makes both servers full in the directory of every host, whichever is the directory host.
   void fill() {
-    this->tell(places);
+    this->report_load(places);
     this->run(place_queue::warm_up_time + 20ms);
-    this->tell(places);
+    this->report_load(places);
   }
-  void tell(std::uint32_t calls) {
+  void report_load(std::uint32_t calls) {
     for (const place_target& target : {first_server, second_server}) {
-      this->tell(target, calls);
+      this->report_load(target, calls);
     }
   }
-  void tell(const place_target& target, std::uint32_t calls) {
+  void report_load(const place_target& target, std::uint32_t calls) {
     for (auto& [name, item] : this->members) {
       const server_load load{target.key, calls};
       const std::uint32_t before =
@@ -103,14 +103,14 @@
     }
   }
 
-  [[nodiscard]] host_id keeper(const place_target& target) const {
+  [[nodiscard]] host_id directory_host(const place_target& target) const {
     return directory_host_for(target.key.get(), {this->live.begin(), this->live.end()}).value();
   }
-  /// A host that keeps neither server.
+  /// A host that is the directory host of neither server.
   [[nodiscard]] host_id other_host(const std::set<host_id>& not_these = {}) const {
     for (const host_id& name : this->names) {
-      if (name != this->keeper(first_server) && name != this->keeper(second_server) &&
-          !not_these.contains(name)) {
+      if (name != this->directory_host(first_server) &&
+          name != this->directory_host(second_server) && !not_these.contains(name)) {
         return name;
       }
     }
@@ -122,11 +122,11 @@
 
   boost::asio::io_context context;
   std::set<host_id> live;
-  /// These get and answer nothing, and nobody knows yet.
+  /// Hosts that receive and answer nothing, and are still in `live`.
   std::set<host_id> silent;
-  /// Hosts that refuse connections, though others believe that they live.
+  /// Hosts that refuse connections, and are still in `live`.
   std::set<host_id> refusing;
-  /// Messages of this kind get lost.
+  /// Messages with this method are lost.
   std::optional<gossip_method> lost;
 
 private:
@@ -175,39 +175,39 @@
 
 }  // namespace
 
-TEST_CASE("a call waits at full servers, and the first grant wins") {
+TEST_CASE("a call waits at full servers and goes to the first one that grants a place") {
   const int hosts = GENERATE(1, 2, 7, 57);
   INFO(hosts << " hosts");
   place_network network(hosts);
   network.fill();
-  const host_id host = hosts < 7 ? network.keeper(second_server) : network.other_host();
+  const host_id host = hosts < 7 ? network.directory_host(second_server) : network.other_host();
   const auto call = network.claim(host, {first_server, second_server});
   network.run(20ms);
   CHECK_FALSE(call->result);
-  network.tell(second_server, places - 1);
+  network.report_load(second_server, places - 1);
   network.run(5ms);
   REQUIRE(call->result);
   CHECK(call->result->outcome == kind::granted);
   CHECK(call->result->server == second_server.server);
-  // The other claim is withdrawn: a call that comes later has nobody before it.
-  CHECK(network.exchange(network.keeper(first_server)).waiting(first_server.key) == 0);
+  // The other claim is withdrawn: a later call there is first in the queue.
+  CHECK(network.exchange(network.directory_host(first_server)).waiting(first_server.key) == 0);
   const auto later = network.claim(host, {first_server});
-  network.tell(first_server, places - 1);
+  network.report_load(first_server, places - 1);
   network.run(5ms);
   REQUIRE(later->result);
   CHECK(later->result->outcome == kind::granted);
   CHECK_FALSE(network.counters().empty());
 }
 
-TEST_CASE("a claim that no keeper answers ends within 10 ms") {
+TEST_CASE("a claim that no directory host can decide ends within 10 ms") {
   struct row {
     const char* what;
     bool learned;
     bool silent;
   };
   const row rows[] = {
-      {"the keeper is cut off", true, true},
-      {"the keeper has just become one", false, false},
+      {"the directory host is unreachable", true, true},
+      {"the directory host has just taken over", false, false},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -216,7 +216,7 @@
       network.fill();
     }
     if (item.silent) {
-      network.silent = {network.keeper(first_server)};
+      network.silent = {network.directory_host(first_server)};
     }
     const auto call = network.claim(network.other_host(), {first_server});
     network.run(50ms);
@@ -226,22 +226,22 @@
   }
 }
 
-TEST_CASE("a keeper that dies costs a pause, and its claims go to the next") {
+TEST_CASE("claims at a failed directory host move to the next one with a repeat") {
   struct row {
     const char* what;
-    /// It is cut off before the others know, and they know after this.
+    /// Time from the failure until the other hosts detect it.
     duration known_after;
-    /// Its process is gone: connections are refused at once.
+    /// Its process has ended: connections are refused at once.
     bool refuses;
   };
-  const row rows[] = {{"known at once", 0ms, false},
-                      {"known later", 100ms, false},
-                      {"refuses connections, known later", 200ms, true}};
+  const row rows[] = {{"detected at once", 0ms, false},
+                      {"detected later", 100ms, false},
+                      {"refuses connections, detected later", 200ms, true}};
   for (const row& item : rows) {
     INFO(item.what);
     place_network network(7);
     network.fill();
-    const host_id dead = network.keeper(first_server);
+    const host_id dead = network.directory_host(first_server);
     const host_id host = network.other_host();
     const auto call = network.claim(host, {first_server});
     (item.refuses ? network.refusing : network.silent) = {dead};
@@ -249,26 +249,26 @@
     network.live.erase(dead);
     network.run(2 * place_queue::repeat_interval + 20ms);
     CHECK_FALSE(call->result);
-    CHECK(network.exchange(network.keeper(first_server)).waiting(first_server.key) == 1);
-    network.tell(first_server, places - 1);
+    CHECK(network.exchange(network.directory_host(first_server)).waiting(first_server.key) == 1);
+    network.report_load(first_server, places - 1);
     network.run(5ms);
     REQUIRE(call->result);
     CHECK(call->result->outcome == kind::granted);
   }
 }
 
-TEST_CASE("a grant that is lost is given again with the next repeat") {
+TEST_CASE("a lost grant is sent again with the next repeat") {
   place_network network(7);
   network.fill();
   const auto call = network.claim(network.other_host(), {first_server});
   network.lost = gossip_method::grant;
-  network.tell(first_server, places - 1);
+  network.report_load(first_server, places - 1);
   network.run(place_queue::repeat_interval + 30ms);
   REQUIRE(call->result);
   CHECK(call->result->outcome == kind::granted);
 }
 
-TEST_CASE("the places of a host that is gone go to the next claim") {
+TEST_CASE("places granted to a failed host go to the next claim") {
   struct row {
     const char* what;
     bool known;
@@ -276,9 +276,9 @@
     duration within;
   };
   const row rows[] = {
-      {"a host known as dead", true, false, 5ms},
-      {"a host that is cut off", false, false, place_queue::grant_lifetime + 30ms},
-      {"a caller that has left", false, true, 5ms},
+      {"a host that is known to have failed", true, false, 5ms},
+      {"an unreachable host, not yet detected", false, false, place_queue::grant_lifetime + 30ms},
+      {"a caller that has disconnected", false, true, 5ms},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -288,13 +288,13 @@
     const auto first = network.claim(gone, {first_server});
     const auto second = network.claim(network.other_host({gone}), {first_server});
     if (item.left) {
-      first->wait.leave();
+      first->wait.cancel();
     } else if (item.known) {
       network.live.erase(gone);
     } else {
       network.silent = {gone};
     }
-    network.tell(first_server, places - 1);
+    network.report_load(first_server, places - 1);
     for (duration waited{}; waited < item.within; waited += 5ms) {
       network.run(5ms);
       network.tick();
@@ -306,13 +306,13 @@
   }
 }
 
-TEST_CASE("a call that cannot get a place in its time is refused at once with the wait") {
+TEST_CASE("a call that cannot get a place in time is refused at once with the expected wait") {
   place_network network(7);
   network.fill();
   const host_id host = network.other_host();
   std::vector<std::shared_ptr<claimed_call>> before;
   std::shared_ptr<claimed_call> refused;
-  // 5 s at 2 places a second, and half of those before wait elsewhere too.
+  // 5 s at 2 places per second; half of the calls ahead also wait at the other server.
   for (int number = 0; number < 30 && !refused; ++number) {
     const auto call = network.claim(host, {first_server, second_server});
     if (call->result) {
@@ -325,12 +325,12 @@
   CHECK(refused->result->wait > 4s);
   CHECK(refused->took < 20ms);
   for (const auto& call : before) {
-    call->wait.leave();
+    call->wait.cancel();
   }
   network.run(5ms);
 }
 
-TEST_CASE("a message about places that is none is refused") {
+TEST_CASE("a malformed place message is refused") {
   place_network network(1);
   const auto method = GENERATE(gossip_method::claim, gossip_method::withdraw, gossip_method::grant);
   place_exchange& exchange = network.exchange(host_id("front-0"));
