--- a/libs/placement/include/hawthornlane/placement/call_window.h
+++ b/libs/placement/include/hawthornlane/placement/call_window.h
@@ -1,5 +1,5 @@
-// How many calls one host may have at the servers of a service while places are
-// scarce. No I/O, clock or randomness.
+// Limits the calls that one host may have in flight at the servers of a service under overload.
+// No I/O, clock or randomness.
 #pragma once
 
 #include <cstdint>
@@ -7,27 +7,28 @@
 
 namespace hawthornlane {
 
-/// What all hosts together need, as far as this host has heard.
+/// Demand of all hosts for one service, by the latest counts that this host has received.
 struct service_load {
-  /// Places at servers that are in good health.
+  /// Calls that the healthy servers work on at once.
   double places = 0;
-  /// Calls of this host and of all others, at servers and waiting for one.
+  /// Calls of this host and of all other hosts: those at servers and those queued for one.
   double own_calls = 0;
   double other_calls = 0;
 };
 
-/// From this part of all places on, calls wait at hosts, which know their urgency, and
-/// not at servers, which take them in order. Below it they wait for less than half of a
-/// call's time.
+/// Ratio of demand to places above which in-flight calls are limited. Excess calls then queue at
+/// hosts, which order them by urgency, instead of at servers, which work in order of arrival. Below
+/// this ratio a call waits for less than half of a call's time.
 constexpr double window_from = 1.5;
-/// As many calls as this part of all places may be at servers then: a server that has
-/// some calls waiting loses no time between two, and hosts do not know which servers
-/// others use. With 1.15, model servers did a tenth less work under a burst.
+/// Calls that all hosts together may have in flight, as a multiple of all places. It is above 1
+/// because a server with some queued calls has no idle time between two calls, and because hosts
+/// don't know which servers other hosts use. With 1.15, model servers did 10% less work in a burst.
 constexpr double window_size = 1.5;
-/// A host that needs little may have as many calls at servers in any case.
+/// Lower bound of the limit, so that a host with little demand can always send calls.
 constexpr std::uint32_t least_window = 2;
 
-/// The host's part of all places by its part of the demand; nothing while there is room.
+/// This host's share of the calls in flight, in proportion to its share of the demand. Empty if
+/// demand is low enough that no limit is needed, or if there are no places.
 std::optional<std::uint32_t> window_for(const service_load& load);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -1,8 +1,9 @@
-// Gives out the places at backend servers while more calls want one than there are: the
-// keeper's side. No I/O, clock or randomness.
+// Queue of calls for places at backend servers, on the host that holds a server's entry in the
+// placement directory. No I/O, clock or randomness.
 //
-// Answers a load of 1.2 to 2.3 times what the servers can do, for 5 to 15 s. A call is bound
-// to a server only when it can start there, so that order of urgency holds until then.
+// A place lets one call be at a server. Hosts claim places and the queue grants them. It is built
+// for overload of 1.2 to 2.3 times the servers' capacity for 5 to 15 s. A call is assigned to a
+// server only when it can start there, so calls stay ordered by urgency until then.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace hawthornlane {
 
-/// Names a call between hosts: its host, and its number there.
+/// Identifies a call across hosts: its host and its number on that host.
 struct claimant {
   host_id host;
   std::uint64_t call = 0;
@@ -28,22 +29,23 @@
   }
 };
 
-/// A call that wants a place at a server. Times are durations left: hosts' clocks differ.
+/// A call's request for a place at a server. Times are sent as remaining durations because the
+/// clocks of hosts differ.
 struct place_claim {
   claimant from;
   server_key server;
-  /// Calls that may be at the server.
+  /// Calls that may be at the server at once.
   std::uint32_t places = 0;
-  /// Servers at which the call claims a place; it leaves all but one of them without a grant.
+  /// Number of servers at which the call claims a place. It takes a grant of at most one of them.
   std::uint32_t targets = 1;
-  /// Lower goes first.
+  /// A lower value is served first.
   std::uint32_t priority = 0;
-  /// An earlier turn of its line has been answered.
+  /// True if an earlier turn of the call's session has been answered.
   bool begun = false;
   client_account account;
-  /// Until its program should be done.
+  /// Time left until the call's program should be done (soft deadline).
   duration wanted_in{};
-  /// Until the call cannot be served in its time any more.
+  /// Time left until the call can no longer be served within its deadline.
   duration given_up_in{};
 
   template <class Archive>
@@ -60,17 +62,17 @@
 enum class claim_outcome : std::uint8_t {
   granted,
   waiting,
-  /// The expected wait is longer than the call has.
+  /// The expected wait exceeds the time that the call has left.
   refused,
-  /// This keeper cannot tell how many calls the server has.
+  /// This host does not know yet how many calls are at the server.
   unknown
 };
 
 struct claim_answer {
   claim_outcome outcome = claim_outcome::unknown;
-  /// To be expected until a place is free; of a claim that waits or is refused.
+  /// Expected time until a place is free, for a claim that waits or is refused.
   duration wait{};
-  /// Calls and claims at the server that go before this one.
+  /// Calls at the server, and claims that are served before this one.
   std::uint32_t ahead = 0;
 
   template <class Archive>
@@ -81,7 +83,7 @@
   }
 };
 
-/// The call may go to the server now.
+/// Permits a call to be sent to a server now.
 struct place_grant {
   claimant to;
   server_key server;
@@ -93,58 +95,63 @@
   }
 };
 
-/// The claims at all servers that this host keeps.
+/// The claims at all servers whose directory entries this host holds.
 class place_queue {
 public:
-  /// Between two repeats of a claim by its host.
+  /// Interval at which a host repeats its claims.
   static constexpr duration repeat_pause = std::chrono::milliseconds(150);
-  /// A claim that has not been repeated for this long is dropped: its host is gone, or has
-  /// missed two repeats.
+  /// A claim is dropped if it has not been repeated for this long: its host is down or has missed
+  /// two repeats.
   static constexpr duration claim_lifetime = 3 * repeat_pause;
-  /// A grant that no count shows after this long is free again: a message takes 1 to 10 ms,
-  /// and a host with a full core answers within 50 ms.
+  /// A grant expires if its host's reported count does not include the call after this long. A
+  /// message takes 1 to 10 ms, and a host with a saturated core answers within 50 ms.
   static constexpr duration grant_lifetime = std::chrono::milliseconds(100);
-  /// Hosts tell their counts again within this time, so that a new keeper knows them then.
+  /// Hosts repeat their counts within this time, so a host that has just become responsible for a
+  /// server knows all counts after it.
   static constexpr duration learning_time = std::chrono::milliseconds(1000);
-  /// Hosts learn of another host's start or end, and so which host keeps a server, within this
-  /// time of each other. A server that is first heard of later than this and the learning time
-  /// after a change was kept here before, and idle or not there.
+  /// All hosts agree within this time on a host's start or end, and so on the host responsible for
+  /// a server. If the first message about a server arrives later than this plus `learning_time`
+  /// after a change, this host was responsible for it all along, and the server was idle or did not
+  /// exist: its counts are known.
   static constexpr duration settling_time = std::chrono::milliseconds(1000);
-  /// A server without a message for so long is forgotten: hosts tell the counts of one that is in
-  /// use once a second, so somebody else keeps it, or it is idle.
+  /// A server is removed if no message about it has arrived for this long. Hosts report the counts
+  /// of a server in use once a second, so another host is responsible for it now, or it is idle.
   static constexpr duration memory = std::chrono::seconds(4);
-  /// What cannot be in time any more goes behind what still can, for so long; then it goes by when
-  /// it was wanted. A turn is given up after 3 s, and with it a program that was served before.
+  /// A claim past its soft deadline is served after claims that can still meet theirs, but only
+  /// until it has waited this long; then it is ordered by its soft deadline again. A turn is given
+  /// up after 3 s, which would waste the work already done for its program.
   static constexpr duration late_patience = std::chrono::seconds(1);
-  /// A claim that has waited this long is overdue: a program of some ten turns has lost
-  /// its slack by then.
+  /// A claim that has waited this long is overdue: a program of about ten turns has used up its
+  /// slack by then.
   static constexpr duration overdue_after = std::chrono::milliseconds(1500);
-  /// One grant in so many goes to the claim that is overdue the longest, whatever its
-  /// priority. More would serve in order of arrival as soon as all claims are overdue.
+  /// One in this many grants goes to the claim that has waited longest, if it is overdue, whatever
+  /// its priority. A larger share would amount to order of arrival once all claims are overdue.
   static constexpr std::uint32_t overdue_share = 32;
-  /// Places of one server are freed at least at this pace by expectation, each: turns take
-  /// 0.2 to 1 s at the engines in use.
+  /// Lower bound of the expected rate at which each place of a server becomes free: turns take 0.2
+  /// to 1 s at the engines in use.
   static constexpr double least_freed_per_second = 1;
-  /// Claims that wait at one server at most: 0.1 MB.
+  /// Upper bound of the claims that wait at one server; they take 0.1 MB.
   static constexpr std::size_t most_waiting = 512;
 
-  /// `counts`: the calls that hosts tell of; outlives the queue.
+  /// `counts` holds the calls that hosts report, and must outlive the queue.
   explicit place_queue(const placement_directory& counts) : directory(counts) {}
 
-  /// Other hosts live now than before: this one may keep servers that another one kept.
+  /// The set of live hosts has changed, so this host may have become responsible for other servers.
   void hosts_changed(timestamp now) { this->hosts_changed_at = now; }
-  /// Answers a new claim, or one repeated. A claim that was granted already is granted again.
+  /// Answers a new or repeated claim. A claim that already has a grant is granted again.
   claim_answer claim(const place_claim& claim, timestamp now);
-  /// The call wants no place at this server any more; a place granted to it is free.
+  /// Removes the call's claim at this server, and frees a place that was granted to it.
   void withdraw(const claimant& from, server_key server, timestamp now);
-  /// `host` has told the directory a new count in place of `before`.
+  /// `host` has reported a new count to the directory, which replaces `before`.
   void count_changed(const host_id& host, const server_load& load, std::uint32_t before,
                      timestamp now);
-  /// Places granted since, beside those answered to a claim at once: to be told to their hosts.
+  /// Returns and clears the grants that are still to be sent to their hosts. Grants that were the
+  /// immediate answer to a claim are not among them.
   std::vector<place_grant> take_grants();
-  /// Gives out what lapsed grants and counts leave free, and forgets servers.
+  /// Grants places that expired grants and counts have freed, and removes unused servers.
   void sweep(timestamp now);
-  /// Claims that wait at the server, each by the part that it is likely to take of a place there.
+  /// Number of claims that wait at the server, each weighted by 1 / `targets`, the chance that it
+  /// takes a place there.
   [[nodiscard]] double waiting(server_key server) const;
 
 private:
@@ -158,11 +165,11 @@
     claimant to;
     timestamp given{};
   };
-  /// Start-time fair queueing in calls granted.
+  /// Start-time fair queueing between accounts; each granted call costs 1.
   struct fair_share {
-    /// The start tag of the latest grant.
+    /// Start tag of the latest grant.
     double virtual_time = 0;
-    /// Of each account the finish tag of its latest grant. Invariant: above `virtual_time`.
+    /// Finish tag of each account's latest grant. Invariant: all are above `virtual_time`.
     std::map<client_account, double> finish;
 
     [[nodiscard]] double start_of(const client_account& account) const;
@@ -173,16 +180,16 @@
     timestamp first_heard{};
     timestamp last_heard{};
     std::vector<waiting_claim> waiting;
-    /// Not shown by a count yet.
+    /// Grants that no reported count includes yet.
     std::vector<open_grant> grants;
-    /// Places freed lately, fading by a factor of e a second: so many a second.
+    /// Places freed per second: a sum of freed places that decays by a factor of e per second.
     double freed = 0;
     timestamp freed_at{};
-    /// By priority: what is granted to one takes nothing from the shares of another.
+    /// One for each priority, so grants at one priority don't affect the shares at another.
     std::map<std::uint32_t, fair_share> shares;
     std::uint32_t grants_since_overdue = 0;
   };
-  /// Lower goes first.
+  /// Sort key of a claim; the lowest is served first.
   struct claim_rank {
     std::uint32_t priority = 0;
     bool late = false;
@@ -200,12 +207,12 @@
   [[nodiscard]] static claim_rank rank_of(const kept_server& server, const waiting_claim& item,
                                           timestamp now);
   static void drop_old(kept_server& server, timestamp now);
-  /// Calls at the server and grants to it.
+  /// Number of calls at the server and of grants to it.
   [[nodiscard]] std::uint32_t used(server_key key, const kept_server& server, timestamp now) const;
   static std::vector<waiting_claim>::iterator next_claim(kept_server& server, timestamp now);
-  /// Grants what is free.
+  /// Grants all free places to waiting claims.
   void grant_free(server_key key, kept_server& server, timestamp now);
-  /// Takes a grant that was made but not told yet; false: there is none.
+  /// Removes a grant that has not been sent yet. Returns false if there is none.
   bool take_untold(const claimant& to, server_key server);
   [[nodiscard]] claim_answer expect(server_key key, const kept_server& server,
                                     const waiting_claim& item, timestamp now) const;
@@ -214,9 +221,10 @@
 
   const placement_directory& directory;
   std::map<server_key, kept_server> servers;
-  /// Nothing: not known.
+  /// Empty until the first change.
   std::optional<timestamp> hosts_changed_at;
-  /// Invariant: each is in the `grants` of its server, unless that has lapsed.
+  /// Grants that are still to be sent. Invariant: each is in the `grants` of its server, unless it
+  /// has expired there.
   std::vector<place_grant> untold;
 };
 
--- a/libs/placement/include/hawthornlane/placement/placement_directory.h
+++ b/libs/placement/include/hawthornlane/placement/placement_directory.h
@@ -1,5 +1,6 @@
-// One host's part of what all hosts share about placing calls: how many calls each
-// server has, and which server holds a line of turns. No I/O, clock or randomness.
+// One host's shard of the placement directory, which all hosts share: the number of calls at each
+// server, the server that has cached a session's prompt, and servers' speeds. No I/O, clock or
+// randomness.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +17,12 @@
 
 namespace hawthornlane {
 
-/// Short name of one incarnation of a server between hosts; unlike its id it takes four
-/// bytes. What hosts told of another incarnation is under another key and never found.
+/// Four-byte hash of a server's id and incarnation, used between hosts in place of the longer id.
+/// Reports about another incarnation have another key, so they are never applied to this one.
 using server_key = strong_value<struct server_key_tag, std::uint32_t>;
 server_key server_key_of(const backend_server_id& server, incarnation start = {});
 
-/// Calls at one server.
+/// Number of calls at one server.
 struct server_load {
   server_key server;
   std::uint32_t calls = 0;
@@ -33,7 +34,7 @@
   }
 };
 
-/// A server that has read a part of a prompt, and how much of it.
+/// A server that has read a part of a prompt, and the number of its tokens that it has read.
 struct part_location {
   prompt_part_key part;
   server_key server;
@@ -46,7 +47,7 @@
   }
 };
 
-/// What is believed of a server's speed.
+/// An estimate of a server's speed, as hosts report it to each other.
 struct told_speed {
   server_key server;
   speed_word word;
@@ -58,11 +59,11 @@
   }
 };
 
-/// What changed at one host.
+/// Changes that one host reports to the directory.
 struct directory_update {
   std::vector<server_load> loads;
   std::vector<part_location> locations;
-  /// By this host's own calls.
+  /// Estimates from this host's own calls only.
   std::vector<told_speed> speeds;
 
   [[nodiscard]] bool empty() const {
@@ -70,7 +71,7 @@
   }
 };
 
-/// What one host wants to know before it places a call.
+/// Entries that a host requests before it places a call.
 struct directory_question {
   std::vector<server_key> servers;
   std::vector<prompt_part_key> parts;
@@ -78,34 +79,36 @@
   [[nodiscard]] bool empty() const { return this->servers.empty() && this->parts.empty(); }
 };
 
-/// Each server and each line has one host that keeps its entry, chosen by hash among
-/// the hosts that live. An entry lost with its host costs a placement by hash alone, or
-/// a prompt read twice; the next call of each host writes it again.
+/// The entry of each server and each session is held by one host, chosen among the live hosts by
+/// rendezvous hashing. If an entry is lost with its host, a call is placed by hash alone or a
+/// prompt is read twice; the next call of each host writes the entry again.
 class placement_directory {
 public:
-  /// A host's count that has not been told again for this long no longer counts: hosts
-  /// tell each count above 0 once a second, so a host that missed three is gone.
+  /// A host's count is ignored if it has not been repeated for this long. Hosts report each count
+  /// above 0 once a second, so a host that has missed three reports is down.
   static constexpr duration count_lifetime = std::chrono::milliseconds(3200);
-  /// What a host told of a server's speed is dropped after this time, when it weighs less than
-  /// a hundredth of what it did.
+  /// A host's report of a server's speed is dropped after this time, when its weight has decayed to
+  /// less than 1%.
   static constexpr duration speed_lifetime = std::chrono::seconds(75);
-  /// Lines that one host keeps entries of; some 100 bytes each.
+  /// Upper bound of the session entries that one host holds, of about 100 bytes each. The least
+  /// recently written entry is removed first.
   static constexpr std::size_t most_lines = 16384;
 
-  /// `host` has so many calls at the server now. Returns how many it had told before.
+  /// Sets the number of calls that `host` has at the server. Returns the previous number.
   std::uint32_t set_load(const host_id& host, const server_load& load, timestamp now);
   void set_location(const part_location& location);
-  /// What `host` believes of the server now; it takes the place of what it told before.
+  /// Sets the estimate that `host` reports, replacing its previous one.
   void set_speed(const host_id& host, const told_speed& speed, timestamp now);
-  /// The mean of what all hosts but `asker` have told. Nothing: they have told nothing that
-  /// still counts.
+  /// Weighted mean of the estimates of all hosts but `asker`. Empty if no other host has reported
+  /// one that still has weight.
   [[nodiscard]] std::optional<told_speed> speed_of_others(server_key server, const host_id& asker,
                                                           timestamp now) const;
-  /// Calls at the server of all hosts but `asker`.
+  /// Number of calls that all hosts but `asker` have at the server.
   [[nodiscard]] std::uint32_t load_of_others(server_key server, const host_id& asker,
                                              timestamp now) const;
-  /// Calls at the server of all hosts.
+  /// Number of calls that all hosts have at the server.
   [[nodiscard]] std::uint32_t load_of_all(server_key server, timestamp now) const;
+  /// The latest location of the part. Empty if there is no entry.
   [[nodiscard]] std::optional<part_location> find(prompt_part_key part) const;
 
 private:
@@ -121,20 +124,20 @@
     part_location location;
     std::list<prompt_part_key>::iterator used;
   };
-  /// Drops what dead hosts told, and of servers that are gone.
+  /// Drops outdated reports: those of hosts that are down, and those about removed servers.
   void drop_old_speeds(timestamp now);
 
   speed_rules rules;
   std::map<server_key, std::map<host_id, told_count>> loads;
   std::map<server_key, std::map<host_id, told_word>> speeds;
   timestamp next_drop{};
-  /// Most recently written first. Invariant: names every entry of `lines` once.
+  /// Most recently written first. Invariant: contains the key of each entry of `lines` once.
   std::list<prompt_part_key> by_use;
   std::unordered_map<prompt_part_key, line_entry> lines;
 };
 
-/// The host that keeps the entry of `key`: each host that knows the same hosts says the
-/// same. Nothing when `hosts` is empty.
+/// The host that holds the directory entry of `key`. All hosts that have the same list of hosts get
+/// the same result. Empty if `hosts` is empty.
 std::optional<host_id> keeper_of(std::uint64_t key, const std::vector<host_id>& hosts);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
+++ b/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
@@ -1,5 +1,5 @@
-// What the prefix caches of the servers of one service probably hold, from the calls
-// that were sent there. No I/O, clock or randomness.
+// Estimates the contents of the prefix caches of a service's servers from the calls that were sent
+// to them. No I/O, clock or randomness.
 #pragma once
 
 #include <cstdint>
@@ -13,46 +13,46 @@
 
 namespace hawthornlane {
 
-/// Names a part of a prompt; equal parts of different prompts have equal names.
+/// Identifies a part of a prompt; equal parts of different prompts have equal keys.
 using prompt_part_key = strong_value<struct prompt_part_key_tag, std::uint64_t>;
 
-/// One part of a prompt, in the order in which a server reads them.
+/// One part of a prompt. A prompt lists its parts in the order in which a server reads them.
 struct prompt_piece {
   prompt_part_key key;
-  /// Of the part at this call; the last part of a session grows from call to call.
+  /// Length of the part in this call; the last part of a session grows from call to call.
   token_count tokens{0};
 };
 
-/// Follows the caches without asking the servers. A part that is wrongly believed to be
-/// held costs one reading of it, never more.
+/// Tracks the caches without querying the servers. If a part is wrongly assumed to be cached, the
+/// server reads it once more; there is no other cost.
 class prefix_cache_view {
 public:
-  /// Tokens of `prompt` that `server` need not read again: up to the last part that it has
-  /// read, since a server reads no part without those before it.
+  /// Number of tokens of `prompt` that `server` has cached. All parts before the last cached part
+  /// count as cached, since a server reads no part without those before it.
   [[nodiscard]] token_count held(const std::vector<prompt_piece>& prompt,
                                  const backend_server_id& server) const;
-  /// The other tokens of `prompt`.
+  /// Number of tokens of `prompt` that `server` would have to read.
   [[nodiscard]] token_count missing(const std::vector<prompt_piece>& prompt,
                                     const backend_server_id& server) const;
-  /// Servers that hold more of `prompt` than its first part, each once.
+  /// Servers that have cached more of `prompt` than its first part, without duplicates.
   [[nodiscard]] std::vector<backend_server_id> holders_of_line(
       const std::vector<prompt_piece>& prompt) const;
-  /// Some server has read this part.
+  /// True if some server is known to have read this part.
   [[nodiscard]] bool knows(prompt_part_key part) const { return this->parts.contains(part); }
-  /// `server` reads the prompt.
+  /// Records that `server` reads the prompt.
   void note(const std::vector<prompt_piece>& prompt, const backend_server_id& server);
-  /// The same for one part, as another host told it.
+  /// Records that `server` has read one part, as another host reports it.
   void note_part(const prompt_piece& piece, const backend_server_id& server);
-  /// The server is gone, and its memory with it.
+  /// Removes a server that has stopped and so lost its cache.
   void forget(const backend_server_id& server);
 
 private:
-  /// One server that has read a part, and how much of it.
+  /// A server that has read a part, and the number of its tokens that it has read.
   struct holder {
     backend_server_id server;
     token_count tokens{0};
   };
-  /// Tokens of this part that the server holds; nothing when it has not read it.
+  /// Number of tokens of this part that the server has cached. Empty if it has not read the part.
   [[nodiscard]] std::optional<token_count> held_of(const prompt_piece& piece,
                                                    const backend_server_id& server) const;
 
@@ -61,7 +61,7 @@
     std::list<prompt_part_key>::iterator used;
   };
 
-  /// Most recently used first. Invariant: names every entry of `parts` once.
+  /// Most recently used first. Invariant: contains the key of each entry of `parts` once.
   std::list<prompt_part_key> by_use;
   std::unordered_map<prompt_part_key, part_state> parts;
 };
--- a/libs/placement/include/hawthornlane/placement/server_choice.h
+++ b/libs/placement/include/hawthornlane/placement/server_choice.h
@@ -1,55 +1,57 @@
-// What it costs to send a call to one server or another. No I/O, clock or randomness.
+// Cost of sending a call to a server. No I/O, clock or randomness.
 //
-// Answers a load at which the model engines are nearly full: there a prompt that is read
-// a second time takes the place of somebody's turn, and lateness begets more calls.
+// The cost is tuned for model engines that are nearly full. There a prompt that is read a second
+// time delays the turns of other programs, and late programs cause more calls.
 #pragma once
 
 #include <cstddef>
 
 namespace hawthornlane {
 
-/// What a host believes of one server for one call.
+/// A host's estimate of the state of one server, for one call.
 struct server_prospect {
   /// Calls that the server works on at once.
   double slots = 1;
   /// Calls of all hosts at the server.
   double calls = 0;
-  /// Tokens of the prompt that it would have to read.
+  /// Tokens of the prompt that the server would have to read.
   double missing_tokens = 0;
-  /// It is in this host's availability zone.
+  /// True if the server is in this host's availability zone.
   bool near = false;
-  /// How many times longer calls take there than usual.
+  /// Time of calls at this server as a multiple of the time at a typical server.
   double slowness = 1;
 };
 
-/// Weights of a choice, in parts of the time that a call takes at its server: engines
-/// that are slower are so in all of these.
+/// Weights of the cost, as fractions of the time that a call takes at its server: an engine that is
+/// slower is slower in all of these.
 struct choice_rules {
-  /// Reading one token of a prompt: 12 us of a turn of 0.3 s at one of the engines in use,
-  /// 6 us of 0.2 s at another.
+  /// Cost of reading one prompt token: 12 us of a turn of 0.3 s at one of the engines in use, 6 us
+  /// of 0.2 s at another.
   double token = 4e-5;
-  /// While a prompt is read all calls beside it stand still, and those that come while the
-  /// server is full wait for them. In a played burst at 8 servers of 16 places, 0.49 of the
-  /// programs were in time with a weight of 1, 0.55 with 2 and 0.60 with 4 to 8; a move
-  /// that looks cheaper is made again at the next turn.
+  /// Weight of the delay of other calls. While a server reads a prompt, all its other calls stop,
+  /// and calls that arrive while it is full wait for them. In a simulated burst at 8 servers with
+  /// 16 slots, 49% of the programs were in time with a weight of 1, 55% with 2 and 60% with 4 to 8.
+  /// With a low weight a session moves to a server that seems cheaper at every turn, and each move
+  /// has its prompt read again.
   double delayed_others = 4;
-  /// How much slower a call is at a full server than alone, since the server reads the
-  /// prompts of others between its tokens.
+  /// Relative slowdown of a call at a full server compared with an idle one, since the server reads
+  /// the prompts of other calls between the call's tokens.
   double crowding = 0.35;
-  /// The way to another zone and back: 2 ms of 0.3 s, and bytes that are paid for; the
-  /// prompt of a turn has some 6 KB.
+  /// Cost of another availability zone: a round trip of 2 ms of 0.3 s, and traffic that is charged
+  /// for. The prompt of a turn has about 6 KB.
   double far = 0.05;
-  /// Servers that are weighed besides those that hold the line: so many of all by hash, and
-  /// so many of this zone. Two choices even a load nearly as well as all do.
+  /// Numbers of candidates besides the servers that have cached the session: `choices` of all
+  /// servers and `near_choices` of this zone, chosen by hash. The best of two random choices
+  /// balances load nearly as well as the best of all.
   std::size_t choices = 2;
   std::size_t near_choices = 2;
 };
 
-/// How many times longer than alone a call takes at a server of usual speed with this load; what
-/// has to be read is left out.
+/// Time of a call at a server of typical speed with this load, as a multiple of its time at an idle
+/// one. Reading of the prompt is not included.
 double time_at(const server_prospect& server, const choice_rules& rules);
-/// How many calls' time it takes until the call is through, with what it takes from others,
-/// beyond that of a call alone at a server of usual speed.
+/// Cost of the call in units of a call's time: its own time and the delay of other calls, beyond
+/// the time of a call at an idle server of typical speed.
 double cost_of(const server_prospect& server, const choice_rules& rules);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/server_health.h
+++ b/libs/placement/include/hawthornlane/placement/server_health.h
@@ -1,4 +1,5 @@
-// What the calls of one host say about a backend server. No I/O, clock or randomness.
+// Health of a backend server, judged by the outcomes and times of one host's calls to it. No I/O,
+// clock or randomness.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +9,10 @@
 
 namespace hawthornlane {
 
-/// How a call at a server ended, as it bears on the server's health.
+/// Result of a call to a server, as far as it matters for the server's health.
 enum class server_outcome : std::uint8_t {
   answered,
-  /// Answered with a failure of the server's own.
+  /// The server answered with an error of its own.
   error_answer,
   refused,
   failed,
@@ -19,82 +20,85 @@
   caller_left
 };
 
-/// When a server is left out, and for how long.
+/// Conditions under which a server is excluded or degraded, and for how long.
 struct health_rules {
-  /// First exclusion after a failure; doubles up to the longest.
+  /// Duration of the first exclusion; doubles with each further failure up to `longest_exclusion`.
   duration first_exclusion = std::chrono::milliseconds(250);
   duration longest_exclusion = std::chrono::seconds(4);
-  /// Consecutive failures that exclude a server; one lost answer is no sign.
+  /// Consecutive failures that exclude a server; a single lost answer can have other causes.
   std::uint32_t failures_to_exclude = 2;
-  /// Part of a new outcome in the belief about failures.
+  /// Weight of a new outcome in the moving average of the failure rate.
   double newest_part = 0.25;
-  /// How much servers differ from each other, as a variance of the logarithm of their
-  /// times: a factor of 1.6 either way. Against it stands how much calls of one kind
-  /// differ, which is measured: one first event that comes four times too late says
-  /// much, a job of unknown length little.
+  /// Variance between servers of the logarithm of their call times: a factor of 1.6 either way. A
+  /// sample is weighted by this against the measured variance between calls of its kind. A first
+  /// event that is four times too late says much about a server, a job of unknown length little.
   double server_variance = 0.25;
-  /// A server that takes three times the usual time is doubted; the logarithm of that.
-  /// Servers that turn slow were seen to take four times as long and more, while a long
-  /// queue seldom makes it three.
+  /// Logarithm of the slowdown above which a server is degraded: three times the usual time.
+  /// Servers that became slow took at least four times as long, while a long queue seldom
+  /// causes a factor of three.
   double doubted_pace = 1.1;
-  /// A server that fails this part of its calls is doubted: two failures in a row, or
-  /// two in three. Servers fail about 1 in 500 when nothing is wrong.
+  /// Failure rate above which a server is degraded: two failures in a row, or two of three calls.
+  /// Healthy servers fail about 1 in 500 calls.
   double doubted_faults = 0.35;
-  /// Beliefs fade by a factor of e in this time, so that a doubted server is tried
-  /// again; troubles of servers were seen to last 4 to 7 s.
+  /// Estimates decay by a factor of e in this time, so that a degraded server is tried again.
+  /// Faults of servers lasted 4 to 7 s.
   duration fading = std::chrono::seconds(4);
 };
 
-/// One time as it bears on a server.
+/// One call's time compared with that of similar calls.
 struct pace_sample {
-  /// Logarithm of the time in parts of what such a call takes at present.
+  /// Logarithm of the ratio of the call's time to the time that such a call takes at present.
   double pace = 0;
-  /// Variance of that among calls of the same kind.
+  /// Variance of this logarithm among calls of the same kind.
   double variance = 1;
 };
 
-/// What is usual for each kind of call at the servers of one service, and how far all
-/// of them are from it at present.
+/// Typical time of each kind of call at the servers of one service, and the current deviation from
+/// it that all servers have in common.
 class usual_times {
 public:
-  /// Compares `took` with the time that such a call takes at present, which follows. A time that is
-  /// only a lower bound says nothing when it is shorter.
+  /// Compares `took` with the time that such a call takes at present, and updates that time. If
+  /// `lower_bound` is set, the call has not ended yet: a short time then says nothing (pace 0), and
+  /// the typical time is not updated.
   pace_sample compare(std::uint64_t kind, duration took, bool lower_bound);
 
 private:
-  /// Of the logarithm of seconds.
+  /// Statistics of the logarithm of the time in seconds.
   struct kind_times {
     double mean = 0;
     double variance = 1;
   };
   std::map<std::uint64_t, kind_times> usual;
-  /// Of late, all calls took so much longer than usual; a logarithm as well. Under
-  /// overload every server is slow, and none of them is to be doubted for it.
+  /// Logarithm of the recent slowdown of all calls. Under overload every server is slow, and no
+  /// server may be degraded for that.
   double common = 0;
 };
 
-/// The belief about one server.
+/// Health of one server.
 class server_health {
 public:
+  /// Records the outcome of a call.
   void note(server_outcome outcome, const health_rules& rules, timestamp now);
+  /// Records the time of a call.
   void note_pace(const pace_sample& sample, const health_rules& rules, timestamp now);
-  /// A call that is still waited for has taken so long already: the server is at least
-  /// that slow, for as long as the call is under way.
+  /// Records the time so far of a call that has not been answered yet. This can only raise the
+  /// estimated slowness: the server is at least that slow while the call is pending.
   void hold_pace(const pace_sample& sample, const health_rules& rules, timestamp now);
 
-  /// It gets nothing at all for now.
+  /// True while the server must not get any calls.
   [[nodiscard]] bool excluded(timestamp now) const { return this->excluded_until > now; }
-  /// Slower than others, or failing more often: it is used only when no other is left.
+  /// True if the server is slower or fails more often than others. It is used only if no other
+  /// server is available.
   [[nodiscard]] bool doubted(const health_rules& rules, timestamp now) const;
 
 private:
-  /// A belief fades from the moment at which it was last renewed.
+  /// An estimate that decays from the time of its last update.
   struct belief {
     double value = 0;
     timestamp renewed{};
 
     [[nodiscard]] double at(const health_rules& rules, timestamp now) const;
-    /// The same as a comparison, which for most servers needs no exponential function.
+    /// True if the decayed value exceeds `bound`. For most servers this needs no exponential.
     [[nodiscard]] bool exceeds(double bound, const health_rules& rules, timestamp now) const;
     void renew(double sample, double weight, const health_rules& rules, timestamp now);
   };
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -1,4 +1,4 @@
-// Which backend server of one service takes a call, and which call goes next.
+// Chooses a backend server of one service for each call, and queues calls that have to wait.
 #pragma once
 
 #include <cstdint>
@@ -20,222 +20,235 @@
 
 namespace hawthornlane {
 
-/// Names one call that waits for a server or is at one.
+/// Identifies a call that waits for a server or is at one.
 using placement_id = strong_value<struct placement_id_tag, std::uint64_t>;
 
-/// A call that wants a server.
+/// A call that needs a server.
 struct placement_request {
   placement_id id;
-  /// Calls with the same value do better at the same server; 0: any server.
+  /// Calls with the same key are served faster by the same server; 0 means any server.
   std::uint64_t affinity = 0;
-  /// Of a call to a model engine: the parts of its prompt, the one that all programs of a
-  /// kind share first, the program's own line of turns behind it.
+  /// Parts of the prompt of a call to a model engine: first the part that all programs of a kind
+  /// share, then the parts of the program's own session. Empty for other calls.
   std::vector<prompt_piece> prompt;
-  /// An earlier turn of its line has been answered.
+  /// True if an earlier turn of the call's session has been answered.
   bool begun = false;
-  /// Calls of one kind take about the same time until they start to be answered.
+  /// Calls of the same kind take about the same time until the first part of their answer.
   std::uint64_t kind = 0;
-  /// Lower goes first.
+  /// A lower value is served first.
   std::uint32_t priority = 0;
-  /// Empty: callers show no account.
+  /// Empty if callers send no account.
   client_account account;
-  /// When the program, or the call itself, should be done.
+  /// Soft deadline: when the program, or the call itself, should be done.
   timestamp wanted_by;
-  /// After this the call cannot be served in its time any more.
+  /// From this time on the call can no longer be served within its deadline.
   timestamp give_up_at;
-  /// Servers that have refused or failed this call already.
+  /// Servers that have already refused or failed this call.
   std::set<backend_server_id> tried;
 };
 
-/// What a call's server was chosen by, for the log.
+/// The inputs of a server choice, for the log.
 struct placement_basis {
-  /// Calls of all hosts at the server, and how old the count of the other hosts' is.
+  /// Estimated calls of all hosts at the server, and the age of the count of other hosts' calls.
   double calls = 0;
   duration load_age{};
   token_count missing_tokens{0};
-  /// The server had read the call's line before.
+  /// True if the server had cached a part of the call's session.
   bool holds_line = false;
 };
 
-/// Send that call to that server now.
+/// Assigns a call to a server; the call is to be sent now.
 struct placement {
   placement_id id;
   backend_entry server;
-  /// Of a call with a prompt.
+  /// Set for a call with a prompt.
   std::optional<placement_basis> basis;
 };
 
-/// A server that a call would go to, for a claim at its keeper.
+/// A candidate server for a call, at which the call can claim a place.
 struct place_target {
   backend_server_id server;
   server_key key;
-  /// Calls that may be there: it is not idle while a message travels.
+  /// Calls that may be at the server. More than it works on at once, so that it is not idle while
+  /// the message about a free place is in transit.
   std::uint32_t places = 0;
-  /// By what is known here.
+  /// True if all places are taken, by this host's estimate.
   bool full = false;
 };
 
-/// What happens with a call that was submitted.
+/// Result of submitting a call.
 enum class submit_outcome : std::uint8_t { placed, queued, refused };
 
 /// Limits and weights of a pool.
 struct pool_rules {
-  /// Calls that this host has at one server at once, as a share of its slots.
-  /// Several hosts send to each server; a server works fastest below its slots.
+  /// Limit of this host's calls at one server, as a fraction of the server's slots. Several hosts
+  /// send to each server, and a server is fastest when not all of its slots are used.
   double slots_share = 1.0;
-  /// Least limit a server, so that one host alone can still use it.
+  /// Lower bound of this limit, so that a single host can still use the server.
   std::uint32_t least_limit = 2;
-  /// Calls that wait at most, as a multiple of all places of this host. A longer
-  /// queue only holds calls that run out of time.
+  /// Limit of queued calls, as a multiple of all places of this host. In a longer queue calls would
+  /// only reach their deadlines.
   double queue_factor = 2.0;
-  /// A call without a prompt goes to the server of its object while that has at most this
-  /// many calls of this host more than the least busy one.
+  /// A call without a prompt goes to the server of its affinity key while that server has at most
+  /// this many more calls of this host than the least busy server.
   std::uint32_t affinity_slack = 2;
-  /// A call for a server whose places are taken waits at the server's keeper.
+  /// If set, a call whose server is full waits in the place queue of the host that holds the
+  /// server's directory entry.
   bool claims_places = false;
-  /// Servers are weighed by the speed that calls at them have shown.
+  /// If set, servers' speeds are estimated from the times of calls and used in the choice.
   bool learns_speed = false;
   choice_rules choice;
   health_rules health;
   speed_rules speed;
 };
 
-/// What a host believes of a server's speed, for operators.
+/// A host's estimate of a server's slowdown, for operators.
 struct server_pace {
   backend_server_id id;
-  /// How many times longer calls take there than usual.
+  /// Time of calls at this server as a multiple of the time at a typical server.
   double factor = 1;
-  /// What that rests on; 1 is as much as knowing nothing.
+  /// Weight of the samples behind the estimate; 1 is the weight of the prior.
   double weight = 0;
 };
 
-/// Decides for one service at one host. No I/O, clock or randomness.
+/// Places the calls of one service on one host. No I/O, clock or randomness.
 class server_pool {
 public:
   server_pool(pool_rules rules, const host_id& own, availability_zone here);
 
-  /// The servers that may get calls now: listed and not draining.
+  /// Sets the servers that may get calls: those that are listed and not draining. Returns queued
+  /// calls that can be placed now.
   std::vector<placement> set_servers(const std::vector<backend_entry>& servers, timestamp now);
-  /// What is worth asking other hosts before `request` is submitted.
+  /// Directory entries that are worth requesting from other hosts before `request` is submitted.
   [[nodiscard]] directory_question question_for(const placement_request& request,
                                                 timestamp now) const;
-  /// What other hosts answered.
+  /// Sets the number of calls that other hosts have at a server. Unknown servers are ignored.
   void note_load(const server_load& load, timestamp now);
+  /// Records that a server has read a part of a prompt, as another host reports it.
   void note_location(const part_location& location);
-  /// What other hosts should know and have not been told yet.
+  /// Returns and clears the changes that have not been reported to the directory yet.
   directory_update take_update();
   /// Calls of this host at each server that has any.
   [[nodiscard]] std::vector<server_load> own_loads() const;
-  /// How many calls all hosts have for each place of the servers, as far as this host has heard.
-  /// Calls without a prompt are told and asked about only when that is high.
+  /// Sets the utilization of the servers: calls of all hosts per place, by the latest counts
+  /// received. Calls without a prompt are reported and queried only when it is high.
   void note_fill(double calls_per_place) { this->fill_heard = calls_per_place; }
-  /// Ends of calls without a prompt are told together; those due by `now` are part of the next
-  /// `take_update`. True: there are some.
+  /// Ends of calls without a prompt are reported in batches. Moves a batch that is due by `now`
+  /// into the next `take_update`. Returns false if none is due.
   bool release_ends(timestamp now);
-  /// Adds what calls of this host have said of the servers that `update` names, and has not
-  /// been told.
+  /// Adds this host's speed estimates to `update`: those of the servers in `update.loads` that have
+  /// changed since the last report.
   void add_speeds(directory_update& update, timestamp now);
-  /// What other hosts believe.
+  /// Sets the mean of other hosts' estimates of a server's speed. Unknown servers are ignored.
   void note_speed(const told_speed& speed, timestamp now);
-  /// Of the listed servers of which something is known.
+  /// Slowdowns of the listed servers that have an estimate of sufficient weight.
   [[nodiscard]] std::vector<server_pace> paces(timestamp now) const;
-  /// Some server is known to have read this part of a prompt.
+  /// True if some server is known to have read this part of a prompt.
   [[nodiscard]] bool knows(prompt_part_key part) const { return this->caches.knows(part); }
   /// Places the call, queues it, or refuses it at once because it cannot be served.
   submit_outcome submit(const placement_request& request, timestamp now,
                         std::vector<placement>& placed);
-  /// Where the call claims a place, the cheapest server first; none: it is submitted. While the
-  /// first one is not full the call is placed there without a claim.
+  /// Servers at which the call should claim a place, the cheapest first. If there are none, the
+  /// call is to be submitted instead. If the first is not full, the call is to be placed there
+  /// without a claim.
   [[nodiscard]] std::vector<place_target> claim_targets(const placement_request& request,
                                                         timestamp now) const;
-  /// Places the call at this server, which has a place for it; nothing when the server is gone,
-  /// or excluded by now.
+  /// Places the call at a server that has granted it a place. Empty if the server has been removed
+  /// or excluded meanwhile, or has failed this call.
   std::optional<placement> place_at(const placement_request& request,
                                     const backend_server_id& server, timestamp now);
-  /// A call left its server; calls that can be placed now come back.
+  /// Records the end of a call at its server. Returns queued calls that can be placed now.
   std::vector<placement> finished(placement_id id, server_outcome outcome, timestamp now);
-  /// The first part of a call's answer came; the rest is as long as the call itself.
+  /// Records that the first part of a call's answer has arrived. Only the time until then is
+  /// compared between calls; the remaining time depends on the length of the answer.
   void started(placement_id id, timestamp now);
-  /// While places are scarce: so many calls may be at servers.
+  /// Limits the calls of this host in flight while places are scarce; empty for no limit. Returns
+  /// queued calls that can be placed now.
   std::vector<placement> set_window(std::optional<std::uint32_t> most, timestamp now);
-  /// The call leaves the queue.
+  /// Removes a call from the queue.
   void cancel(placement_id id);
-  /// Calls whose time is over; they have left the queue.
+  /// Removes the calls whose `give_up_at` has passed from the queue, and returns them.
   std::vector<placement_id> expire(timestamp now);
-  /// Holds late calls against their servers, and tries the queue again, since an
+  /// Updates server health with the times of pending late calls, and places queued calls, since an
   /// exclusion may have ended.
   std::vector<placement> tick(timestamp now);
 
   [[nodiscard]] std::size_t waiting() const { return this->queue.size(); }
-  /// Calls at servers and waiting for one.
+  /// Number of calls at servers and in the queue.
   [[nodiscard]] std::size_t demand() const { return this->queue.size() + this->calls_inside; }
-  /// Servers that get nothing for now after failures.
+  /// Servers that get no calls for now because of failures.
   [[nodiscard]] std::set<backend_server_id> excluded(timestamp now) const;
-  /// Servers that get nothing, or nothing while others are free, because of how calls
-  /// at them went.
+  /// Servers that are excluded, or degraded and used only if no other server is available.
   [[nodiscard]] std::set<backend_server_id> set_aside(timestamp now) const;
-  /// Calls that the servers which are not set aside work on at once.
+  /// Calls that the healthy servers work on at once.
   [[nodiscard]] double places_in_good_health(timestamp now) const;
   [[nodiscard]] std::vector<backend_server_id> listed() const;
 
 private:
-  /// Numbers what this pool knows of one server from its listing, or its last start, on. The
-  /// start that an entry names may come again, when the store lists an older entry.
+  /// Version of this pool's state for a server; a new one begins when the server is first listed
+  /// and when it restarts. The `start` of an entry can't be used for this: it may repeat when the
+  /// store lists an older entry.
   using server_life = strong_value<struct server_life_tag, std::uint64_t>;
   struct server_state {
     backend_entry entry;
     server_life life;
-    /// What hosts call it between themselves.
+    /// Key of the server in messages between hosts.
     server_key key;
-    /// Invariant: equals the entries of `running` with this server's `life`.
+    /// Number of this host's calls at the server. Invariant: equals the number of entries of
+    /// `running` with this server's `life`.
     std::uint32_t inside = 0;
-    /// Calls of other hosts when they were last heard of.
+    /// Number of other hosts' calls, and when it was received.
     double others = 0;
     timestamp others_heard{};
-    /// Those of `inside` that other hosts are told of.
+    /// Those of `inside` that are reported to other hosts.
     std::uint32_t shared = 0;
     server_health health;
     server_speed speed;
-    /// How many times longer calls take there than usual; renewed with each word of it and
-    /// once a second, since thousands of servers are weighed for one call.
+    /// Time of calls at this server as a multiple of the time at a typical server. Cached, since
+    /// thousands of servers are compared for one call; updated with each sample or report and once
+    /// a second.
     double slow_factor = 1;
     bool listed = true;
   };
-  /// The servers that a choice is made among.
+  /// Which servers a choice considers: those that are not degraded, or any.
   enum class choice_range : std::uint8_t { trusted, any };
   /// A call at a server.
   struct running_call {
     backend_server_id server;
-    /// Of its server; another one there by now knows nothing of the call.
+    /// The server's `life` when the call was sent. If the server has another one now, the call says
+    /// nothing about it.
     server_life life;
     std::uint64_t kind = 0;
-    /// Other hosts want to know of it: it has a prompt, or servers are rather full.
+    /// True if the call is reported to other hosts: it has a prompt, or utilization is high.
     bool is_shared = false;
     timestamp since{};
-    /// Its time until the answer began is known.
+    /// True once the time until the first part of the answer has been recorded.
     bool timed = false;
-    /// It has no prompt, and its end is told with others.
+    /// True if the call has no prompt and its end is reported in a batch.
     bool ends_later = false;
-    /// Calls that have about as much to read take about the same time.
+    /// Kind of the call for speed samples: calls with about as many tokens to read take about the
+    /// same time.
     std::uint64_t timed_kind = 0;
-    /// How many times longer than alone it takes at the load that its server had.
+    /// Time that the call takes at the load of its server, as a multiple of the time at an idle
+    /// server.
     double load = 1;
-    /// Its server had no place free.
+    /// True if its server had no free slot.
     bool waits = false;
   };
-  /// Priority, whether it begins a program, whether its time is over already, when it is
-  /// wanted, and its name.
+  /// Priority, whether the call starts a program, whether `wanted_by` has passed, `wanted_by`, and
+  /// the call's id.
   using queue_key = std::tuple<std::uint32_t, bool, bool, timestamp, placement_id>;
   using server_list = std::vector<const server_state*>;
-  /// A listed server, with what each choice looks at.
+  /// A listed server with the values that each choice reads.
   struct listed_server {
     server_state* server = nullptr;
     std::uint64_t name_hash = 0;
-    /// Its place in this host's own order of equally busy servers.
+    /// Order among equally busy servers, specific to this host.
     std::uint64_t rank = 0;
+    /// True if the server is in this host's availability zone.
     bool near = false;
   };
-  /// A server and its weight for a key.
+  /// A server and its rendezvous weight for a key.
   using weighted_server = std::pair<std::uint64_t, const server_state*>;
 
   [[nodiscard]] std::uint32_t limit_of(const server_state& server) const;
@@ -250,86 +263,90 @@
                                                 timestamp now);
   [[nodiscard]] server_state* choose_least_busy(const placement_request& request,
                                                 choice_range range, timestamp now);
-  /// What it costs to send the call there.
+  /// Cost of sending the call to the server.
   [[nodiscard]] double cost_at(const server_state& server, const placement_request& request,
                                timestamp now) const;
-  /// The same by the calls of all hosts and the servers' speeds.
+  /// Like `choose_least_busy`, but by the calls of all hosts and the servers' speeds.
   [[nodiscard]] server_state* choose_by_speed(const placement_request& request, choice_range range,
                                               timestamp now);
-  /// The few servers that a call without a prompt is weighed at, that of its object first. Faster
-  /// ones come up more often, so that hosts which know old loads share the work by speed.
+  /// The few candidates for a call without a prompt; the server of its affinity key is the first.
+  /// Faster servers are chosen more often, so that work is shared by speed even if hosts have
+  /// outdated counts.
   [[nodiscard]] std::vector<const listed_server*> candidates_by_speed(
       const placement_request& request, choice_range range, timestamp now) const;
-  /// How many usual calls' work is at the server with one more call.
+  /// Work at the server with one more call without a prompt, in calls of typical duration.
   [[nodiscard]] double plain_cost(const listed_server& item, timestamp now) const;
-  /// What this host believes of the server for the call.
+  /// This host's estimate of the server's state for the call.
   [[nodiscard]] server_prospect prospect_of(const server_state& server,
                                             const placement_request& request, timestamp now) const;
-  /// Has other hosts told of a call without a prompt as the load wants.
+  /// Decides by the utilization whether a call without a prompt is reported to other hosts.
   void note_plain_call(running_call& call, const server_state& server);
   [[nodiscard]] directory_question plain_question(const placement_request& request,
                                                   timestamp now) const;
-  /// Of a call that is about to be placed.
+  /// Records the server's load in a call that is about to be placed.
   void note_load_met(running_call& call, const server_state& server,
                      const placement_request& request, timestamp now) const;
-  /// Holds a call's time for or against its server's speed.
+  /// Updates the speed estimate of the call's server with the call's time.
   void note_speed_of(const running_call& call, timed_part part, timestamp now);
-  /// A call whose end is told later has ended.
+  /// Adds the end of a call to the batch that is reported later.
   void note_end(const server_state& server, timestamp now);
   void renew_slow_factor(server_state& server, timestamp now);
-  /// Beliefs fade.
+  /// Updates the cached factors once a second, since estimates decay.
   void renew_slow_factors(timestamp now);
-  /// What the server can do, in parts of what servers can do on average.
+  /// Speed of the server relative to the mean speed of all servers.
   [[nodiscard]] double part_of_work(const server_state& server) const;
-  /// Calls at the server that other hosts are told of.
+  /// Number of this host's calls at the server that are reported to other hosts.
   [[nodiscard]] std::uint32_t told_calls(const server_state& server) const;
-  /// The servers that hold the call's line, and a few others.
+  /// Candidates for a call with a prompt: the servers that have cached its session, and a few
+  /// others. Empty for a call without a prompt.
   [[nodiscard]] server_list candidates_for(const placement_request& request, timestamp now) const;
   [[nodiscard]] bool holds_line(const server_state& server, const placement_request& request) const;
-  /// Adds to `chosen` the servers that hold the call's line.
+  /// Adds the servers that have cached the call's session to `chosen`.
   void add_holders(const placement_request& request, timestamp now,
                    std::vector<weighted_server>& chosen) const;
   [[nodiscard]] bool may_weigh(const server_state& server, const placement_request& request,
                                timestamp now) const;
   [[nodiscard]] placement_basis basis_of(const server_state& server,
                                          const placement_request& request, timestamp now) const;
-  /// Nothing: unknown here, of another service, or of a former incarnation.
+  /// Null if the server is unknown, belongs to another service, or has restarted.
   [[nodiscard]] server_state* find_server(server_key key);
-  /// The call's server; nothing when that has started again since.
+  /// The call's server; null if it has been removed or has restarted since.
   [[nodiscard]] server_state* server_of(const running_call& call);
-  /// The server has started again: nothing known of it before counts.
+  /// Resets the state of a server that has restarted.
   void forget_incarnation(server_state& server);
-  /// Makes what is derived from `servers` anew.
+  /// Rebuilds all data that is derived from `servers`.
   void index_servers();
-  /// Of servers that are gone nobody is told.
+  /// Drops unreported speed changes of servers that have been removed.
   void drop_old_news();
-  /// A server that is listed no more has no call left.
+  /// Removes a server that is no longer listed and has no calls left.
   void remove_server(const backend_server_id& id);
-  /// Calls of all hosts at the server now, as well as this host can tell.
+  /// Estimated number of calls of all hosts at the server now.
   [[nodiscard]] double calls_at(const server_state& server, timestamp now) const;
   void note_prompt(const placement_request& request, const server_state& server);
   [[nodiscard]] static queue_key key_of(const placement_request& request, timestamp now);
   void place(const placement_request& request, server_state& server, timestamp now,
              std::vector<placement>& placed);
-  /// Holds what a call took so far for or against its server.
+  /// Updates the health of the call's server with the time that the call has taken so far.
   void note_time(const running_call& call, bool lower_bound, timestamp now);
-  /// Holds calls that are much later than usual against their servers.
+  /// Updates server health with the pending calls that have no answer yet. Only calls that are
+  /// later than usual have an effect.
   void note_late_calls(timestamp now);
+  /// Places as many queued calls as possible, in order.
   std::vector<placement> fill(timestamp now);
 
   pool_rules rules;
   availability_zone zone;
   std::map<backend_server_id, server_state> servers;
-  // Derived from `servers`, whose entries stay where they are: 2,200 servers would else be
-  // visited several times for each call, 2.5 ms.
+  // Derived from `servers`, whose entries have stable addresses. Without it 2,200 servers would be
+  // visited several times for each call, which takes 2.5 ms.
   std::vector<listed_server> listed_servers;
   std::unordered_map<server_key, server_state*> by_key;
   /// Invariant: the sum of `others`.
   double calls_of_others = 0;
-  /// Calls that this host may have at the listed servers, and those that it has.
+  /// Limit of this host's calls at the listed servers, and the number that it has.
   std::size_t places = 0;
   std::size_t calls_at_listed = 0;
-  /// Invariant: the sum of `inside`. Calls at former incarnations have no place any more.
+  /// Invariant: the sum of `inside`. Calls at former incarnations are not included.
   std::size_t calls_inside = 0;
   std::map<placement_id, running_call> running;
   server_life last_life;
@@ -337,22 +354,22 @@
   std::map<placement_id, queue_key> queued;
   usual_times usual;
   prefix_cache_view caches;
-  /// Not told yet: where lines went, and servers at which this host's count has changed.
+  /// Unreported changes: locations of sessions, and servers at which this host's count has changed.
   std::vector<part_location> moved;
   std::set<server_key> changed;
-  /// The same by ends of calls without a prompt, and since when.
+  /// Servers with unreported ends of calls without a prompt, and the time of the first of them.
   std::set<server_key> ended;
   timestamp ended_since{};
   typical_times typical;
-  /// Servers of whose speed this host has learnt more than it has told.
+  /// Servers with speed samples that this host has not reported yet.
   std::set<server_key> speed_news;
   timestamp next_renewal{};
-  /// Of 1 / `slow_factor`, as of the last renewal.
+  /// Mean of 1 / `slow_factor` at the last update of all factors.
   double mean_speed = 1;
   double fill_heard = 0;
-  /// Calls that may be at servers while places are scarce; nothing: as many as fit.
+  /// Limit of this host's calls in flight while places are scarce; empty for no limit.
   std::optional<std::uint32_t> window;
-  /// Makes the order in which this host prefers equally busy servers its own.
+  /// Hash seed that makes the order of equally busy servers differ from host to host.
   std::uint64_t own_key;
 };
 
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -1,8 +1,9 @@
-// How fast a backend server is, by the times of calls at it. No I/O, clock or randomness.
+// Estimates the speed of a backend server from the times of calls at it. No I/O, clock or
+// randomness.
 //
-// Answers a load at which the servers of one service differ by 2.5 times, and each of them is
-// that much slower for some tenths of a second at times. All speeds are logarithms of factors:
-// 0 is as usual, 0.7 twice as slow.
+// It is built for services whose servers differ in speed by a factor of 2.5, and where each server
+// is temporarily slower by such a factor for some tenths of a second. All speeds are natural
+// logarithms of slowdown factors: 0 is typical, 0.7 is twice as slow.
 #pragma once
 
 #include <cstdint>
@@ -14,36 +15,39 @@
 
 namespace hawthornlane {
 
-/// What is believed of servers before any call, and for how long calls count.
+/// Priors of the speed estimates, and decay times of samples.
 struct speed_rules {
-  /// How much servers differ, as a variance of the logarithm of their factors: 1.6 either way.
-  /// A sample of this variance weighs 1, as much as knowing nothing does.
+  /// Variance between servers of the logarithm of their slowdown: a factor of 1.6 either way. A
+  /// sample of this variance has weight 1, the weight of the prior.
   double server_variance = 0.25;
-  /// The same of how much a server differs from itself for a short time: 2.5 times slower for
-  /// a seventh of the time.
+  /// Variance of the logarithm of a server's temporary slowdowns: 2.5 times slower for a seventh of
+  /// the time.
   double spell_variance = 0.1;
-  /// Samples fade by a factor of e in this time. A host has about one call in two seconds at
-  /// each of 45 servers, so its own word rests on some ten calls.
+  /// Samples decay by a factor of e in this time. A host has about one call per two seconds at each
+  /// of 45 servers, so its own estimate is based on about ten calls.
   duration slow_fading = std::chrono::seconds(15);
-  /// Half of a short slowness of 600 ms.
+  /// Decay time for temporary slowdowns: half of a typical duration of 600 ms.
   duration fast_fading = std::chrono::milliseconds(300);
-  /// A host's own word and the mean of the others' weigh at most this much each, so that
-  /// without calls half of a belief is forgotten in 70 s, 15 s times the logarithm of both.
+  /// Upper bound of the weight of a host's own estimate, and of that of the mean of the other
+  /// hosts. It makes an estimate without new calls halve in 70 s: 15 s times the logarithm of the
+  /// sum of both weights.
   double most_weight = 50;
 };
 
-/// One call's time, compared with what such calls take.
+/// One call's time, compared with the time of similar calls.
 struct server_speed_sample {
+  /// Logarithm of the ratio of the two times.
   double pace = 0;
   double weight = 0;
 };
 
-/// What one host believes of a server, or the mean of what several do; 8 bytes between hosts.
+/// One host's estimate of a server's speed, or the mean of several hosts' estimates. Takes 8 bytes
+/// in messages between hosts.
 struct speed_word {
-  /// Thousandths of a logarithm, and eighths of a weight.
+  /// Lasting slowdown in thousandths of a logarithm, and its weight in eighths.
   std::int16_t slow = 0;
   std::uint16_t slow_weight = 0;
-  /// How the server differs from `slow` at the moment.
+  /// Current deviation from `slow`, in the same units.
   std::int16_t fast = 0;
   std::uint16_t fast_weight = 0;
 
@@ -55,7 +59,7 @@
   }
 };
 
-/// A weighted mean whose weight fades.
+/// A weighted mean whose weight decays exponentially.
 class fading_mean {
 public:
   fading_mean() = default;
@@ -64,7 +68,8 @@
 
   void add(double sample, double by, duration fading, timestamp now);
   [[nodiscard]] double mean() const { return this->value; }
-  /// What fades is `most` at most: a mean of many samples is forgotten as soon as one of few.
+  /// The weight at `now`. It is capped at `most` before it decays, so that a mean of many samples
+  /// is forgotten as soon as one of few.
   [[nodiscard]] double weight_at(double most, duration fading, timestamp now) const;
 
 private:
@@ -75,21 +80,21 @@
   timestamp renewed{};
 };
 
-/// The belief about one incarnation of a server.
+/// Speed estimate of one incarnation of a server.
 class server_speed {
 public:
-  /// A call of this host ended.
+  /// Adds a sample from a call of this host.
   void note(const server_speed_sample& sample, const speed_rules& rules, timestamp now);
-  /// The mean of what other hosts believe; it takes the place of what was heard before, and is
-  /// never part of what this host tells.
+  /// Sets the mean of other hosts' estimates. It replaces the previous one, and is never part of
+  /// what this host reports.
   void hear(const speed_word& word, timestamp now);
-  /// What this host's own calls say.
+  /// Estimate from this host's own calls only.
   [[nodiscard]] speed_word own_word(const speed_rules& rules, timestamp now) const;
-  /// What the server is.
+  /// Lasting slowdown of the server.
   [[nodiscard]] double slow(const speed_rules& rules, timestamp now) const;
-  /// What a call that is sent now has to expect.
+  /// Slowdown to expect for a call that is sent now: the lasting and the temporary one together.
   [[nodiscard]] double expected(const speed_rules& rules, timestamp now) const;
-  /// What the belief about what the server is rests on; 1 weighs as much as knowing nothing.
+  /// Weight of the samples behind the lasting slowdown; 1 is the weight of the prior.
   [[nodiscard]] double weight(const speed_rules& rules, timestamp now) const;
 
 private:
@@ -99,7 +104,7 @@
   fading_mean told_fast;
 };
 
-/// The mean of words that several hosts have told.
+/// Weighted mean of the estimates that several hosts have reported.
 class speed_mean {
 public:
   void add(const speed_word& word, duration age, const speed_rules& rules);
@@ -107,13 +112,14 @@
 
 private:
   struct faded_sum {
-    /// Of paces by their faded weights, of those weights, and of the weights as they were told.
+    /// Sums of: the reported values times their decayed weights, the decayed weights, and the
+    /// weights as reported.
     double paces = 0;
     double faded = 0;
     double whole = 0;
 
     void add(double pace, double weight, double fading);
-    /// What it counts for, `most` at most before it fades.
+    /// The decayed weight of the mean; the reported weight is capped at `most` before it decays.
     [[nodiscard]] double weight(double most) const;
   };
 
@@ -121,28 +127,28 @@
   faded_sum fast;
 };
 
-/// What was measured of a call.
+/// Which part of a call was timed: up to the first event of its answer, or all of it.
 enum class timed_part : std::uint8_t { first_event, whole };
 
-/// What such calls take at all servers of a service at present.
+/// Current typical time of each kind of call, over all servers of a service.
 class typical_times {
 public:
-  /// Compares a call's time with the usual one. `load` is how many times longer than alone a
-  /// call takes at the load that the server had, `expected` what was believed of its speed.
-  /// Nothing while too few calls of the kind are known.
+  /// Compares a call's time with the typical one, and updates that. `load` is the time of a call at
+  /// the load that the server had, as a multiple of the time at an idle server. `expected` is the
+  /// estimate of the server's slowdown. Empty while too few calls of the kind are known.
   std::optional<server_speed_sample> compare(std::uint64_t kind, timed_part part, duration took,
                                              double load, double expected,
                                              const speed_rules& rules);
 
 private:
-  /// Of the logarithm of seconds.
+  /// Statistics of the logarithm of the time in seconds.
   struct kind_times {
     std::uint32_t calls = 0;
     double mean = 0;
     double variance = 1;
   };
   std::map<std::pair<std::uint64_t, timed_part>, kind_times> kinds;
-  /// Of late all calls took so much longer; no server is slower than others for it.
+  /// Logarithm of the recent slowdown of all calls, which must not be attributed to any server.
   double common = 0;
 };
 
--- a/libs/placement/src/call_window.cc
+++ b/libs/placement/src/call_window.cc
@@ -1,4 +1,4 @@
-// How many calls one host may have at the servers of a service while places are scarce.
+// Limits the calls that one host may have in flight at the servers of a service under overload.
 #include "hawthornlane/placement/call_window.h"
 
 #include <algorithm>
--- a/libs/placement/src/place_queue.cc
+++ b/libs/placement/src/place_queue.cc
@@ -1,4 +1,4 @@
-// Gives out the places at backend servers while more calls want one than there are.
+// Queue of calls for places at backend servers.
 #include "hawthornlane/placement/place_queue.h"
 
 #include <algorithm>
@@ -143,7 +143,7 @@
   const auto granted = std::find_if(server.grants.begin(), server.grants.end(),
                                     [&](const open_grant& item) { return item.to == claim.from; });
   if (granted != server.grants.end()) {
-    // The grant, or the answer to it, is still on its way or was lost.
+    // The grant, or the answer with it, is still in transit or was lost.
     granted->given = now;
     this->take_untold(claim.from, claim.server);
     return {claim_outcome::granted, {}, 0};
@@ -193,7 +193,7 @@
 void place_queue::count_changed(const host_id& host, const server_load& load, std::uint32_t before,
                                 timestamp now) {
   kept_server& server = this->heard_of(load.server, now);
-  // Each call more shows one grant, the oldest first.
+  // Each additional call uses up one grant to this host, the oldest first.
   for (std::uint32_t more = before; more < load.calls; ++more) {
     const auto shown = std::find_if(server.grants.begin(), server.grants.end(),
                                     [&](const open_grant& item) { return item.to.host == host; });
--- a/libs/placement/src/placement_directory.cc
+++ b/libs/placement/src/placement_directory.cc
@@ -1,4 +1,4 @@
-// One host's part of what all hosts share about placing calls.
+// One host's shard of the placement directory.
 #include "hawthornlane/placement/placement_directory.h"
 
 #include <xxhash.h>
@@ -30,7 +30,7 @@
 }
 
 std::uint32_t placement_directory::load_of_all(server_key server, timestamp now) const {
-  // No host has the empty name.
+  // No host has an empty name, so no host is left out.
   return this->load_of_others(server, host_id(), now);
 }
 
--- a/libs/placement/src/prefix_cache_view.cc
+++ b/libs/placement/src/prefix_cache_view.cc
@@ -1,4 +1,4 @@
-// What the prefix caches of the servers of one service probably hold.
+// Estimates the contents of the prefix caches of a service's servers.
 #include "hawthornlane/placement/prefix_cache_view.h"
 
 #include <algorithm>
@@ -6,13 +6,13 @@
 namespace hawthornlane {
 namespace {
 
-/// Parts that one host follows; at some 200 bytes each this is 2 MB. A host of the
-/// largest deployment has some 1,700 programs under way.
+/// Upper bound of the parts that one host tracks; at about 200 bytes each this is 2 MB. A host of
+/// the largest deployment has about 1,700 programs in progress.
 constexpr std::size_t most_parts = 8192;
-/// Servers that are remembered for one part. A part that more servers hold is shared
-/// by so many programs that nearly all of them have it.
+/// Upper bound of the servers that are recorded for one part. A part on more servers is shared by
+/// so many programs that nearly all servers have it.
 constexpr std::size_t most_holders = 64;
-/// No part is longer; what a caller says beyond that is not believed.
+/// Token counts are capped here: no part is longer, and callers may send any number.
 constexpr std::int64_t most_tokens = 100'000'000;
 
 std::int64_t in_bounds(token_count tokens) {
--- a/libs/placement/src/server_choice.cc
+++ b/libs/placement/src/server_choice.cc
@@ -1,4 +1,4 @@
-// What it costs to send a call to one server or another.
+// Cost of sending a call to a server.
 #include "hawthornlane/placement/server_choice.h"
 
 #include <algorithm>
--- a/libs/placement/src/server_health.cc
+++ b/libs/placement/src/server_health.cc
@@ -1,4 +1,4 @@
-// What the calls of one host say about a backend server.
+// Health of a backend server, judged by the outcomes and times of one host's calls to it.
 #include "hawthornlane/placement/server_health.h"
 
 #include <algorithm>
@@ -7,16 +7,16 @@
 namespace hawthornlane {
 namespace {
 
-/// Part of a new time in what is usual: slow enough that a few slow servers do not
-/// make themselves the rule.
+/// Weight of a new time in the moving average of a kind's typical time. It is small, so that a few
+/// slow servers do not shift the average to their own times.
 constexpr double usual_newest_part = 0.02;
-/// Part of a new time in what all calls took of late: a host sees some twenty calls a
-/// second, so this follows a burst within half a second.
+/// Weight of a new time in the moving average of the slowdown of all calls. A host has about 20
+/// calls per second, so the average follows a burst within half a second.
 constexpr double common_newest_part = 0.1;
-/// Below the quickest call that is measured.
+/// Lower bound of call times, so that the logarithm is finite; no measured call is faster.
 constexpr double least_seconds = 0.001;
 
-/// How much one time counts against what is believed.
+/// Weight of one sample in the estimate of a server's slowness.
 double weight_of(const pace_sample& sample, const health_rules& rules) {
   return rules.server_variance / (rules.server_variance + sample.variance);
 }
--- a/libs/placement/src/server_pool.cc
+++ b/libs/placement/src/server_pool.cc
@@ -1,4 +1,4 @@
-// Which backend server of one service takes a call, and which call goes next.
+// Chooses a backend server of one service for each call, and queues calls that have to wait.
 #include "hawthornlane/placement/server_pool.h"
 
 #include <algorithm>
@@ -26,14 +26,14 @@
 }
 
 server_pool::queue_key server_pool::key_of(const placement_request& request, timestamp now) {
-  // Programs that have begun go on before others begin, and what is late already goes
-  // behind what can still be in time.
+  // Programs in progress come before new ones, and calls past their soft deadline come after calls
+  // that can still meet it.
   return {request.priority, !request.begun, request.wanted_by <= now, request.wanted_by,
           request.id};
 }
 
 server_pool::server_state* server_pool::choose(const placement_request& request, timestamp now) {
-  // A call that a server has refused must find another one soon.
+  // A call that a server has refused or failed is exempt, so that its retry is not delayed.
   if (this->window && this->calls_inside >= *this->window && request.tried.empty()) {
     return nullptr;
   }
@@ -131,8 +131,8 @@
     item.server = &server;
     item.name_hash = rendezvous_weight(id.get(), 0);
     item.near = server.entry.zone == this->zone;
-    // Those in this zone first, then in an order of this host's own, so that it uses its kept
-    // connections and others use others.
+    // Servers in this zone come first. The order within a zone differs from host to host, so that
+    // each host reuses its open connections and hosts spread over the servers.
     const std::uint64_t far = item.near ? 0 : 1;
     item.rank = far << 32U | (rendezvous_weight(id.get(), this->own_key) & 0xffffffffU);
     this->listed_servers.push_back(item);
@@ -153,7 +153,7 @@
 
 void server_pool::forget_incarnation(server_state& server) {
   if (server.inside > 0) {
-    // Other hosts still count these calls.
+    // Other hosts still count these calls; the next update corrects their counts.
     this->changed.insert(server.key);
   }
   this->caches.forget(server.entry.id);
--- a/libs/placement/src/server_pool_choice.cc
+++ b/libs/placement/src/server_pool_choice.cc
@@ -1,4 +1,4 @@
-// Which server of a pool takes a call, and what hosts tell each other for that.
+// The choice of a server within a pool, and the exchange of loads and locations between hosts.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -9,14 +9,14 @@
 namespace hawthornlane {
 namespace {
 
-/// Set in the weight of a server of this zone, above all others.
+/// Bit that puts the weight of a server in this zone above the weights of all other servers.
 constexpr std::uint64_t near_bit = std::uint64_t{1} << 63U;
 
-/// What was heard of a server's load fades by a factor of e in this time, in favour of
-/// the mean of all servers: a turn takes about as long, so the calls counted then are gone.
+/// The reported load of a server decays by a factor of e in this time towards the mean of all
+/// servers. A turn takes about as long, so the reported calls have ended after it.
 constexpr double load_fading_seconds = 0.3;
-/// A load heard less long ago is not asked for again: hosts that ask more often ask each
-/// other about the same calls.
+/// A load that was received less than this long ago is not queried again: more frequent queries
+/// only return the same calls.
 constexpr duration fresh_load = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -60,8 +60,8 @@
   prospect.missing_tokens = static_cast<double>(missing.get());
   prospect.near = server.entry.zone == this->zone;
   if (this->rules.learns_speed) {
-    // By what the server is, not by the moment: a line that leaves a server for a short slowness
-    // has its prompt read again.
+    // Uses the lasting slowdown only: if a session left a server because of a temporary slowdown,
+    // its prompt would be read again elsewhere.
     prospect.slowness = std::exp(server.speed.slow(this->rules.speed, now));
   }
   return prospect;
@@ -80,8 +80,9 @@
     if (!this->may_take(*server, range, now) || request.tried.contains(server->entry.id)) {
       continue;
     }
-    // An object's server is one of this zone where it has any: callers stay in their
-    // zone, so its front hosts agree, and prompts are the most of all bytes.
+    // The server of an affinity key is in this zone if the zone has any server. Callers stay in
+    // their zone, so all front hosts that they use choose the same server, and prompts, which are
+    // most of the traffic, don't cross zones.
     std::uint64_t weight = 0;
     if (request.affinity != 0) {
       weight = rendezvous_weight(server->entry.id.get(), request.affinity) >> 1U;
@@ -105,7 +106,7 @@
 }
 
 bool server_pool::holds_line(const server_state& server, const placement_request& request) const {
-  // The first part is shared by so many programs that nearly all servers hold it.
+  // The first part is not enough: so many programs share it that nearly all servers have cached it.
   return request.prompt.size() > 1 &&
          this->caches.held(request.prompt, server.entry.id) > request.prompt.front().tokens;
 }
@@ -174,7 +175,7 @@
   const double count = static_cast<double>(this->servers.size());
   double mean = this->servers.empty() ? 0 : this->calls_of_others / count;
   if (this->rules.learns_speed) {
-    // A slow server is given less work, so fewer calls are expected there where none are known.
+    // A slow server gets less work, so fewer calls are expected there when its count is unknown.
     mean *= this->part_of_work(server);
   }
   const double age = to_seconds(std::chrono::duration_cast<duration>(now - server.others_heard));
@@ -194,7 +195,8 @@
 
 void server_pool::note_prompt(const placement_request& request, const server_state& server) {
   if (request.prompt.size() > 1) {
-    // The last part is the line's own; a helper does not speak for its parent's line.
+    // Only the last part is reported, which belongs to this session alone. A sub-agent's session
+    // does not report the location of its parent's session.
     const prompt_piece& line = request.prompt.back();
     this->moved.push_back({line.key, server.key, line.tokens});
   }
--- a/libs/placement/src/server_pool_claims.cc
+++ b/libs/placement/src/server_pool_claims.cc
@@ -1,4 +1,4 @@
-// Where a call claims a place while the servers it would go to are full.
+// Chooses the servers at which a call claims a place when its candidates are full.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -8,19 +8,21 @@
 namespace hawthornlane {
 namespace {
 
-/// Two choices even a load nearly as well as all do, and each claim is a message.
+/// Upper bound of the servers at which one call claims a place. Two choices balance load nearly as
+/// well as more, and each claim is a message.
 constexpr std::size_t most_targets = 2;
-/// A second server is claimed at while it costs at most this much of a call's time more: one
-/// that must read the whole line again takes that time from others.
+/// A call claims a place at a second server only if the cost there is at most this much higher, as
+/// a fraction of a call's time. A server that has to read the whole session again takes that time
+/// from other calls.
 constexpr double most_dearer = 0.3;
-/// Beside the calls that a server works on, one that it starts when one of them ends.
+/// Places of a server beyond its slots: a call that it can start as soon as another one ends.
 constexpr std::uint32_t spare_places = 1;
 
 }  // namespace
 
 std::vector<place_target> server_pool::claim_targets(const placement_request& request,
                                                      timestamp now) const {
-  // A call that a server has refused must find another one soon.
+  // A call that a server has refused or failed makes no claim, so that its retry is not delayed.
   if (!this->rules.claims_places || request.prompt.empty() || !request.tried.empty()) {
     return {};
   }
@@ -51,7 +53,7 @@
     target.server = item.server->entry.id;
     target.key = item.server->key;
     target.places = item.server->entry.slots + spare_places;
-    // A count fades from when it is heard, by a part of a call in some milliseconds.
+    // Rounded, since a received count decays by a fraction of a call within milliseconds.
     target.full = std::lround(this->calls_at(*item.server, now)) >= target.places;
     targets.push_back(std::move(target));
   }
--- a/libs/placement/src/server_pool_speed.cc
+++ b/libs/placement/src/server_pool_speed.cc
@@ -1,5 +1,4 @@
-// How the speeds of a pool's servers are learnt and told, and how calls without a prompt are
-// placed by them.
+// Learns and reports the speeds of a pool's servers, and uses them to place calls without a prompt.
 #include <algorithm>
 #include <bit>
 #include <cmath>
@@ -10,35 +9,36 @@
 namespace hawthornlane {
 namespace {
 
-/// Hosts tell each other what calls without a prompt say of speeds, when they end, from this many
-/// calls a place on: below it a call finds a free place nearly wherever it goes.
+/// Utilization (calls per place) from which hosts report the ends of calls without a prompt, and
+/// with them speed estimates. Below it a call finds a free place at nearly every server.
 constexpr double tell_from = 0.25;
-/// They tell such a call's beginning from here on, so that counts are known when they are asked.
+/// Utilization from which hosts also report the starts of such calls. It is below `ask_from`, so
+/// that counts are known when hosts start to query them.
 constexpr double tell_begins_from = 0.45;
-/// They ask before they place one from here on, since a server chosen by hash is full at one
-/// call in ten then.
+/// Utilization from which hosts query loads before they place such a call: a server chosen by hash
+/// is then full for one call in ten.
 constexpr double ask_from = 0.5;
-/// Such a load fades by a factor of e in this time, in favour of what is usual: hosts that go by
-/// counts from before the calls now under way meet at the same servers.
+/// The reported load of such calls decays by a factor of e in this time towards the mean of all
+/// servers. Hosts that use counts from before the current calls all choose the same servers.
 constexpr double plain_fading_seconds = 0.1;
-/// A load of calls without a prompt that was heard less long ago is not asked for: such calls
-/// take 50 to 200 ms.
+/// A load that was received less than this long ago is not queried again for calls without a
+/// prompt: they take 50 to 200 ms.
 constexpr duration fresh_plain_load = std::chrono::milliseconds(100);
-/// Ends are told together for this long: a part of the quickest such calls.
+/// Ends are collected into a batch for this long, a fraction of the time of even short calls.
 constexpr duration ends_pause = std::chrono::milliseconds(50);
-/// Part of a server's slowness in the cost of a call there. The rest is in how often it comes up
-/// as a candidate.
+/// Exponent of a server's slowness in the cost of a call. It is below 1 because slow servers are
+/// also chosen as candidates less often.
 constexpr double slowness_in_cost = 0.5;
-/// Servers that a call without a prompt is weighed at.
+/// Number of candidates for a call without a prompt.
 constexpr std::size_t plain_choices = 3;
-/// Calls with less than this to read count as one kind, those with twice as much as the next.
+/// Calls with fewer tokens to read than this are of one kind; each doubling is a further kind.
 constexpr std::uint64_t least_reading = 128;
 constexpr duration renewal_pause = std::chrono::seconds(1);
-/// Below this a belief is hardly more than a guess.
+/// Estimates of less weight are not shown to operators: they are mostly the prior.
 constexpr double least_shown_weight = 1;
 
-/// The first server in an order in which each is first in proportion to its speed: that of the
-/// least -log(u) * slowness, where u in (0, 1] comes from its name and `key`.
+/// Weighted rendezvous hashing: selects the server with the lowest -log(u) * slowness, where u in
+/// (0, 1] is a hash of its name and `key`. Each server is selected in proportion to its speed.
 template <class Server>
 class first_by_speed {
 public:
@@ -48,7 +48,7 @@
     constexpr double steps = 1.0 / static_cast<double>(std::uint64_t{1} << 53U);
     const std::uint64_t hash = rendezvous_weight(server.name_hash, this->key);
     const double number = static_cast<double>((hash >> 11U) + 1) * steps;
-    // 1 - u is at most -log(u), and spares most of the logarithms.
+    // 1 - u is a lower bound of -log(u), so most logarithms need not be computed.
     if (this->first != nullptr && (1 - number) * slowness >= this->least) {
       return;
     }
@@ -58,7 +58,7 @@
       this->least = order;
     }
   }
-  /// Nothing when none was offered.
+  /// Null if no server was offered.
   [[nodiscard]] const Server* get() const { return this->first; }
 
 private:
@@ -114,7 +114,7 @@
     if (request.affinity != 0) {
       (item.near ? near_home : far_home).offer(item, server.slow_factor);
     }
-    // This host's own calls are known at once, also where nothing has been heard of others.
+    // This host's own calls are always known, even if no count of other hosts has been received.
     const double crowd = 1.0 + server.inside;
     const double slowness = server.slow_factor * crowd * crowd;
     of_all.offer(item, slowness);
@@ -141,8 +141,8 @@
   const double age = to_seconds(std::chrono::duration_cast<duration>(now - server.others_heard));
   const double known = std::exp(-age / plain_fading_seconds);
   const double count = static_cast<double>(this->servers.size());
-  // Candidates come up by their speed, so that without news of them the next call costs as much
-  // at each.
+  // Candidates are chosen in proportion to their speed, so without recent counts the next call
+  // costs the same at each.
   const double usual = this->calls_of_others / count + 1;
   const double of_others = known * (server.others + 1) * slowness + (1 - known) * usual;
   const double far = item.near ? 0 : this->rules.choice.far * server.entry.slots;
@@ -157,7 +157,7 @@
   for (const listed_server* item : this->candidates_by_speed(request, range, now)) {
     const double cost = this->plain_cost(*item, now);
     if (best == nullptr || cost + slack < best_cost) {
-      // Only the object's own server is kept although another is a little better.
+      // Only the server of the affinity key is preferred to a slightly cheaper one.
       slack = best == nullptr ? slack : 0;
       best = item->server;
       best_cost = cost;
@@ -180,7 +180,8 @@
 
 void server_pool::note_speed_of(const running_call& call, timed_part part, timestamp now) {
   server_state* server = this->server_of(call);
-  // A wait is measured in whole calls, of which the time to the first event is a part.
+  // The modeled wait is in units of whole calls, so it can't be compared with the time to the first
+  // event.
   const bool tells_nothing = part == timed_part::first_event && call.waits;
   if (!this->rules.learns_speed || server == nullptr || tells_nothing) {
     return;
--- a/libs/placement/src/server_speed.cc
+++ b/libs/placement/src/server_speed.cc
@@ -1,4 +1,4 @@
-// How fast a backend server is, by the times of calls at it.
+// Estimates the speed of a backend server from the times of calls at it.
 #include "hawthornlane/placement/server_speed.h"
 
 #include <algorithm>
@@ -8,19 +8,20 @@
 namespace hawthornlane {
 namespace {
 
-/// Part of a new time in what is usual, once some fifty are known.
+/// Weight of a new time in the moving average of a kind's typical time, after the first 50 calls.
 constexpr double usual_newest_part = 0.02;
-/// Part of a new time in what all calls took of late: a host sees some twenty calls a second,
-/// so this follows a load within a second.
+/// Weight of a new time in the moving average of the slowdown of all calls. A host has about 20
+/// calls per second, so the average follows a change of load within a second.
 constexpr double common_newest_part = 0.05;
-/// Below the quickest call that is measured.
+/// Lower bound of call times, so that the logarithm is finite; no measured call is faster.
 constexpr double least_seconds = 0.001;
-/// Calls of a kind before one says something of its server.
+/// Calls of a kind that must be known before a call of this kind yields a sample.
 constexpr std::uint32_t calls_to_compare = 5;
-/// The most that single samples are taken for: twenty times slower or faster.
+/// Samples are clamped to this logarithm either way: 20 times slower or faster.
 constexpr double most_pace = 3;
-/// Calls of a kind are taken to differ by a fifth at least.
+/// Lower bound of the variance of a kind: its calls differ by at least 20%.
 constexpr double least_variance = 0.04;
+/// Units of `speed_word`.
 constexpr double word_per_pace = 1000;
 constexpr double word_per_weight = 8;
 
@@ -38,7 +39,7 @@
 double pace_of(std::int16_t word) { return word / word_per_pace; }
 double weight_of(std::uint16_t word) { return word / word_per_weight; }
 
-/// What own and told samples say together beside `before` of knowing nothing.
+/// Weighted mean of the own and the reported estimate, and of a prior of 0 with weight `before`.
 double joined(const fading_mean& own, const fading_mean& told, double before, double most,
               duration fading, timestamp now) {
   const double own_weight = own.weight_at(most, fading, now);
@@ -119,7 +120,8 @@
 }
 
 double speed_mean::faded_sum::weight(double most) const {
-  // Capped before it fades: what many hosts have told is forgotten as soon as what one has.
+  // The weight is capped before it decays, so that the reports of many hosts are forgotten as soon
+  // as that of one.
   return this->whole > most ? this->faded * most / this->whole : this->faded;
 }
 
--- a/libs/placement/test/place_load_test.cc
+++ b/libs/placement/test/place_load_test.cc
@@ -1,5 +1,5 @@
-// Plays a burst of 2.3 times what the engines can do, with and without claims of places, and
-// checks what callers of each priority and account get.
+// Simulates a burst of 2.3 times the engines' capacity, with and without claims for places. Checks
+// how many programs of each priority and account are done in time.
 #include <catch2/catch.hpp>
 
 #include "played_turns.h"
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Of all accounts, in the burst, over their usual load.
+/// Load of each account in the burst, as a multiple of its usual load.
 constexpr double surge = 3.5;
-/// Of the first account.
+/// The same for the first account.
 constexpr double most_surge = 6.6;
 constexpr int accounts = 10;
 
@@ -62,19 +62,19 @@
 
 }  // namespace
 
-TEST_CASE("claims of places serve a burst's programs by priority, and all accounts") {
+TEST_CASE("with claims for places a burst is served by priority and no account is starved") {
   struct row {
     const char* what;
     load_plan plan;
   };
-  // A turn at a full engine of 16 places takes 1.28 times as long as at an idle one, since the
-  // prompts of 15 others are read beside it.
+  // A turn at a full engine with 16 slots takes 1.28 times as long as at an idle one, since the
+  // engine also reads the prompts of 15 other calls.
   load_plan large_engines = burst_plan(7, 8, 16, 25, 42);
   large_engines.slack = 1.5;
   const row rows[] = {
-      {"68 hosts, 38 servers of 6 places", burst_plan(68, 38, 6, 55, 42)},
-      {"the same, other callers", burst_plan(68, 38, 6, 55, 7)},
-      {"7 hosts, 8 servers of 16 places", large_engines},
+      {"68 hosts, 38 servers with 6 slots", burst_plan(68, 38, 6, 55, 42)},
+      {"the same with another random seed", burst_plan(68, 38, 6, 55, 7)},
+      {"7 hosts, 8 servers with 16 slots", large_engines},
   };
   for (row item : rows) {
     item.plan.claims = false;
@@ -88,7 +88,7 @@
       CHECK(with.by_priority_after.at(priority).share() >=
             without.by_priority_after.at(priority).share());
     }
-    // What is most urgent is served before the rest, and again as usual after the burst.
+    // The highest priority is served before the others, and normally again after the burst.
     CHECK(with.by_priority.at(0).share() > with.by_priority.at(1).share());
     CHECK(with.by_priority_after.at(0).share() > 0.9);
     CHECK(with.worked_on >= 0.95 * with.workable);
--- a/libs/placement/test/place_queue_test.cc
+++ b/libs/placement/test/place_queue_test.cc
@@ -1,4 +1,4 @@
-// The order in which a keeper gives out places, and what it does when messages are lost.
+// Tests the order in which a place queue grants places, and its handling of lost messages.
 #include "hawthornlane/placement/place_queue.h"
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
   return claim;
 }
 
-/// A keeper that knows its counts, all of whose places are taken.
+/// A place queue that knows all counts, for a server whose places are all taken.
 class full_server {
 public:
   full_server() {
@@ -40,7 +40,7 @@
   claim_outcome claim(const place_claim& claim) {
     return this->queue.claim(claim, this->now).outcome;
   }
-  /// One call ends; the calls that its place was granted to.
+  /// Ends one call. Returns the calls that its place was granted to.
   std::vector<std::uint64_t> free_one() {
     this->count(busy_host, places - 1);
     std::vector<std::uint64_t> calls = this->granted();
@@ -55,7 +55,7 @@
     }
     return calls;
   }
-  /// The granted call goes to the server, and another one ends there.
+  /// Ends one call and sends the call that is granted its place to the server. Returns that call.
   std::uint64_t serve_one() {
     this->count(busy_host, places - 1);
     const std::vector<std::uint64_t> calls = this->granted();
@@ -74,33 +74,34 @@
 
 }  // namespace
 
-TEST_CASE("a place goes to the claim that is first in order") {
+TEST_CASE("claims are granted by priority, soft deadline, session state and arrival") {
   struct row {
     const char* what;
-    /// Claim 1 comes first and has priority 5, 2 s left, no account, and is not begun.
+    /// Claim 1 arrives first. By default both claims have priority 5, 2 s left, no account and no
+    /// answered turn.
     std::function<void(place_claim&)> first;
     std::function<void(place_claim&)> second;
     std::uint64_t winner;
   };
   const auto as_is = [](place_claim&) {};
   const row rows[] = {
-      {"what came first, when all is equal", as_is, as_is, 1},
-      {"what is wanted first", as_is, [](place_claim& c) { c.wanted_in = 1s; }, 2},
-      {"begun before new", as_is,
+      {"equal claims: first arrival", as_is, as_is, 1},
+      {"earlier soft deadline", as_is, [](place_claim& c) { c.wanted_in = 1s; }, 2},
+      {"session in progress before a new one", as_is,
        [](place_claim& c) {
          c.begun = true;
          c.wanted_in = 9s;
        },
        2},
-      {"what can be in time before what is begun", [](place_claim& c) { c.wanted_in = -1s; },
+      {"in time before late", [](place_claim& c) { c.wanted_in = -1s; },
        [](place_claim& c) { c.wanted_in = 9s; }, 2},
-      {"late and begun after new and in time",
+      {"new and in time before late and in progress",
        [](place_claim& c) {
          c.wanted_in = -1s;
          c.begun = true;
        },
        as_is, 2},
-      {"priority before all", [](place_claim& c) { c.begun = true; },
+      {"priority before everything else", [](place_claim& c) { c.begun = true; },
        [](place_claim& c) {
          c.priority = 4;
          c.wanted_in = -1s;
@@ -121,7 +122,7 @@
   }
 }
 
-TEST_CASE("a claim that cannot be in time any more is put behind others for a second at most") {
+TEST_CASE("a claim past its soft deadline is served after others for at most a second") {
   full_server keeper;
   place_claim late = claim_of(1);
   late.wanted_in = -1s;
@@ -143,22 +144,22 @@
   CHECK(waited < place_queue::late_patience + repeat);
 }
 
-TEST_CASE("a free place is granted at once, and no place twice") {
+TEST_CASE("a free place is granted at once and only once") {
   full_server keeper;
   keeper.count(busy_host, places - 2);
   CHECK(keeper.claim(claim_of(1)) == claim_outcome::granted);
   CHECK(keeper.claim(claim_of(2)) == claim_outcome::granted);
   CHECK(keeper.claim(claim_of(3)) == claim_outcome::waiting);
-  // Nothing is to be told: the answers said it.
+  // The answers contained the grants, so there is none to send.
   CHECK(keeper.granted().empty());
-  // The counts show the grants, which are not counted beside them.
+  // The counts include the granted calls now, so the grants are not counted in addition.
   keeper.count(host_id("front"), 2);
   CHECK(keeper.granted().empty());
   keeper.count(host_id("front"), 1);
   CHECK(keeper.granted() == calls{3});
 }
 
-TEST_CASE("accounts share places in turn, however many calls each has") {
+TEST_CASE("an account with more calls gets no larger share of the places") {
   full_server keeper;
   std::uint64_t call = 0;
   for (int number = 0; number < 60; ++number) {
@@ -176,7 +177,7 @@
   CHECK(served[2] == 5);
 }
 
-TEST_CASE("a claim of the lowest priority is served while better ones keep coming") {
+TEST_CASE("a claim of the lowest priority is not starved by claims of higher priority") {
   full_server keeper;
   place_claim low = claim_of(1);
   low.priority = 9;
@@ -193,12 +194,12 @@
     served = keeper.serve_one() == 1;
   }
   CHECK(served);
-  // No sooner than it is overdue.
+  // It must not be served before it is overdue.
   CHECK(grants * 50ms >= place_queue::overdue_after);
   CHECK(grants <= static_cast<int>(2 * place_queue::overdue_share));
 }
 
-TEST_CASE("a claim is refused at once when the wait would pass its time") {
+TEST_CASE("a claim is refused at once if the expected wait exceeds the time it has left") {
   struct row {
     const char* what;
     int before;
@@ -206,11 +207,11 @@
     claim_outcome expected;
   };
   const row rows[] = {
-      {"alone with time", 0, 5s, claim_outcome::waiting},
-      {"alone without time", 0, 100ms, claim_outcome::refused},
-      {"behind a few", 10, 5s, claim_outcome::waiting},
-      {"behind many", 100, 5s, claim_outcome::refused},
-      {"behind many with time", 100, 60s, claim_outcome::waiting},
+      {"empty queue, enough time", 0, 5s, claim_outcome::waiting},
+      {"empty queue, too little time", 0, 100ms, claim_outcome::refused},
+      {"short queue, enough time", 10, 5s, claim_outcome::waiting},
+      {"long queue, too little time", 100, 5s, claim_outcome::refused},
+      {"long queue, enough time", 100, 60s, claim_outcome::waiting},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -231,7 +232,7 @@
   }
 }
 
-TEST_CASE("the expected wait follows the pace at which places were freed") {
+TEST_CASE("the expected wait is shorter if places were freed at a higher rate") {
   full_server slow;
   full_server quick;
   for (int number = 0; number < 40; ++number) {
@@ -245,7 +246,7 @@
   CHECK(wait_at(quick) < wait_at(slow) / 4);
 }
 
-TEST_CASE("a new keeper does not know until hosts have told their counts again") {
+TEST_CASE("a new place queue grants nothing until hosts have reported their counts again") {
   placement_directory directory;
   place_queue queue(directory);
   timestamp now{1h};
@@ -254,14 +255,14 @@
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::unknown);
   now += 1ms;
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::granted);
-  // A server that it has kept before is known, but not for ever.
+  // The counts of a server stay known between messages, but not for an unlimited time.
   now += place_queue::memory;
   CHECK(queue.claim(claim_of(2), now).outcome == claim_outcome::granted);
   now += place_queue::memory + 1ms;
   CHECK(queue.claim(claim_of(3), now).outcome == claim_outcome::unknown);
 }
 
-TEST_CASE("a server that comes up while the hosts stay the same is known at once") {
+TEST_CASE("a new server's claims are granted at once unless the hosts have just changed") {
   struct row {
     const char* what;
     duration since_change;
@@ -270,8 +271,8 @@
   constexpr duration settled = place_queue::settling_time + place_queue::learning_time;
   const row rows[] = {
       {"the hosts have just changed", 0ms, claim_outcome::unknown},
-      {"they may not all know yet", settled - 1ms, claim_outcome::unknown},
-      {"all have told their counts since", settled, claim_outcome::granted},
+      {"some hosts may not know of the change yet", settled - 1ms, claim_outcome::unknown},
+      {"all hosts have reported their counts since", settled, claim_outcome::granted},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -280,14 +281,14 @@
     const timestamp changed{1h};
     queue.hosts_changed(changed);
     CHECK(queue.claim(claim_of(1), changed + item.since_change).outcome == item.expected);
-    // A later change does not take away what is known.
+    // A later change does not make the counts of a known server unknown.
     queue.hosts_changed(changed + settled);
     const timestamp later = changed + settled + place_queue::learning_time;
     CHECK(queue.claim(claim_of(1), later).outcome == claim_outcome::granted);
   }
 }
 
-TEST_CASE("a claim that is repeated is one claim") {
+TEST_CASE("a repeated claim takes only one place, also if its grant was lost") {
   full_server keeper;
   for (int number = 0; number < 5; ++number) {
     CHECK(keeper.claim(claim_of(1)) == claim_outcome::waiting);
@@ -295,13 +296,13 @@
   }
   CHECK(keeper.queue.waiting(server) == 1);
   CHECK(keeper.free_one() == calls{1});
-  // The grant was lost: the repeat is answered by it, and takes no further place.
+  // The grant was lost. The repeated claim is granted again and takes no further place.
   CHECK(keeper.claim(claim_of(1)) == claim_outcome::granted);
   CHECK(keeper.queue.waiting(server) == 0);
   CHECK(keeper.claim(claim_of(2)) == claim_outcome::waiting);
 }
 
-TEST_CASE("what is not wanted or never shown goes to the next") {
+TEST_CASE("a granted place that is withdrawn or not used goes to the next claim") {
   struct row {
     const char* what;
     std::function<void(full_server&)> happens;
@@ -319,16 +320,16 @@
          k.queue.withdraw(first, server, k.now);
        },
        {2}},
-      {"no count shows the grant in time",
+      {"no count includes the granted call in time",
        [](full_server& k) { k.now += place_queue::grant_lifetime + 1ms; },
        {2}},
-      {"the next one is withdrawn too",
+      {"the next call is withdrawn too",
        [&](full_server& k) {
          k.queue.withdraw({host_id("front"), 2}, server, k.now);
          k.queue.withdraw(first, server, k.now);
        },
        {3}},
-      {"the hosts with claims are dead",
+      {"the claims are no longer repeated, as after a host's death",
        [](full_server& k) { k.now += place_queue::claim_lifetime + 1ms; },
        {}},
   };
@@ -345,10 +346,10 @@
   }
 }
 
-TEST_CASE("a dead host's calls hold no places for ever") {
+TEST_CASE("the calls of a dead host don't hold places forever") {
   full_server keeper;
   keeper.claim(claim_of(1));
   keeper.now += placement_directory::count_lifetime + 1ms;
-  // The busy host has not told its count again, and the claim was repeated.
+  // The busy host has not repeated its count, so its calls are no longer counted.
   CHECK(keeper.claim(claim_of(1)) == claim_outcome::granted);
 }
--- a/libs/placement/test/placement_directory_test.cc
+++ b/libs/placement/test/placement_directory_test.cc
@@ -1,4 +1,4 @@
-// Tables over the entries that one host keeps for all.
+// Tests the directory entries that one host holds for all hosts.
 #include "hawthornlane/placement/placement_directory.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("a server's load is what the other hosts told last") {
+TEST_CASE("a server's load is the sum of the other hosts' latest counts") {
   placement_directory directory;
   directory.set_load(host_id("a"), {server, 3}, at(1s));
   directory.set_load(host_id("b"), {server, 2}, at(1s));
@@ -28,14 +28,14 @@
   CHECK(directory.load_of_others(server_key(8), host_id("c"), at(2s)) == 0);
 }
 
-TEST_CASE("the count of a host that died does not stay") {
+TEST_CASE("the count of a dead host expires") {
   placement_directory directory;
   directory.set_load(host_id("dead"), {server, 16}, at(1s));
   CHECK(directory.load_of_others(server, host_id("a"), at(4s)) == 16);
   CHECK(directory.load_of_others(server, host_id("a"), at(5s)) == 0);
 }
 
-TEST_CASE("a line is where it was read last, and old lines are forgotten") {
+TEST_CASE("a session's location is the latest one, and the oldest sessions are removed") {
   placement_directory directory;
   const prompt_part_key line(1);
   CHECK_FALSE(directory.find(line));
@@ -49,7 +49,7 @@
   CHECK_FALSE(directory.find(line));
 }
 
-TEST_CASE("hosts agree on the keeper of an entry, and keepers share the entries") {
+TEST_CASE("directory entries are spread evenly and stay at their host if another host leaves") {
   std::vector<host_id> hosts;
   for (int number = 0; number < 20; ++number) {
     hosts.emplace_back("front-" + std::to_string(number));
@@ -68,7 +68,7 @@
     CHECK(count > entries / 20 / 2);
     CHECK(count < entries / 20 * 2);
   }
-  // Only the entries of the host that is gone move.
+  // Only the entries of the host that has left move.
   CHECK(moved == kept[hosts.back()]);
   CHECK_FALSE(keeper_of(1, {}));
 }
--- a/libs/placement/test/played_events.h
+++ b/libs/placement/test/played_events.h
@@ -1,4 +1,4 @@
-// Virtual time of played loads: what is to happen, in its order.
+// Event queue with virtual time for simulated loads.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,14 @@
 
 namespace hawthornlane::play {
 
-/// Events at the same moment happen in the order in which they were planned.
+/// Runs events in order of time. Events at the same time run in the order in which they were added.
 class played_events {
 public:
+  /// Schedules `act` to run `after` from now.
   void at(duration after, std::function<void()> act) {
     this->events.push({this->time + after, ++this->planned, std::move(act)});
   }
-  /// Until nothing is left to happen.
+  /// Runs until no events are left.
   void run() {
     while (!this->events.empty()) {
       const event next = this->events.top();
--- a/libs/placement/test/played_turns.h
+++ b/libs/placement/test/played_turns.h
@@ -1,4 +1,5 @@
-// Programs of turns, with helpers, played against model engines that several hosts share.
+// Simulation of programs with several turns and sub-agents on model engines that several hosts
+// share.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +15,8 @@
 
 namespace hawthornlane::play {
 
-/// Hosts, engines and callers on virtual time. Messages between hosts take no time, but for
-/// grants, which arrive a step later.
+/// Simulates hosts, engines and callers in virtual time. Messages between hosts take no time,
+/// except for grants, which arrive one step later.
 class played_turns {
 public:
   explicit played_turns(load_plan with) : plan(with) {
@@ -105,9 +106,9 @@
     }
   }
   prompt_part_key next_part() { return prompt_part_key(++this->parts * 7919 + 1); }
-  /// Begun when the backlog of the burst must be gone: 4 s x 60 programs of 12 turns came,
-  /// of which the engines do 490 a second. 900 turns are left, for which there is room for
-  /// 200 a second beside the usual 290: 4.5 s.
+  /// True once the backlog of the burst must be cleared. The burst brings 4 s x 60 programs of 12
+  /// turns, and the engines serve 490 turns per second. This leaves 900 turns, of which 200 per
+  /// second are served besides the usual 290: 4.5 s.
   [[nodiscard]] bool is_after() const { return this->now >= this->plan.burst_to + 5s; }
 
   void wake() {
@@ -129,7 +130,7 @@
     this->result.unavoidable += new_tokens;
     turn item;
     item.from = std::move(from);
-    // A program's callers keep to two hosts; helpers come by way of any.
+    // A program's own calls use two hosts, its sub-agents' calls any host.
     const int spread = item.from.is_helper ? this->plan.hosts : 2;
     item.host =
         (item.from.program + std::uniform_int_distribution<int>(0, spread - 1)(this->random)) %
@@ -166,7 +167,7 @@
     }
   }
 
-  /// Its caller comes again.
+  /// Refuses a turn; its caller retries later.
   void refuse(const turn& item, duration wait) {
     ++this->result.refused;
     line again = item.from;
@@ -189,7 +190,7 @@
     return claim;
   }
 
-  /// False: the call is placed without claims.
+  /// Returns false if the call is to be placed without a claim.
   bool claim(const turn& item) {
     const auto targets = this->pools[item.host].claim_targets(item.request, this->moment());
     if (targets.empty()) {
@@ -204,7 +205,8 @@
     return this->claim_at(id);
   }
 
-  /// Claims at all targets, for the first time or again.
+  /// Sends a first or repeated claim to all targets. Returns false if the call is to be placed
+  /// without a claim.
   bool claim_at(placement_id id) {
     const turn& item = this->turns_under_way.at(id);
     const std::vector<place_target> targets = this->waiting.at(id).targets;
@@ -281,7 +283,8 @@
     }
   }
 
-  /// Hosts hear each other's demand without delay, which is better than they do.
+  /// Sets the limit of each host's calls in flight. Hosts know each other's demand without delay,
+  /// which is better than in reality.
   void share_places() {
     if (!this->plan.windows || this->now % 100ms != 0ms) {
       return;
--- a/libs/placement/test/prefix_cache_view_test.cc
+++ b/libs/placement/test/prefix_cache_view_test.cc
@@ -1,4 +1,4 @@
-// Tables over what servers are believed to hold of a prompt.
+// Tests the estimate of the tokens of a prompt that a server has cached.
 #include "hawthornlane/placement/prefix_cache_view.h"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a server holds a prompt up to the last part that it has read") {
+TEST_CASE("a prompt counts as cached up to the last part that the server has read") {
   prefix_cache_view view;
   view.note({piece(1, 500), piece(2, 1000)}, one);
   view.note({piece(1, 500), piece(3, 300)}, other);
@@ -28,20 +28,20 @@
     std::int64_t held;
   };
   const auto [what, prompt, server, held] = GENERATE(values<row>({
-      {"nothing of an unknown prompt", {piece(9, 100)}, one, 0},
+      {"an unknown prompt", {piece(9, 100)}, one, 0},
       {"the whole prompt", {piece(1, 500), piece(2, 1000)}, one, 1500},
-      {"what was there before the line grew", {piece(1, 500), piece(2, 1400)}, one, 1500},
-      {"no more than the prompt has", {piece(1, 200)}, one, 200},
-      {"a helper's parent", {piece(1, 500), piece(2, 1000), piece(7, 200)}, one, 1500},
-      {"what stands before a part that it has read", {piece(8, 10), piece(2, 1000)}, one, 1010},
-      {"nothing behind the last known part", {piece(2, 1000), piece(8, 700)}, one, 1000},
-      {"the shared part alone", {piece(1, 500), piece(2, 1000)}, other, 500},
+      {"the session has grown since", {piece(1, 500), piece(2, 1400)}, one, 1500},
+      {"no more tokens than the prompt has", {piece(1, 200)}, one, 200},
+      {"a sub-agent's parent", {piece(1, 500), piece(2, 1000), piece(7, 200)}, one, 1500},
+      {"an unknown part before a cached one", {piece(8, 10), piece(2, 1000)}, one, 1010},
+      {"an unknown part after the last cached one", {piece(2, 1000), piece(8, 700)}, one, 1000},
+      {"only the shared part", {piece(1, 500), piece(2, 1000)}, other, 500},
   }));
   INFO(what);
   CHECK(view.held(prompt, server) == token_count(held));
 }
 
-TEST_CASE("a server that is gone holds nothing") {
+TEST_CASE("a removed server has no cached tokens") {
   prefix_cache_view view;
   view.note({piece(1, 500)}, one);
   view.note({piece(1, 500)}, other);
@@ -50,7 +50,7 @@
   CHECK(view.held({piece(1, 500)}, other) == token_count(500));
 }
 
-TEST_CASE("the view is bounded, and forgets what was not used for longest") {
+TEST_CASE("the number of parts is bounded, and the least recently used are removed") {
   prefix_cache_view view;
   constexpr std::uint64_t many = 20'000;
   for (std::uint64_t key = 1; key <= many; ++key) {
@@ -61,7 +61,7 @@
   CHECK(view.knows(prompt_part_key(many)));
 }
 
-TEST_CASE("absurd token counts never make a sum of held tokens negative") {
+TEST_CASE("huge token counts don't overflow to negative sums") {
   prefix_cache_view view;
   constexpr std::int64_t huge = std::numeric_limits<std::int64_t>::max();
   view.note({piece(1, huge), piece(2, huge)}, one);
--- a/libs/placement/test/server_health_test.cc
+++ b/libs/placement/test/server_health_test.cc
@@ -1,4 +1,4 @@
-// Tables over what calls say about a server.
+// Tests how the outcomes and times of calls affect a server's health.
 #include "hawthornlane/placement/server_health.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE("a server that fails often is doubted, and is tried again after a while") {
+TEST_CASE("a server that fails often is degraded, and is used again after a while") {
   using enum server_outcome;
   struct row {
     const char* what;
@@ -21,14 +21,16 @@
     bool doubted;
   };
   const row rows[] = {
-      {"nothing is known", {}, false},
-      {"it answers", {answered, answered, answered}, false},
+      {"no calls", {}, false},
+      {"answers only", {answered, answered, answered}, false},
       {"one failure", {answered, failed}, false},
-      {"two in a row", {failed, error_answer}, true},
-      {"two in three", {error_answer, answered, error_answer}, true},
-      {"two in six", {failed, answered, answered, answered, answered, failed}, false},
-      {"full, not faulty", {refused, refused, refused}, false},
-      {"callers that left", {caller_left, caller_left, caller_left}, false},
+      {"two failures in a row", {failed, error_answer}, true},
+      {"two failures in three calls", {error_answer, answered, error_answer}, true},
+      {"two failures in six calls",
+       {failed, answered, answered, answered, answered, failed},
+       false},
+      {"refusals of a full server", {refused, refused, refused}, false},
+      {"callers that disconnect", {caller_left, caller_left, caller_left}, false},
   };
   const health_rules rules;
   for (const row& item : rows) {
@@ -44,27 +46,27 @@
   }
 }
 
-TEST_CASE("a server is doubted when its times stand out from the others'") {
+TEST_CASE("a server is degraded if its calls are much slower than those of other servers") {
   struct row {
     const char* what;
-    /// Of the server in question, and of all others, in parts of the usual time.
+    /// Call times of this server and of all others, as multiples of the usual time.
     double own;
     double others;
-    /// Calls of one kind differ by this factor, up and down by turns.
+    /// Calls are alternately longer and shorter by this factor.
     double spread;
     int calls;
     bool doubted;
   };
   const row rows[] = {
-      {"as quick as the others", 1, 1, 1.3, 20, false},
-      {"half as slow again", 1.5, 1, 1.3, 20, false},
-      {"four times slower, first call of an even kind", 4, 1, 1.3, 1, false},
-      {"four times slower, second call of an even kind", 4, 1, 1.3, 2, true},
-      {"eight times slower, first call of an even kind", 8, 1, 1.3, 1, true},
-      {"four times slower, first call of an uneven kind", 4, 1, 2.7, 1, false},
-      {"four times slower, tenth call of an uneven kind", 4, 1, 2.7, 10, true},
-      {"all are slow: overload", 4, 4, 1.3, 20, false},
-      {"slow among slow ones", 16, 4, 1.3, 6, true},
+      {"as fast as the others", 1, 1, 1.3, 20, false},
+      {"1.5 times slower", 1.5, 1, 1.3, 20, false},
+      {"4 times slower, first call, low variance", 4, 1, 1.3, 1, false},
+      {"4 times slower, second call, low variance", 4, 1, 1.3, 2, true},
+      {"8 times slower, first call, low variance", 8, 1, 1.3, 1, true},
+      {"4 times slower, first call, high variance", 4, 1, 2.7, 1, false},
+      {"4 times slower, tenth call, high variance", 4, 1, 2.7, 10, true},
+      {"all servers are slow: overload", 4, 4, 1.3, 20, false},
+      {"slower than others under overload", 16, 4, 1.3, 6, true},
   };
   constexpr std::uint64_t kind = 7;
   constexpr duration usual = 50ms;
@@ -95,7 +97,7 @@
   }
 }
 
-TEST_CASE("a call that is still waiting says that a server is slow, never that it is quick") {
+TEST_CASE("the time so far of a pending call can make a server slower but never faster") {
   usual_times times;
   CHECK(times.compare(1, 5s, true).pace == 0);
   times.compare(1, 100ms, false);
--- a/libs/placement/test/server_pool_claims_test.cc
+++ b/libs/placement/test/server_pool_claims_test.cc
@@ -1,4 +1,4 @@
-// Tables over where a call claims a place.
+// Tests the choice of the servers at which a call claims a place.
 #include <catch2/catch.hpp>
 #include <functional>
 
@@ -21,7 +21,7 @@
   return entry;
 }
 
-/// Two servers, of which the first holds the call's line.
+/// A pool of two servers; the first one has cached the call's session.
 class claim_fixture {
 public:
   explicit claim_fixture(std::int64_t line_tokens) {
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("a call claims at the cheapest server, and at one more that hardly costs more") {
+TEST_CASE("a call claims a place at a second server only if that costs little more") {
   struct row {
     const char* what;
     std::int64_t line_tokens;
@@ -62,12 +62,11 @@
     std::size_t targets;
   };
   const row rows[] = {
-      {"the holder has a place", 5000, slots, slots - 1, 0ms, false, 1},
-      {"the holder is full, a long line is not read again", 5000, slots + 1, slots - 1, 0ms, true,
-       1},
-      {"the same, heard some time ago", 5000, slots + 1, slots - 1, 10ms, true, 1},
-      {"both are full, a short line", 10, slots + 1, slots + 1, 0ms, true, 2},
-      {"both are full, a long line", 5000, slots + 1, slots + 1, 0ms, true, 1},
+      {"the session's server has a place", 5000, slots, slots - 1, 0ms, false, 1},
+      {"the session's server is full, long session", 5000, slots + 1, slots - 1, 0ms, true, 1},
+      {"the same with a count of 10 ms ago", 5000, slots + 1, slots - 1, 10ms, true, 1},
+      {"both servers are full, short session", 10, slots + 1, slots + 1, 0ms, true, 2},
+      {"both servers are full, long session", 5000, slots + 1, slots + 1, 0ms, true, 1},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -81,16 +80,16 @@
   }
 }
 
-TEST_CASE("calls without a prompt, and those tried before, claim nothing") {
+TEST_CASE("calls without a prompt and retried calls claim no place") {
   struct row {
     const char* what;
     std::function<void(placement_request&)> change;
     std::size_t targets;
   };
   const row rows[] = {
-      {"a turn", [](placement_request&) {}, 1},
+      {"a first attempt with a prompt", [](placement_request&) {}, 1},
       {"no prompt", [](placement_request& r) { r.prompt.clear(); }, 0},
-      {"tried before", [](placement_request& r) { r.tried.insert(holder); }, 0},
+      {"a retry", [](placement_request& r) { r.tried.insert(holder); }, 0},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -101,7 +100,7 @@
   }
 }
 
-TEST_CASE("a granted call goes to its server while that is there, also beyond its own limit") {
+TEST_CASE("a granted call is sent to its server also beyond this host's limit, unless removed") {
   claim_fixture fixture(5000);
   for (std::uint64_t number = 1; number <= slots + 1; ++number) {
     fixture.request.id = placement_id(number);
--- a/libs/placement/test/server_pool_fixture.h
+++ b/libs/placement/test/server_pool_fixture.h
@@ -1,4 +1,4 @@
-// Servers, calls and a pool, for tables over a pool's decisions.
+// Servers, calls and a pool for tests of a server pool.
 #pragma once
 
 #include <string>
--- a/libs/placement/test/server_pool_history_test.cc
+++ b/libs/placement/test/server_pool_history_test.cc
@@ -1,4 +1,5 @@
-// What a pool counts, over random histories of servers and calls.
+// Compares the counts of a server pool with a simple model over random sequences of server changes
+// and calls.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -12,8 +13,8 @@
 
 namespace {
 
-/// Servers that come, drain, go and start again beside calls that begin and end at random, and
-/// what a plain count of them says.
+/// Adds, removes and restarts servers and starts and ends calls at random, and counts the calls in
+/// a simple way.
 class random_pool {
 public:
   explicit random_pool(unsigned seed) : random(seed) {}
@@ -43,7 +44,7 @@
     const bool any_room = std::any_of(
         this->listed.begin(), this->listed.end(),
         [this](const backend_entry& entry) { return this->calls_at(entry) < entry.slots; });
-    // Nothing waits while a server has room.
+    // No call may wait while a server has a free place.
     CHECK((this->pool.waiting() == 0 || !any_room));
   }
 
@@ -116,7 +117,7 @@
 
 }  // namespace
 
-TEST_CASE("what a pool counts is what it placed, whatever servers come, go and start again") {
+TEST_CASE("a pool's counts stay right while servers are added, removed and restarted") {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     random_pool pool(seed);
--- a/libs/placement/test/server_pool_speed_test.cc
+++ b/libs/placement/test/server_pool_speed_test.cc
@@ -1,5 +1,5 @@
-// A pool that learns speeds, and its words in the directory, when servers start again, tellers
-// die and hosts are alone.
+// Tests speed estimates in a server pool and in the directory: with a single host, after restarts
+// of servers and after deaths of hosts.
 #include <catch2/catch.hpp>
 #include <cmath>
 
@@ -27,7 +27,7 @@
   return all;
 }
 
-/// One host's calls, one at a time; `s0` takes `factor` times as long as the others.
+/// One host that makes one call at a time; `s0` takes `factor` times as long as the other servers.
 class lone_host {
 public:
   explicit lone_host(bool learns = true)
@@ -42,7 +42,7 @@
   }
   [[nodiscard]] timestamp moment() const { return timestamp(this->now); }
 
-  /// The server that it went to.
+  /// Makes one call and returns its server.
   backend_server_id call(std::uint64_t affinity = 0) {
     placement_request request;
     request.id = placement_id(++this->calls);
@@ -58,7 +58,7 @@
     this->pool.tick(this->moment());
     return to;
   }
-  /// Calls at the slow server.
+  /// Makes `times` calls and returns the number of those at the slow server.
   int call_times(int times) {
     int at_slow = 0;
     for (int number = 0; number < times; ++number) {
@@ -85,15 +85,15 @@
 
 }  // namespace
 
-TEST_CASE("a host alone learns by its own calls and sends a slow server fewer") {
+TEST_CASE("a single host detects a slow server by its own calls and sends it fewer calls") {
   lone_host host;
   host.call_times(200);
   CHECK(host.pace_of_slow() > 1.8);
-  // By its speed it is due one in thirteen; without that, one in six.
+  // In proportion to its speed it gets 1 of 13 calls, without speed estimates 1 of 6.
   CHECK(host.call_times(600) < 70);
 }
 
-TEST_CASE("what is not to be learnt is not learnt, told or heard") {
+TEST_CASE("without learns_speed no speed is estimated, reported, queried or accepted") {
   lone_host host(false);
   host.call_times(200);
   host.pool.note_fill(1);
@@ -107,14 +107,14 @@
   CHECK(host.pool.question_for(request, host.moment()).empty());
 }
 
-TEST_CASE("a new host goes by what others tell") {
+TEST_CASE("a new host uses the speeds that other hosts report") {
   lone_host host;
   host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
   CHECK(host.pace_of_slow() == Approx(2.4).margin(0.1));
   CHECK(host.call_times(130) < 20);
 }
 
-TEST_CASE("nothing is known of a server that has started again under its id") {
+TEST_CASE("a restarted server does not keep the speed estimate of its former process") {
   lone_host host;
   host.call_times(200);
   host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
@@ -122,28 +122,28 @@
   host.pool.set_servers(entries(200), host.moment());
   CHECK(host.pool.paces(host.moment()).empty());
 
-  SECTION("what is still told of the former one does not count") {
+  SECTION("reports about the former process are ignored") {
     host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
     CHECK(host.pool.paces(host.moment()).empty());
   }
-  SECTION("it is used as others are when it is as fast") {
+  SECTION("it is used like the others if it is as fast now") {
     host.factor = 1;
     host.call_times(100);
     CHECK(host.pace_of_slow() < 1.2);
   }
 }
 
-TEST_CASE("what other hosts told of a server's speed fades after they died") {
+TEST_CASE("speed reports of dead hosts decay and expire") {
   struct row {
     const char* what;
     duration since;
     std::uint16_t least_weight;
     std::uint16_t most_weight;
   };
-  // In eighths; each of two hosts had told a weight of 10.
+  // Weights are in eighths; each of two hosts has reported a weight of 10.
   const row rows[] = {
       {"at once", 0s, 160, 160},
-      {"after the fading time", 15s, 55, 62},
+      {"after the decay time", 15s, 55, 62},
       {"after a minute", 60s, 1, 4},
       {"after its lifetime", 120s, 0, 0},
   };
@@ -153,7 +153,7 @@
     directory.set_speed(host_id("a"), {key, {800, 80, 0, 0}}, timestamp{});
     directory.set_speed(host_id("b"), {key, {800, 80, 0, 0}}, timestamp{});
     const timestamp later(item.since);
-    // Another server's word has old ones dropped.
+    // A report about another server causes expired reports to be dropped.
     directory.set_speed(host_id("c"), {server_key(1), {}}, later);
     const auto heard = directory.speed_of_others(key, host_id("asker"), later);
     const std::uint16_t weight = heard ? heard->word.slow_weight : 0;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_CASE("a host hears the newest word of each other host, never its own") {
+TEST_CASE("a host gets the latest speed reports of other hosts but not its own") {
   placement_directory directory;
   const timestamp now{};
   directory.set_speed(host_id("a"), {key, {800, 80, 0, 0}}, now);
@@ -177,7 +177,7 @@
   CHECK(directory.speed_of_others(key, host_id("b"), now)->word.slow == 100);
 }
 
-TEST_CASE("calls without a prompt are told at their beginning and end as the load wants") {
+TEST_CASE("starts and ends of calls without a prompt are reported only at high utilization") {
   struct row {
     const char* what;
     double fill;
@@ -185,9 +185,9 @@
     std::size_t at_end;
   };
   const row rows[] = {
-      {"little load", 0.2, 0, 0},
-      {"below half full, only what the end says of speed", 0.3, 0, 1},
-      {"nearly half full", 0.48, 1, 1},
+      {"low utilization: nothing", 0.2, 0, 0},
+      {"below 0.45: only the end, for its speed sample", 0.3, 0, 1},
+      {"above 0.45: start and end", 0.48, 1, 1},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -205,7 +205,7 @@
   }
 }
 
-TEST_CASE("ends of calls without a prompt wait for others, though not long") {
+TEST_CASE("ends of calls without a prompt are reported in batches after 50 ms") {
   lone_host host;
   host.pool.note_fill(0.48);
   placement_request request;
@@ -222,7 +222,7 @@
   CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 0}});
 }
 
-TEST_CASE("other hosts are asked about plain calls only when servers are half full") {
+TEST_CASE("loads are queried for calls without a prompt only at half utilization and if outdated") {
   struct row {
     const char* what;
     double fill;
@@ -230,10 +230,10 @@
     std::size_t asked;
   };
   const row rows[] = {
-      {"little load", 0.2, 10s, 0},
-      {"told, not asked", 0.4, 10s, 0},
+      {"low utilization", 0.2, 10s, 0},
+      {"utilization for reports but not for queries", 0.4, 10s, 0},
       {"more than half", 0.6, 10s, 3},
-      {"more than half, just heard", 0.6, 50ms, 0},
+      {"more than half, recent loads", 0.6, 50ms, 0},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -250,13 +250,13 @@
   }
 }
 
-TEST_CASE("a plain call goes to the server with least work of all hosts") {
+TEST_CASE("a call without a prompt goes to the server with the least work of all hosts") {
   lone_host host;
   for (const backend_entry& entry : entries()) {
     const server_key server = server_key_of(entry.id, entry.start);
     host.pool.note_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
   }
-  // Three servers are weighed for each call, so that some do not see the free one.
+  // Each call has only three candidates, so some calls don't consider the free server.
   int at_free = 0;
   for (std::uint64_t number = 1; number <= 100; ++number) {
     placement_request request;
--- a/libs/placement/test/server_pool_test.cc
+++ b/libs/placement/test/server_pool_test.cc
@@ -1,4 +1,4 @@
-// Tables over choosing servers, queueing, refusing and excluding.
+// Tests how a server pool chooses servers, queues and refuses calls, and excludes servers.
 #include <catch2/catch.hpp>
 
 #include "server_pool_fixture.h"
@@ -7,7 +7,7 @@
 using namespace hawthornlane::pool_tests;
 using namespace std::chrono_literals;
 
-TEST_CASE("calls go to the least busy server, near ones first") {
+TEST_CASE("calls go to the least busy server, and among equals to one in the same zone") {
   pool_fixture pool({server("far", "there"), server("near")});
   pool.submit(call(1));
   CHECK(pool.last_server() == "near");
@@ -17,7 +17,7 @@
   CHECK(pool.last_server() == "near");
 }
 
-TEST_CASE("calls of one object stay together while their server is not much busier") {
+TEST_CASE("calls with one affinity key share a server unless it is much busier than others") {
   pool_fixture pool({server("a"), server("b"), server("c")});
   placement_request first = call(1);
   first.affinity = 77;
@@ -33,7 +33,7 @@
   CHECK(pool.last_server() != home);
 }
 
-TEST_CASE("an object's server is in this zone while one there is not much busier") {
+TEST_CASE("the server of an affinity key is in this zone") {
   pool_fixture pool({server("far-1", "there"), server("far-2", "there"), server("near")});
   for (std::uint64_t object = 1; object < 20; ++object) {
     placement_request request = call(object);
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("what waits goes by priority, then by when it is wanted") {
+TEST_CASE("queued calls are ordered by priority, then by soft deadline") {
   pool_fixture pool({server("a")});
   pool.submit(call(1));
   pool.submit(call(2));
@@ -72,13 +72,13 @@
     request.tried = {backend_server_id("a")};
     CHECK(pool.submit(request) == submit_outcome::refused);
   }
-  SECTION("its time is over") {
+  SECTION("its deadline has passed") {
     pool_fixture pool({server("a")});
     pool.submit(call(1));
     pool.submit(call(2));
     CHECK(pool.submit(call(3), 21s) == submit_outcome::refused);
   }
-  SECTION("the queue is as long as the places can work off") {
+  SECTION("the queue is full") {
     pool_fixture pool({server("a")});
     pool.submit(call(1));
     pool.submit(call(2));
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_CASE("calls whose time is over leave the queue") {
+TEST_CASE("calls are removed from the queue when their deadline passes") {
   pool_fixture pool({server("a")});
   pool.submit(call(1));
   pool.submit(call(2));
@@ -103,7 +103,7 @@
   CHECK(pool.pool.waiting() == 0);
 }
 
-TEST_CASE("when a server is excluded, and for how long") {
+TEST_CASE("a server is excluded after failures, for a bounded time") {
   struct row {
     const char* what;
     server_outcome outcome;
@@ -111,12 +111,11 @@
     duration excluded_for;
   };
   const row rows[] = {
-      {"one lost answer is no sign", server_outcome::failed, 1, 0ms},
-      {"two in a row are", server_outcome::failed, 2, 500ms},
-      {"a server that cannot be reached is left out at once", server_outcome::unreachable, 1,
-       250ms},
-      {"the exclusion has an end", server_outcome::unreachable, 9, 4s},
-      {"a caller that leaves says nothing", server_outcome::caller_left, 5, 0ms},
+      {"one failure: not excluded", server_outcome::failed, 1, 0ms},
+      {"two failures in a row", server_outcome::failed, 2, 500ms},
+      {"one connection failure", server_outcome::unreachable, 1, 250ms},
+      {"many connection failures: longest exclusion", server_outcome::unreachable, 9, 4s},
+      {"callers that disconnect: not excluded", server_outcome::caller_left, 5, 0ms},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -125,7 +124,7 @@
     for (int time = 0; time < item.times; ++time) {
       placement_request request = call(static_cast<std::uint64_t>(time) + 1);
       request.tried = {backend_server_id("b")};
-      // Long before the check, so that each failure finds the server usable.
+      // The calls are far apart, so that the server is not excluded when a call is submitted.
       const duration when = 10s * time;
       pool.pool.submit(request, at(when), pool.placed);
       const duration ended = time + 1 == item.times ? last : when;
@@ -138,7 +137,7 @@
   }
 }
 
-TEST_CASE("a server that leaves gets nothing new, and its calls may end there") {
+TEST_CASE("a server that is no longer listed gets no new calls, and its calls can end") {
   pool_fixture pool({server("a"), server("b")});
   placement_request request = call(1);
   request.tried = {backend_server_id("b")};
@@ -166,7 +165,7 @@
   return request;
 }
 
-/// Ten servers of one zone, so that only four are weighed for a new program.
+/// Ten servers in one zone, more than the four candidates for the first call of a program.
 std::vector<backend_entry> ten_servers() {
   std::vector<backend_entry> servers;
   for (int number = 0; number < 10; ++number) {
@@ -177,20 +176,20 @@
 
 }  // namespace
 
-TEST_CASE("a turn goes where its line was read, as this host saw or was told") {
+TEST_CASE("a turn goes to the server that has cached its session") {
   pool_fixture pool(ten_servers());
   pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   const std::string first = pool.last_server();
   pool.pool.finished(placement_id(1), server_outcome::answered, at(1s));
-  SECTION("its own next turn") {
+  SECTION("the next turn of the session") {
     pool.submit(turn(2, {piece(1, 500), piece(2, 900)}));
     CHECK(pool.last_server() == first);
   }
-  SECTION("a helper's, whose prompt begins with its parent's") {
+  SECTION("a sub-agent's turn, whose prompt starts with that of its parent") {
     pool.submit(turn(2, {piece(1, 500), piece(2, 400), piece(3, 300)}));
     CHECK(pool.last_server() == first);
   }
-  SECTION("a line that another host has read more of elsewhere") {
+  SECTION("another host reports a server that has cached more of the session") {
     const std::string other = first == "s9" ? "s8" : "s9";
     const server_key there = server_key_of(backend_server_id(other));
     pool.pool.note_location({prompt_part_key(2), there, token_count(2000)});
@@ -199,7 +198,7 @@
   }
 }
 
-TEST_CASE("what other hosts tell of servers that are unknown or gone changes nothing") {
+TEST_CASE("reports about unknown or removed servers are ignored") {
   pool_fixture pool(ten_servers());
   const server_key unknown = server_key_of(backend_server_id("nobody"));
   pool.pool.note_location({prompt_part_key(2), unknown, token_count(5000)});
@@ -214,7 +213,7 @@
   CHECK(pool.last_server() != holder);
 }
 
-TEST_CASE("a new program keeps away from a server that other hosts have filled") {
+TEST_CASE("a new program avoids a server that is full with other hosts' calls") {
   pool_fixture pool(ten_servers());
   pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   const std::string usual = pool.last_server();
@@ -224,7 +223,7 @@
   CHECK(fresh.last_server() != usual);
 }
 
-TEST_CASE("programs that have begun go on before others begin") {
+TEST_CASE("calls of programs in progress are placed before those of new programs") {
   pool_fixture pool({server("a")});
   pool.submit(call(1));
   pool.submit(call(2));
@@ -240,7 +239,7 @@
 
 namespace {
 
-/// One server as it registers itself after a start.
+/// One server with the given start of its process.
 std::vector<backend_entry> started(std::uint64_t start) {
   backend_entry entry = server("a");
   entry.start = incarnation(start);
@@ -249,7 +248,7 @@
 
 }  // namespace
 
-TEST_CASE("what a server holds is believed of the incarnation that read it") {
+TEST_CASE("cached prompts and loads belong to one incarnation of a server") {
   struct row {
     const char* what;
     std::uint64_t told_of;
@@ -258,9 +257,9 @@
   };
   const row rows[] = {
       {"the same process", 100, 100, true},
-      {"it has started again", 100, 200, false},
-      {"another host has heard of the start earlier", 200, 200, true},
-      {"servers that do not say when they started", 0, 0, true},
+      {"the server has restarted", 100, 200, false},
+      {"the report is about the new process already", 200, 200, true},
+      {"servers that don't report their start", 0, 0, true},
   };
   const auto source = GENERATE("this host's own calls", "another host's");
   for (const row& item : rows) {
@@ -286,7 +285,7 @@
   }
 }
 
-TEST_CASE("a server that has started again is not doubted for what it was before") {
+TEST_CASE("a restarted server is healthy whatever its former process did") {
   const auto outcome = GENERATE(server_outcome::failed, server_outcome::unreachable);
   pool_fixture pool(started(100));
   for (std::uint64_t id = 1; id <= 2; ++id) {
@@ -301,7 +300,7 @@
   CHECK(pool.submit(call(3)) == submit_outcome::placed);
 }
 
-TEST_CASE("a call at a former incarnation takes no place at the new one and teaches it nothing") {
+TEST_CASE("a call at a former incarnation of a server does not affect the new one") {
   pool_fixture pool(started(100));
   pool.submit(call(1));
   pool.submit(call(2));
@@ -311,32 +310,32 @@
   CHECK(placed.front().server.start == incarnation(200));
   CHECK(pool.pool.demand() == 1);
 
-  SECTION("its failure does not exclude the new one, nor free a place there twice") {
+  SECTION("its failure does not exclude the new one or free a place there twice") {
     pool.pool.finished(placement_id(1), server_outcome::unreachable, at(1s));
     pool.pool.finished(placement_id(2), server_outcome::failed, at(1s));
     CHECK(pool.pool.set_aside(at(1s)).empty());
     CHECK(pool.submit(call(4)) == submit_outcome::placed);
     CHECK(pool.submit(call(5)) == submit_outcome::queued);
   }
-  SECTION("a late answer of it does not make the new one slow") {
+  SECTION("its late answer does not make the new one slow") {
     pool.pool.finished(placement_id(3), server_outcome::answered, at(1100ms));
     pool.pool.started(placement_id(1), at(9s));
     pool.pool.finished(placement_id(1), server_outcome::answered, at(9s));
     CHECK(pool.pool.set_aside(at(9s)).empty());
   }
-  SECTION("it may end after the server is gone") {
+  SECTION("it can end after the server has been removed") {
     pool.pool.finished(placement_id(3), server_outcome::answered, at(1s));
     pool.pool.set_servers({}, at(1s));
     CHECK(pool.pool.finished(placement_id(1), server_outcome::failed, at(1s)).empty());
     CHECK(pool.pool.demand() == 0);
   }
-  SECTION("places that are shared out are not used up by it") {
+  SECTION("it does not count towards the limit of calls in flight") {
     pool.pool.set_window(2, at(1s));
     CHECK(pool.submit(call(4)) == submit_outcome::placed);
   }
 }
 
-TEST_CASE("other hosts hear that calls at a former incarnation count no more") {
+TEST_CASE("a count of 0 is reported for a former incarnation of a server") {
   pool_fixture pool(started(100));
   pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   const server_key former = server_key_of(backend_server_id("a"), incarnation(100));
@@ -346,7 +345,7 @@
   CHECK(pool.pool.take_update().loads == std::vector<server_load>{{former, 0}});
 }
 
-TEST_CASE("an entry that changes while its server goes on keeps what is known of it") {
+TEST_CASE("a changed entry of a server that has not restarted keeps the server's state") {
   pool_fixture pool(started(100));
   pool.submit(call(1));
   std::vector<backend_entry> changed = started(100);
--- a/libs/placement/test/server_speed_test.cc
+++ b/libs/placement/test/server_speed_test.cc
@@ -1,4 +1,4 @@
-// Tables over how fast servers are believed to be.
+// Tests the speed estimates of servers.
 #include "hawthornlane/placement/server_speed.h"
 
 #include <array>
@@ -13,14 +13,14 @@
 
 timestamp at(duration since) { return timestamp(since); }
 
-/// One host's calls at some servers, one after the other.
+/// Simulates the calls of one host at some servers, one after the other.
 class played_servers {
 public:
   explicit played_servers(std::vector<double> with) : factors(std::move(with)) {
     this->speeds.resize(this->factors.size());
   }
 
-  /// A call of 140 ms at an idle server of factor 1.
+  /// Makes a call that takes 140 ms at an idle server with factor 1.
   void call(std::size_t server, double load = 1, std::uint64_t kind = 1) {
     std::lognormal_distribution<double> spread(0, this->noise);
     const double usual = 0.14 * static_cast<double>(kind);
@@ -46,7 +46,7 @@
   std::vector<server_speed> speeds;
   speed_rules rules;
   double noise = 0.3;
-  /// All calls take so many times longer.
+  /// Slowdown factor of all calls.
   double common = 1;
   duration now{};
 
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE("servers that differ are told apart after some calls") {
+TEST_CASE("the ratio of two servers' speeds is estimated after some calls") {
   struct row {
     const char* what;
     std::array<double, 3> factors;
@@ -77,10 +77,10 @@
     double margin;
   };
   const row rows[] = {
-      {"all the same", {1, 1, 1}, 0.3, 60, 1, 0.2},
-      {"the slow one at 2.4 times the others", {0.7, 0.7, 1.7}, 0.3, 60, 2.43, 0.4},
-      {"calls that differ by two times", {0.7, 0.7, 1.7}, 0.7, 150, 2.43, 0.6},
-      {"the fast one at half of the others", {1, 1, 0.5}, 0.3, 60, 0.5, 0.1},
+      {"equal servers", {1, 1, 1}, 0.3, 60, 1, 0.2},
+      {"one server is 2.4 times slower", {0.7, 0.7, 1.7}, 0.3, 60, 2.43, 0.4},
+      {"call times vary by a factor of 2", {0.7, 0.7, 1.7}, 0.7, 150, 2.43, 0.6},
+      {"one server is 2 times faster", {1, 1, 0.5}, 0.3, 60, 0.5, 0.1},
   };
   for (const row& item : rows) {
     played_servers servers({item.factors.begin(), item.factors.end()});
@@ -93,7 +93,7 @@
   }
 }
 
-TEST_CASE("a few calls say little, and nothing is known of a server without any") {
+TEST_CASE("a single sample has limited weight against the prior") {
   played_servers servers({1, 1, 1});
   servers.call_each(30);
   CHECK(server_speed().slow(servers.rules, at(0s)) == 0);
@@ -102,7 +102,7 @@
   CHECK(std::exp(unknown.slow(servers.rules, at(servers.now))) < 1.6);
 }
 
-TEST_CASE("without calls half of a belief is forgotten in 70 s, and nearly all in 4 minutes") {
+TEST_CASE("without calls an estimate halves in 70 s and is nearly gone after 4 minutes") {
   played_servers servers({0.7, 0.7, 1.7});
   servers.call_each(1000);
   for (server_speed& speed : servers.speeds) {
@@ -116,7 +116,7 @@
   CHECK(std::log(servers.slow(2)) < 0.01 * known);
 }
 
-TEST_CASE("a server that has become fast is believed to be within 40 s") {
+TEST_CASE("a server that has become fast is recognized within 40 s") {
   played_servers servers({0.7, 0.7, 1.7});
   servers.call_each(300);
   REQUIRE(servers.slow(2) > 1.5 * servers.slow(0));
@@ -125,12 +125,12 @@
   CHECK(servers.slow(2) < 1.15 * servers.slow(0));
 }
 
-TEST_CASE("a full server is not a slow one") {
+TEST_CASE("a server is not estimated as slow because it is full") {
   struct row {
     const char* what;
     double load;
   };
-  const row rows[] = {{"nearly full", 1.35}, {"one place short", 1.6}, {"a second round", 2.4}};
+  const row rows[] = {{"nearly full", 1.35}, {"slightly overfull", 1.6}, {"calls wait", 2.4}};
   for (const row& item : rows) {
     INFO(item.what);
     played_servers servers({1, 1, 1});
@@ -144,7 +144,7 @@
   }
 }
 
-TEST_CASE("when all servers take longer, none of them is slow") {
+TEST_CASE("a slowdown of all servers is not attributed to a single server") {
   played_servers servers({0.7, 0.7, 1.7});
   servers.noise = 0.15;
   servers.call_each(200);
@@ -155,7 +155,7 @@
   CHECK(servers.slow(0) < 1.3);
 }
 
-TEST_CASE("what a server got of long and short calls does not bear on its speed") {
+TEST_CASE("the mix of long and short calls does not affect a server's speed estimate") {
   played_servers servers({1, 1, 1});
   for (int number = 0; number < 200; ++number) {
     servers.call(0, 1, 1);
@@ -166,9 +166,9 @@
   CHECK(servers.slow(2) / servers.slow(0) == Approx(1).margin(0.15));
 }
 
-TEST_CASE("a short slowness is seen within 0.4 s and over 0.6 s after its end") {
-  // All calls of a server, 28 a second, as its keeper hears of them; in a spell it is 2.5 times
-  // slower, which is so for a seventh of the time.
+TEST_CASE("a temporary slowdown is detected within 0.4 s and gone 0.6 s after its end") {
+  // Each server gets 28 calls per second, the calls of all hosts together. Server 0 is 2.5 times
+  // slower for a seventh of the time.
   played_servers servers({0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 1.7, 1.7, 1.7, 1.7});
   const auto call_for = [&](duration span) {
     for (const duration end = servers.now + span; servers.now < end; servers.now += 36ms) {
@@ -189,7 +189,7 @@
   servers.factors[0] = 0.7 * 2.5;
   call_for(400ms);
   CHECK(servers.expected(0) > 1.7 * before);
-  // What the server is does not change by it.
+  // The lasting slowdown does not change.
   CHECK(servers.slow(0) < 1.15 * slow_before);
   call_for(200ms);
   servers.factors[0] = 0.7;
@@ -197,19 +197,19 @@
   CHECK(servers.expected(0) < 1.3 * before);
 }
 
-TEST_CASE("what is heard is weighed by its calls, and never told on nor counted twice") {
+TEST_CASE("a received estimate is weighted, not counted twice, and not reported again") {
   struct row {
     const char* what;
     speed_word heard;
     double slow;
   };
-  // The own word is twice as slow, by a weight of 4.
+  // The host's own estimate is twice as slow, with a weight of 4.
   const double own = std::log(2.0);
   const row rows[] = {
-      {"nothing", {}, own * 4 / 5},
-      {"a light word", {0, 8, 0, 0}, own * 4 / 6},
-      {"a heavy word", {0, 320, 0, 0}, own * 4 / 45},
-      {"the same word", {693, 320, 0, 0}, own * 44 / 45},
+      {"none", {}, own * 4 / 5},
+      {"low weight", {0, 8, 0, 0}, own * 4 / 6},
+      {"high weight", {0, 320, 0, 0}, own * 4 / 45},
+      {"equal to the own estimate", {693, 320, 0, 0}, own * 44 / 45},
   };
   const speed_rules rules;
   for (const row& item : rows) {
@@ -227,7 +227,7 @@
   }
 }
 
-TEST_CASE("a mean of words goes by their weights and ages") {
+TEST_CASE("the mean of several hosts' estimates depends on their weights and ages") {
   const speed_rules rules;
   struct row {
     const char* what;
@@ -236,11 +236,11 @@
     std::uint16_t slow_weight;
   };
   const row rows[] = {
-      {"none", {}, 0, 0},
-      {"one", {{{500, 16, 0, 0}, 0s}}, 500, 16},
-      {"two of one weight", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 0s}}, 200, 32},
-      {"an old one", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 300s}}, 500, 16},
-      {"more than a belief weighs", {{{500, 60000, 0, 0}, 0s}}, 500, 400},
+      {"no estimate", {}, 0, 0},
+      {"one estimate", {{{500, 16, 0, 0}, 0s}}, 500, 16},
+      {"two of equal weight", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 0s}}, 200, 32},
+      {"one of two is old", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 300s}}, 500, 16},
+      {"a weight above the upper bound", {{{500, 60000, 0, 0}, 0s}}, 500, 400},
   };
   for (const row& item : rows) {
     INFO(item.what);
--- a/libs/placement/test/shared_load_test.cc
+++ b/libs/placement/test/shared_load_test.cc
@@ -1,5 +1,5 @@
-// Plays a burst against many hosts that place calls without asking each other, and
-// checks what callers get.
+// Simulates a burst with many hosts that place calls without exchanging loads. Checks how many
+// calls are in time.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <random>
@@ -15,14 +15,14 @@
 
 constexpr int hosts = 24;
 constexpr int servers = 16;
-/// So many of them turn slow in some plans.
+/// Number of servers that become slow in some runs.
 constexpr int slow_servers = 3;
 constexpr std::uint32_t slots = 6;
-/// Until the first event, which hardly differs between calls, and from there to the end.
+/// Time to the first event, which hardly differs between calls, and from there to the end.
 constexpr duration time_to_first = 60ms;
 constexpr duration service_time = 140ms;
 constexpr duration aim = 600ms;
-/// What hosts know of each other's demand is this old.
+/// Age of each host's information about the other hosts' demand.
 constexpr duration demand_age = 800ms;
 constexpr duration sharing_pause = 100ms;
 constexpr duration burst_from = 3s;
@@ -30,24 +30,27 @@
 constexpr duration end = 10s;
 constexpr int slow_factor = 7;
 
-/// What callers of one priority got that came during the burst.
+/// Result for the calls of one priority that arrived in the burst.
 struct class_result {
   int calls = 0;
   int in_time = 0;
   [[nodiscard]] double share() const { return static_cast<double>(this->in_time) / this->calls; }
 };
 
-/// How a load is played.
+/// Parameters of a simulated load.
 struct load_plan {
+  /// Load as a fraction of the capacity.
   double usual_load = 0.6;
   double burst_load = 1.35;
+  /// If set, hosts limit their calls in flight.
   bool share_places = true;
-  /// The first servers take so many times longer during the burst.
+  /// Slowdown factor of the first `slow_servers` servers during the burst.
   int slowness = 1;
+  /// If not set, each call has a kind of its own, so that hosts can't compare call times.
   bool tell_pace = true;
 };
 
-/// Hosts, servers and callers on virtual time.
+/// Simulates hosts, servers and callers in virtual time.
 class played_load {
 public:
   explicit played_load(load_plan with) : plan(with) {
@@ -210,7 +213,7 @@
 
 }  // namespace
 
-TEST_CASE("in a burst, urgent calls are in time, and the rest loses little") {
+TEST_CASE("limits of calls in flight serve urgent calls in a burst at little cost to others") {
   load_plan plan;
   plan.share_places = false;
   const auto before = played_load(plan).play();
@@ -227,7 +230,7 @@
   CHECK(all_in_time(after) > all_in_time(before));
 }
 
-TEST_CASE("without a burst the sharing of places costs nothing") {
+TEST_CASE("limits of calls in flight don't delay calls without a burst") {
   load_plan plan;
   plan.burst_load = plan.usual_load;
   plan.share_places = false;
@@ -240,7 +243,7 @@
   }
 }
 
-TEST_CASE("calls keep away from a server that has turned slow") {
+TEST_CASE("calls avoid a server that has become slow") {
   load_plan plan;
   plan.burst_load = plan.usual_load;
   plan.slowness = slow_factor;
--- a/libs/placement/test/speed_load_test.cc
+++ b/libs/placement/test/speed_load_test.cc
@@ -1,5 +1,5 @@
-// Plays calls without a prompt against servers of unequal and changing speed that many hosts
-// share, and checks where work goes and what callers get.
+// Simulates calls without a prompt at servers of unequal and changing speed that many hosts share.
+// Checks the distribution of work and how many calls are in time.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -18,10 +18,10 @@
 constexpr int servers = 45;
 constexpr int zones = 3;
 constexpr std::uint32_t slots = 8;
-/// A call at an idle server of usual speed.
+/// Mean time of a call at a server with factor 1.
 constexpr duration usual_time = 140ms;
 constexpr duration aim = 350ms;
-/// Every third server is slow, and each is so for a seventh of the time.
+/// Every third server is slow, and each server is temporarily slower for a seventh of the time.
 constexpr double fast_factor = 0.7;
 constexpr double slow_factor = 1.7;
 constexpr double spell_factor = 2.5;
@@ -33,16 +33,18 @@
 constexpr duration renewal_pause = 1s;
 
 struct load_plan {
-  /// Part of what all servers can do.
+  /// Load as a fraction of the capacity of all servers.
   double load = 0.7;
   bool learns = true;
-  /// What hosts tell each other takes so long.
+  /// Delay of directory updates.
   duration view_age{};
+  /// If set, hosts know the age of the loads that they receive.
   bool age_known = true;
+  /// If set, servers have temporary slowdowns.
   bool spells = true;
-  /// All keepers of the directory die at once in the middle.
+  /// If set, all entries of the directory are lost at once during the run.
   bool lose_keepers = false;
-  /// Calls that want the server of their object.
+  /// Fraction of the calls that have an affinity key.
   double with_affinity = 0.3;
 };
 
@@ -51,9 +53,9 @@
   int in_time = 0;
   double messages = 0;
   duration time_of_all{};
-  /// Of the busiest server over the mean, each by what it can do.
+  /// Highest number of calls at a server, relative to its share of all calls by speed.
   double busiest = 0;
-  /// Servers with a wrong and a right order of speeds, as one host sees them.
+  /// Mean slowdown of the slow and of the fast servers, as one host estimates it.
   double slow_seen = 0;
   double fast_seen = 0;
 
@@ -64,7 +66,7 @@
   [[nodiscard]] double messages_per_call() const { return this->messages / this->calls; }
 };
 
-/// Hosts, servers, callers and the directory on virtual time.
+/// Simulates hosts, servers, callers and the directory in virtual time.
 class played_speeds {
 public:
   explicit played_speeds(load_plan with) : plan(with) {
@@ -124,7 +126,7 @@
     return arrived >= learnt_after && arrived < end;
   }
 
-  /// Calls a second that all servers can do.
+  /// Calls per second that all servers can serve.
   [[nodiscard]] double capacity() const {
     double sum = 0;
     for (int number = 0; number < servers; ++number) {
@@ -185,7 +187,7 @@
     }
   }
 
-  /// Nearly each server has a keeper of its own.
+  /// Counts one message per server, since nearly every server's entry is held by a different host.
   void count_messages(std::size_t count) {
     this->result.messages += this->counts(this->events.now()) ? static_cast<double>(count) : 0;
   }
@@ -252,7 +254,7 @@
     this->tell(call.host, pool.take_update());
   }
 
-  /// Each 100 ms hosts hear of the demand, and tell the ends of calls.
+  /// Every 100 ms: gives the hosts the utilization, and reports batched ends of calls.
   void look() {
     const double fill = static_cast<double>(this->known.size()) / (servers * slots);
     for (int host = 0; host < hosts; ++host) {
@@ -311,9 +313,9 @@
 
 }  // namespace
 
-TEST_CASE("calls without a prompt go to servers by their speed, also by old views") {
-  // With loads as they are now at most half as many calls are late; loads of 500 ms ago, three
-  // calls' time, are no worse than knowing none.
+TEST_CASE("calls without a prompt are spread over servers by speed, also with outdated loads") {
+  // With current loads at most half as many calls are late as without speed estimates. Loads of
+  // 500 ms ago, the time of three calls, must not be worse than no loads.
   struct row {
     const char* what;
     duration view_age;
@@ -323,11 +325,11 @@
     double late_more;
   };
   const row rows[] = {
-      {"loads of now", 0ms, true, 0, 0.5, 0},
-      {"loads of now, objects", 0ms, true, 0.3, 0.5, 0},
-      {"loads of 50 ms ago, believed to be of now", 50ms, false, 0, 1, 0},
+      {"current loads", 0ms, true, 0, 0.5, 0},
+      {"current loads, affinity keys", 0ms, true, 0.3, 0.5, 0},
+      {"loads of 50 ms ago, age unknown", 50ms, false, 0, 1, 0},
       {"loads of 500 ms ago", 500ms, true, 0, 1, 0.02},
-      {"loads of 500 ms ago, objects", 500ms, true, 0.3, 1, 0},
+      {"loads of 500 ms ago, affinity keys", 500ms, true, 0.3, 1, 0},
   };
   for (const row& item : rows) {
     load_plan plan;
@@ -341,23 +343,23 @@
     INFO(item.what << ": in time " << before.share() << " -> " << after.share() << ", mean "
                    << before.mean_ms() << " -> " << after.mean_ms() << " ms, busiest by rate "
                    << before.busiest << " -> " << after.busiest << ", messages a call "
-                   << after.messages_per_call() << ", believed speeds " << after.slow_seen
+                   << after.messages_per_call() << ", estimated slowdowns " << after.slow_seen
                    << " and " << after.fast_seen);
     CHECK(after.busiest < 1.15);
     CHECK(1 - after.share() < item.late_part * (1 - before.share()) + item.late_more);
   }
 }
 
-TEST_CASE("what hosts tell each other of calls without a prompt goes by the load") {
+TEST_CASE("few messages are sent for calls without a prompt, fewer at lower load") {
   struct row {
     const char* what;
     double load;
     double most_messages;
   };
   const row rows[] = {
-      {"little load: nothing", 0.15, 0.01},
-      {"less than half full: one a call, and the renewal each second", 0.35, 1.25},
-      {"more than half full: also three questions", 0.7, 5},
+      {"low load: no messages", 0.15, 0.01},
+      {"less than half full: one per call, and the repeated counts each second", 0.35, 1.25},
+      {"more than half full: also three queries", 0.7, 5},
   };
   for (const row& item : rows) {
     load_plan plan;
@@ -368,7 +370,7 @@
   }
 }
 
-TEST_CASE("what hosts know of speeds outlives the keepers of the directory") {
+TEST_CASE("hosts keep their speed estimates when the directory is lost") {
   load_plan plan;
   const load_result kept = played_speeds(plan).play();
   plan.lose_keepers = true;
--- a/libs/placement/test/turn_load_test.cc
+++ b/libs/placement/test/turn_load_test.cc
@@ -1,5 +1,6 @@
-// Plays programs of turns, with helpers, against model engines that several hosts share,
-// and checks what their callers get: in a burst, after it, and what is read in vain.
+// Simulates programs with several turns and sub-agents on model engines that several hosts share.
+// Checks how many programs are in time during and after a burst, and how many tokens are read
+// again.
 #include <catch2/catch.hpp>
 
 #include "played_turns.h"
@@ -13,10 +14,10 @@
 
 }  // namespace
 
-TEST_CASE("programs are in time again soon after a burst, and prompts are read once") {
-  // The burst asks for 1.5 times what the engines can do, so that some are late in any
-  // case. Means of eight plays: 0.57 and 0.83 in time, 1.18 and 1.34 times the new tokens
-  // read; without the directory 0.70 in time at the small servers, and 1.85 times.
+TEST_CASE("programs are in time again soon after a burst, and few prompts are read again") {
+  // The burst is 1.5 times the engines' capacity, so some programs are late in any case. Means of
+  // eight runs for the two rows: 57% and 83% in time, and 1.18 and 1.34 times the new tokens read.
+  // Without the directory the second row has 70% in time and reads 1.85 times the new tokens.
   struct row {
     const char* what;
     load_plan plan;
@@ -28,8 +29,8 @@
   small_servers.servers = 20;
   small_servers.slots = 6;
   const row rows[] = {
-      {"7 hosts, 8 servers of 16 places", load_plan{}, 0.5, 1.25},
-      {"24 hosts, 20 servers of 6 places", small_servers, 0.75, 1.45},
+      {"7 hosts, 8 servers with 16 slots", load_plan{}, 0.5, 1.25},
+      {"24 hosts, 20 servers with 6 slots", small_servers, 0.75, 1.45},
   };
   for (const row& item : rows) {
     const load_result result = played_turns(item.plan).play();
@@ -42,7 +43,7 @@
   }
 }
 
-TEST_CASE("what hosts tell each other gains service in a burst") {
+TEST_CASE("the directory keeps more programs in time in a burst") {
   load_plan plan;
   plan.hosts = 24;
   plan.servers = 20;
@@ -56,9 +57,9 @@
   CHECK(share(shared.in_time, shared.began) > share(alone.in_time, alone.began) + 0.05);
 }
 
-TEST_CASE("programs are in time at servers of unequal speed") {
-  // 0.7 of what the servers can do: 45 servers of 8 places, of which a place does 3.8 turns a
-  // second at factor 1; a program has twelve.
+TEST_CASE("with speed estimates fewer programs are late at servers of unequal speed") {
+  // The load is 70% of the capacity of 45 servers with 8 slots. One slot serves 3.8 turns per
+  // second at factor 1, and a program has 12 turns.
   load_plan plan;
   plan.hosts = 66;
   plan.servers = 45;
@@ -69,11 +70,11 @@
   struct row {
     const char* what;
     duration view_age;
-    /// Of the programs that are late without learning, as many may be with it.
+    /// Upper bound of the late programs with speed estimates, as a fraction of those without.
     double late_part;
   };
   const row rows[] = {
-      {"loads of now", 0ms, 0.5},
+      {"current loads", 0ms, 0.5},
       {"loads of 50 ms ago", 50ms, 0.5},
       {"loads of 500 ms ago", 500ms, 1},
   };
--- a/libs/placement/test/turn_plan.h
+++ b/libs/placement/test/turn_plan.h
@@ -1,4 +1,4 @@
-// What is played of programs of turns, and what their callers got.
+// Parameters, state and results of the simulation of programs with several turns.
 #pragma once
 
 #include <deque>
@@ -13,7 +13,7 @@
 
 constexpr duration step = 5ms;
 constexpr double step_ms = 5;
-/// An engine reads prompts first, then makes one token a step of its own for each call.
+/// An engine reads prompts first, then generates one token per call every `token_ms`.
 constexpr double read_tokens_per_ms = 83;
 constexpr double token_ms = 2.5;
 constexpr double turn_tokens = 70;
@@ -22,12 +22,12 @@
 constexpr int turns = 6;
 constexpr int helpers = 3;
 constexpr int helper_turns = 2;
-/// Tool calls between two turns, and the way from caller to host and back.
+/// Time between two turns: tool calls, and the round trip between caller and host.
 constexpr duration pause = 120ms;
-/// An idle engine's time of one turn: reading, tokens, and the pause.
+/// Time of one turn at an idle engine: reading, generating, and the pause.
 constexpr double idle_turn_ms = 1000 / read_tokens_per_ms + turn_tokens * token_ms + 120;
 constexpr duration arrivals_end = 24s;
-/// Of servers that differ.
+/// Slowdown factors of fast servers, slow servers, and temporary slowdowns ("spells").
 constexpr double fast_factor = 0.7;
 constexpr double slow_factor = 1.7;
 constexpr double spell_factor = 2.5;
@@ -35,7 +35,7 @@
 constexpr duration between_spells = 3400ms;
 constexpr duration tick_pause = 100ms;
 
-/// What the programs of one kind of caller got.
+/// Result for the programs of one kind of caller.
 struct caller_result {
   int began = 0;
   int in_time = 0;
@@ -45,9 +45,9 @@
 /// The callers of one account.
 struct account_plan {
   client_account name;
-  /// Of all programs.
+  /// Fraction of all programs.
   double part = 1;
-  /// In the burst, as a multiple of its usual rate beside that of all.
+  /// Additional factor of this account's rate in the burst.
   double surge = 1;
 };
 
@@ -55,25 +55,25 @@
   int hosts = 7;
   int servers = 8;
   std::uint32_t slots = 16;
-  /// Programs a second, and in the burst.
+  /// Programs per second, usually and in the burst.
   double usual = 24;
   double burst = 60;
-  /// Hosts tell each other of loads and lines.
+  /// Hosts exchange loads and session locations.
   bool share = true;
   duration burst_from = 6s;
   duration burst_to = 10s;
-  /// A program is in time within so many times what it takes at idle engines.
+  /// A program is in time if it takes at most this multiple of its time at idle engines.
   double slack = 1.5;
-  /// Hosts keep to their part of the places while those are scarce.
+  /// Hosts limit their calls in flight under overload.
   bool windows = false;
-  /// Calls for full servers claim a place at the keeper.
+  /// Calls claim a place when their server is full.
   bool claims = false;
-  /// Every third server is slow, and each is slower still for a seventh of the time.
+  /// Every third server is slow, and each server is still slower for a seventh of the time.
   bool unequal = false;
   bool learns_speed = false;
-  /// What hosts tell of loads and speeds arrives so much later.
+  /// Delay of the loads and speeds that hosts report.
   duration view_age{};
-  /// Priorities are drawn from these evenly.
+  /// Programs get these priorities in turn.
   std::vector<std::uint32_t> priorities{0};
   std::vector<account_plan> accounts{{}};
   unsigned seed = 42;
@@ -86,18 +86,18 @@
   int in_time_after = 0;
   double read = 0;
   double unavoidable = 0;
-  /// Of programs that began in the burst.
+  /// Results of programs that began in the burst.
   std::map<std::uint32_t, caller_result> by_priority;
   std::map<client_account, caller_result> by_account;
-  /// Of programs that began after it.
+  /// Results of programs that began after the burst.
   std::map<std::uint32_t, caller_result> by_priority_after;
   int refused = 0;
-  /// Calls that engines worked on in the burst, and those that they could have.
+  /// Sums over the steps of the burst: calls that engines worked on, and their slots.
   double worked_on = 0;
   double workable = 0;
 };
 
-/// One line of turns: a program's own, or a helper's.
+/// One session: a sequence of turns of a program or of one of its sub-agents.
 struct line {
   int program = 0;
   bool is_helper = false;
@@ -122,7 +122,7 @@
   placement_request request;
 };
 
-/// A turn that waits for a place at some servers.
+/// A turn that has claimed a place at some servers.
 struct waiting_turn {
   std::vector<place_target> targets;
   duration repeat_at{};
@@ -130,7 +130,7 @@
 
 struct engine {
   backend_entry entry;
-  /// How many times longer it takes than others, and when its spells begin.
+  /// Slowdown factor, and time offset of its temporary slowdowns.
   double factor = 1;
   duration spell_phase{};
   std::vector<placement_id> running;
@@ -138,7 +138,7 @@
   prefix_cache_view cache;
 };
 
-/// What a host told, on its way.
+/// A host's directory update in transit.
 struct told_update {
   duration arrives{};
   int host = 0;
