--- a/libs/placement/include/hawthornlane/placement/call_window.h
+++ b/libs/placement/include/hawthornlane/placement/in_flight_limit.h
@@ -29,6 +29,6 @@
 
 /// This host's share of the calls in flight, in proportion to its share of the demand. Empty if
 /// demand is low enough that no limit is needed, or if there are no places.
-std::optional<std::uint32_t> window_for(const service_load& load);
+std::optional<std::uint32_t> compute_in_flight_limit(const service_load& load);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -68,7 +68,7 @@
   unknown
 };
 
-struct claim_answer {
+struct claim_response {
   claim_outcome outcome = claim_outcome::unknown;
   /// Expected time until a place is free, for a claim that waits or is refused.
   duration wait{};
@@ -99,16 +99,16 @@
 class place_queue {
 public:
   /// Interval at which a host repeats its claims.
-  static constexpr duration repeat_pause = std::chrono::milliseconds(150);
+  static constexpr duration repeat_interval = std::chrono::milliseconds(150);
   /// A claim is dropped if it has not been repeated for this long: its host is down or has missed
   /// two repeats.
-  static constexpr duration claim_lifetime = 3 * repeat_pause;
+  static constexpr duration claim_lifetime = 3 * repeat_interval;
   /// A grant expires if its host's reported count does not include the call after this long. A
   /// message takes 1 to 10 ms, and a host with a saturated core answers within 50 ms.
   static constexpr duration grant_lifetime = std::chrono::milliseconds(100);
   /// Hosts repeat their counts within this time, so a host that has just become responsible for a
   /// server knows all counts after it.
-  static constexpr duration learning_time = std::chrono::milliseconds(1000);
+  static constexpr duration warm_up_time = std::chrono::milliseconds(1000);
   /// All hosts agree within this time on a host's start or end, and so on the host responsible for
   /// a server. If the first message about a server arrives later than this plus `learning_time`
   /// after a change, this host was responsible for it all along, and the server was idle or did not
@@ -139,7 +139,7 @@
   /// The set of live hosts has changed, so this host may have become responsible for other servers.
   void hosts_changed(timestamp now) { this->hosts_changed_at = now; }
   /// Answers a new or repeated claim. A claim that already has a grant is granted again.
-  claim_answer claim(const place_claim& claim, timestamp now);
+  claim_response claim(const place_claim& claim, timestamp now);
   /// Removes the call's claim at this server, and frees a place that was granted to it.
   void withdraw(const claimant& from, server_key server, timestamp now);
   /// `host` has reported a new count to the directory, which replaces `before`.
@@ -214,8 +214,8 @@
   void grant_free(server_key key, kept_server& server, timestamp now);
   /// Removes a grant that has not been sent yet. Returns false if there is none.
   bool take_untold(const claimant& to, server_key server);
-  [[nodiscard]] claim_answer expect(server_key key, const kept_server& server,
-                                    const waiting_claim& item, timestamp now) const;
+  [[nodiscard]] claim_response expect(server_key key, const kept_server& server,
+                                      const waiting_claim& item, timestamp now) const;
   static void note_freed(kept_server& server, double places, timestamp now);
   static double fading(const kept_server& server, timestamp now);
 
--- a/libs/placement/include/hawthornlane/placement/placement_directory.h
+++ b/libs/placement/include/hawthornlane/placement/placement_directory.h
@@ -48,11 +48,11 @@
 };
 
 /// An estimate of a server's speed, as hosts report it to each other.
-struct told_speed {
+struct speed_report {
   server_key server;
   speed_word word;
 
-  friend bool operator==(const told_speed&, const told_speed&) = default;
+  friend bool operator==(const speed_report&, const speed_report&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->server, this->word);
@@ -64,7 +64,7 @@
   std::vector<server_load> loads;
   std::vector<part_location> locations;
   /// Estimates from this host's own calls only.
-  std::vector<told_speed> speeds;
+  std::vector<speed_report> speeds;
 
   [[nodiscard]] bool empty() const {
     return this->loads.empty() && this->locations.empty() && this->speeds.empty();
@@ -72,7 +72,7 @@
 };
 
 /// Entries that a host requests before it places a call.
-struct directory_question {
+struct directory_request {
   std::vector<server_key> servers;
   std::vector<prompt_part_key> parts;
 
@@ -98,11 +98,11 @@
   std::uint32_t set_load(const host_id& host, const server_load& load, timestamp now);
   void set_location(const part_location& location);
   /// Sets the estimate that `host` reports, replacing its previous one.
-  void set_speed(const host_id& host, const told_speed& speed, timestamp now);
+  void set_speed(const host_id& host, const speed_report& speed, timestamp now);
   /// Weighted mean of the estimates of all hosts but `asker`. Empty if no other host has reported
   /// one that still has weight.
-  [[nodiscard]] std::optional<told_speed> speed_of_others(server_key server, const host_id& asker,
-                                                          timestamp now) const;
+  [[nodiscard]] std::optional<speed_report> speed_of_others(server_key server, const host_id& asker,
+                                                            timestamp now) const;
   /// Number of calls that all hosts but `asker` have at the server.
   [[nodiscard]] std::uint32_t load_of_others(server_key server, const host_id& asker,
                                              timestamp now) const;
@@ -138,6 +138,6 @@
 
 /// The host that holds the directory entry of `key`. All hosts that have the same list of hosts get
 /// the same result. Empty if `hosts` is empty.
-std::optional<host_id> keeper_of(std::uint64_t key, const std::vector<host_id>& hosts);
+std::optional<host_id> directory_host_for(std::uint64_t key, const std::vector<host_id>& hosts);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
+++ b/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
@@ -38,7 +38,9 @@
   [[nodiscard]] std::vector<backend_server_id> holders_of_line(
       const std::vector<prompt_piece>& prompt) const;
   /// True if some server is known to have read this part.
-  [[nodiscard]] bool knows(prompt_part_key part) const { return this->parts.contains(part); }
+  [[nodiscard]] bool has_prompt_part(prompt_part_key part) const {
+    return this->parts.contains(part);
+  }
   /// Records that `server` reads the prompt.
   void note(const std::vector<prompt_piece>& prompt, const backend_server_id& server);
   /// Records that `server` has read one part, as another host reports it.
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -103,7 +103,7 @@
 };
 
 /// A host's estimate of a server's slowdown, for operators.
-struct server_pace {
+struct server_slowdown {
   backend_server_id id;
   /// Time of calls at this server as a multiple of the time at a typical server.
   double factor = 1;
@@ -120,31 +120,33 @@
   /// calls that can be placed now.
   std::vector<placement> set_servers(const std::vector<backend_entry>& servers, timestamp now);
   /// Directory entries that are worth requesting from other hosts before `request` is submitted.
-  [[nodiscard]] directory_question question_for(const placement_request& request,
-                                                timestamp now) const;
+  [[nodiscard]] directory_request directory_request_for(const placement_request& request,
+                                                        timestamp now) const;
   /// Sets the number of calls that other hosts have at a server. Unknown servers are ignored.
-  void note_load(const server_load& load, timestamp now);
+  void set_remote_load(const server_load& load, timestamp now);
   /// Records that a server has read a part of a prompt, as another host reports it.
-  void note_location(const part_location& location);
+  void add_prompt_location(const part_location& location);
   /// Returns and clears the changes that have not been reported to the directory yet.
   directory_update take_update();
   /// Calls of this host at each server that has any.
   [[nodiscard]] std::vector<server_load> own_loads() const;
   /// Sets the utilization of the servers: calls of all hosts per place, by the latest counts
   /// received. Calls without a prompt are reported and queried only when it is high.
-  void note_fill(double calls_per_place) { this->fill_heard = calls_per_place; }
+  void set_utilization(double calls_per_place) { this->fill_heard = calls_per_place; }
   /// Ends of calls without a prompt are reported in batches. Moves a batch that is due by `now`
   /// into the next `take_update`. Returns false if none is due.
-  bool release_ends(timestamp now);
+  bool flush_ended_calls(timestamp now);
   /// Adds this host's speed estimates to `update`: those of the servers in `update.loads` that have
   /// changed since the last report.
   void add_speeds(directory_update& update, timestamp now);
   /// Sets the mean of other hosts' estimates of a server's speed. Unknown servers are ignored.
-  void note_speed(const told_speed& speed, timestamp now);
+  void set_remote_speed(const speed_report& speed, timestamp now);
   /// Slowdowns of the listed servers that have an estimate of sufficient weight.
-  [[nodiscard]] std::vector<server_pace> paces(timestamp now) const;
+  [[nodiscard]] std::vector<server_slowdown> slowdowns(timestamp now) const;
   /// True if some server is known to have read this part of a prompt.
-  [[nodiscard]] bool knows(prompt_part_key part) const { return this->caches.knows(part); }
+  [[nodiscard]] bool has_prompt_part(prompt_part_key part) const {
+    return this->caches.has_prompt_part(part);
+  }
   /// Places the call, queues it, or refuses it at once because it cannot be served.
   submit_outcome submit(const placement_request& request, timestamp now,
                         std::vector<placement>& placed);
@@ -164,7 +166,7 @@
   void started(placement_id id, timestamp now);
   /// Limits the calls of this host in flight while places are scarce; empty for no limit. Returns
   /// queued calls that can be placed now.
-  std::vector<placement> set_window(std::optional<std::uint32_t> most, timestamp now);
+  std::vector<placement> set_in_flight_limit(std::optional<std::uint32_t> most, timestamp now);
   /// Removes a call from the queue.
   void cancel(placement_id id);
   /// Removes the calls whose `give_up_at` has passed from the queue, and returns them.
@@ -179,9 +181,9 @@
   /// Servers that get no calls for now because of failures.
   [[nodiscard]] std::set<backend_server_id> excluded(timestamp now) const;
   /// Servers that are excluded, or degraded and used only if no other server is available.
-  [[nodiscard]] std::set<backend_server_id> set_aside(timestamp now) const;
+  [[nodiscard]] std::set<backend_server_id> unhealthy(timestamp now) const;
   /// Calls that the healthy servers work on at once.
-  [[nodiscard]] double places_in_good_health(timestamp now) const;
+  [[nodiscard]] double healthy_places(timestamp now) const;
   [[nodiscard]] std::vector<backend_server_id> listed() const;
 
 private:
@@ -281,8 +283,8 @@
                                             const placement_request& request, timestamp now) const;
   /// Decides by the utilization whether a call without a prompt is reported to other hosts.
   void note_plain_call(running_call& call, const server_state& server);
-  [[nodiscard]] directory_question plain_question(const placement_request& request,
-                                                  timestamp now) const;
+  [[nodiscard]] directory_request plain_question(const placement_request& request,
+                                                 timestamp now) const;
   /// Records the server's load in a call that is about to be placed.
   void note_load_met(running_call& call, const server_state& server,
                      const placement_request& request, timestamp now) const;
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -114,7 +114,7 @@
   struct faded_sum {
     /// Sums of: the reported values times their decayed weights, the decayed weights, and the
     /// weights as reported.
-    double paces = 0;
+    double slowdowns = 0;
     double faded = 0;
     double whole = 0;
 
--- a/libs/placement/test/call_window_test.cc
+++ b/libs/placement/test/in_flight_limit_test.cc
@@ -1,5 +1,5 @@
 // Tests the limit of a host's calls in flight for different demands.
-#include "hawthornlane/placement/call_window.h"
+#include "hawthornlane/placement/in_flight_limit.h"
 
 #include <catch2/catch.hpp>
 
@@ -23,6 +23,6 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    CHECK(window_for(item.load) == item.window);
+    CHECK(compute_in_flight_limit(item.load) == item.window);
   }
 }
--- a/libs/placement/test/place_queue_test.cc
+++ b/libs/placement/test/place_queue_test.cc
@@ -28,7 +28,7 @@
 public:
   full_server() {
     this->count(busy_host, places);
-    this->now += place_queue::learning_time;
+    this->now += place_queue::warm_up_time;
     this->count(busy_host, places);
   }
 
@@ -127,7 +127,7 @@
   place_claim late = claim_of(1);
   late.wanted_in = -1s;
   CHECK(keeper.claim(late) == claim_outcome::waiting);
-  constexpr duration repeat = place_queue::repeat_pause;
+  constexpr duration repeat = place_queue::repeat_interval;
   std::uint64_t others = 1;
   duration waited{};
   while (waited < 2s) {
@@ -224,7 +224,7 @@
     place_claim claim = claim_of(1);
     claim.wanted_in = 10s;
     claim.given_up_in = item.given_up_in;
-    const claim_answer answer = keeper.queue.claim(claim, keeper.now);
+    const claim_response answer = keeper.queue.claim(claim, keeper.now);
     CHECK(answer.outcome == item.expected);
     CHECK((answer.wait < item.given_up_in) == (item.expected == claim_outcome::waiting));
     const std::size_t waits = item.expected == claim_outcome::waiting ? 1 : 0;
@@ -251,7 +251,7 @@
   place_queue queue(directory);
   timestamp now{1h};
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::unknown);
-  now += place_queue::learning_time - 1ms;
+  now += place_queue::warm_up_time - 1ms;
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::unknown);
   now += 1ms;
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::granted);
@@ -268,7 +268,7 @@
     duration since_change;
     claim_outcome expected;
   };
-  constexpr duration settled = place_queue::settling_time + place_queue::learning_time;
+  constexpr duration settled = place_queue::settling_time + place_queue::warm_up_time;
   const row rows[] = {
       {"the hosts have just changed", 0ms, claim_outcome::unknown},
       {"some hosts may not know of the change yet", settled - 1ms, claim_outcome::unknown},
@@ -283,7 +283,7 @@
     CHECK(queue.claim(claim_of(1), changed + item.since_change).outcome == item.expected);
     // A later change does not make the counts of a known server unknown.
     queue.hosts_changed(changed + settled);
-    const timestamp later = changed + settled + place_queue::learning_time;
+    const timestamp later = changed + settled + place_queue::warm_up_time;
     CHECK(queue.claim(claim_of(1), later).outcome == claim_outcome::granted);
   }
 }
@@ -292,7 +292,7 @@
   full_server keeper;
   for (int number = 0; number < 5; ++number) {
     CHECK(keeper.claim(claim_of(1)) == claim_outcome::waiting);
-    keeper.now += place_queue::repeat_pause;
+    keeper.now += place_queue::repeat_interval;
   }
   CHECK(keeper.queue.waiting(server) == 1);
   CHECK(keeper.free_one() == calls{1});
--- a/libs/placement/test/server_pool_speed_test.cc
+++ b/libs/placement/test/server_pool_speed_test.cc
@@ -67,7 +67,7 @@
     return at_slow;
   }
   double pace_of_slow() const {
-    for (const server_pace& pace : this->pool.paces(this->moment())) {
+    for (const server_slowdown& pace : this->pool.slowdowns(this->moment())) {
       if (pace.id == slow_server) {
         return pace.factor;
       }
@@ -96,20 +96,20 @@
 TEST_CASE("without learns_speed no speed is estimated, reported, queried or accepted") {
   lone_host host(false);
   host.call_times(200);
-  host.pool.note_fill(1);
-  host.pool.note_speed({key, {900, 400, 0, 0}}, host.moment());
+  host.pool.set_utilization(1);
+  host.pool.set_remote_speed({key, {900, 400, 0, 0}}, host.moment());
   host.call_times(1);
-  CHECK(host.pool.paces(host.moment()).empty());
-  CHECK_FALSE(host.pool.release_ends(host.moment() + 1s));
+  CHECK(host.pool.slowdowns(host.moment()).empty());
+  CHECK_FALSE(host.pool.flush_ended_calls(host.moment() + 1s));
   CHECK(host.pool.take_update().empty());
   placement_request request;
   request.id = placement_id(9999);
-  CHECK(host.pool.question_for(request, host.moment()).empty());
+  CHECK(host.pool.directory_request_for(request, host.moment()).empty());
 }
 
 TEST_CASE("a new host uses the speeds that other hosts report") {
   lone_host host;
-  host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
+  host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
   CHECK(host.pace_of_slow() == Approx(2.4).margin(0.1));
   CHECK(host.call_times(130) < 20);
 }
@@ -117,14 +117,14 @@
 TEST_CASE("a restarted server does not keep the speed estimate of its former process") {
   lone_host host;
   host.call_times(200);
-  host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
+  host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
   REQUIRE(host.pace_of_slow() > 2);
   host.pool.set_servers(entries(200), host.moment());
-  CHECK(host.pool.paces(host.moment()).empty());
+  CHECK(host.pool.slowdowns(host.moment()).empty());
 
   SECTION("reports about the former process are ignored") {
-    host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
-    CHECK(host.pool.paces(host.moment()).empty());
+    host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
+    CHECK(host.pool.slowdowns(host.moment()).empty());
   }
   SECTION("it is used like the others if it is as fast now") {
     host.factor = 1;
@@ -192,7 +192,7 @@
   for (const row& item : rows) {
     INFO(item.what);
     lone_host host;
-    host.pool.note_fill(item.fill);
+    host.pool.set_utilization(item.fill);
     placement_request request;
     request.id = placement_id(1);
     request.give_up_at = timestamp(10s);
@@ -200,14 +200,14 @@
     host.pool.submit(request, timestamp{}, placed);
     CHECK(host.pool.take_update().loads.size() == item.at_begin);
     host.pool.finished(request.id, server_outcome::answered, timestamp(100ms));
-    host.pool.release_ends(timestamp(1s));
+    host.pool.flush_ended_calls(timestamp(1s));
     CHECK(host.pool.take_update().loads.size() == item.at_end);
   }
 }
 
 TEST_CASE("ends of calls without a prompt are reported in batches after 50 ms") {
   lone_host host;
-  host.pool.note_fill(0.48);
+  host.pool.set_utilization(0.48);
   placement_request request;
   request.id = placement_id(1);
   request.give_up_at = timestamp(10s);
@@ -217,8 +217,8 @@
   CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 1}});
   host.pool.finished(request.id, server_outcome::answered, timestamp(100ms));
   CHECK(host.pool.take_update().empty());
-  CHECK_FALSE(host.pool.release_ends(timestamp(120ms)));
-  CHECK(host.pool.release_ends(timestamp(150ms)));
+  CHECK_FALSE(host.pool.flush_ended_calls(timestamp(120ms)));
+  CHECK(host.pool.flush_ended_calls(timestamp(150ms)));
   CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 0}});
 }
 
@@ -239,14 +239,14 @@
     INFO(item.what);
     lone_host host;
     host.now = 20s;
-    host.pool.note_fill(item.fill);
+    host.pool.set_utilization(item.fill);
     for (const backend_entry& entry : entries()) {
       const server_key server = server_key_of(entry.id, entry.start);
-      host.pool.note_load({server, 1}, host.moment() - item.heard_ago);
+      host.pool.set_remote_load({server, 1}, host.moment() - item.heard_ago);
     }
     placement_request request;
     request.id = placement_id(1);
-    CHECK(host.pool.question_for(request, host.moment()).servers.size() == item.asked);
+    CHECK(host.pool.directory_request_for(request, host.moment()).servers.size() == item.asked);
   }
 }
 
@@ -254,7 +254,7 @@
   lone_host host;
   for (const backend_entry& entry : entries()) {
     const server_key server = server_key_of(entry.id, entry.start);
-    host.pool.note_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
+    host.pool.set_remote_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
   }
   // Each call has only three candidates, so some calls don't consider the free server.
   int at_free = 0;
--- a/libs/placement/test/server_pool_test.cc
+++ b/libs/placement/test/server_pool_test.cc
@@ -192,7 +192,7 @@
   SECTION("another host reports a server that has cached more of the session") {
     const std::string other = first == "s9" ? "s8" : "s9";
     const server_key there = server_key_of(backend_server_id(other));
-    pool.pool.note_location({prompt_part_key(2), there, token_count(2000)});
+    pool.pool.add_prompt_location({prompt_part_key(2), there, token_count(2000)});
     pool.submit(turn(2, {piece(1, 500), piece(2, 2400)}));
     CHECK(pool.last_server() == other);
   }
@@ -201,8 +201,8 @@
 TEST_CASE("reports about unknown or removed servers are ignored") {
   pool_fixture pool(ten_servers());
   const server_key unknown = server_key_of(backend_server_id("nobody"));
-  pool.pool.note_location({prompt_part_key(2), unknown, token_count(5000)});
-  pool.pool.note_load({unknown, 1000}, at(1s));
+  pool.pool.add_prompt_location({prompt_part_key(2), unknown, token_count(5000)});
+  pool.pool.set_remote_load({unknown, 1000}, at(1s));
   CHECK(pool.submit(turn(1, {piece(1, 500), piece(2, 400)})) == submit_outcome::placed);
   const std::string holder = pool.last_server();
   pool.pool.finished(placement_id(1), server_outcome::answered, at(1s));
@@ -218,7 +218,7 @@
   pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   const std::string usual = pool.last_server();
   pool_fixture fresh(ten_servers());
-  fresh.pool.note_load({server_key_of(backend_server_id(usual)), 12}, at(1s));
+  fresh.pool.set_remote_load({server_key_of(backend_server_id(usual)), 12}, at(1s));
   fresh.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   CHECK(fresh.last_server() != usual);
 }
@@ -272,8 +272,8 @@
     } else {
       pool.pool.set_servers(started(item.listed), at(1s));
       const server_key key = server_key_of(backend_server_id("a"), incarnation(item.told_of));
-      pool.pool.note_location({prompt_part_key(2), key, token_count(400)});
-      pool.pool.note_load({key, 7}, at(1s));
+      pool.pool.add_prompt_location({prompt_part_key(2), key, token_count(400)});
+      pool.pool.set_remote_load({key, 7}, at(1s));
     }
     pool.submit(turn(2, {piece(1, 500), piece(2, 400)}));
     REQUIRE(pool.placed.size() == 1);
@@ -294,9 +294,9 @@
   for (std::uint64_t id = 1; id <= 2; ++id) {
     pool.pool.finished(placement_id(id), outcome, at(1s));
   }
-  REQUIRE(pool.pool.set_aside(at(1s)).size() == 1);
+  REQUIRE(pool.pool.unhealthy(at(1s)).size() == 1);
   pool.pool.set_servers(started(200), at(1s));
-  CHECK(pool.pool.set_aside(at(1s)).empty());
+  CHECK(pool.pool.unhealthy(at(1s)).empty());
   CHECK(pool.submit(call(3)) == submit_outcome::placed);
 }
 
@@ -313,7 +313,7 @@
   SECTION("its failure does not exclude the new one or free a place there twice") {
     pool.pool.finished(placement_id(1), server_outcome::unreachable, at(1s));
     pool.pool.finished(placement_id(2), server_outcome::failed, at(1s));
-    CHECK(pool.pool.set_aside(at(1s)).empty());
+    CHECK(pool.pool.unhealthy(at(1s)).empty());
     CHECK(pool.submit(call(4)) == submit_outcome::placed);
     CHECK(pool.submit(call(5)) == submit_outcome::queued);
   }
@@ -321,7 +321,7 @@
     pool.pool.finished(placement_id(3), server_outcome::answered, at(1100ms));
     pool.pool.started(placement_id(1), at(9s));
     pool.pool.finished(placement_id(1), server_outcome::answered, at(9s));
-    CHECK(pool.pool.set_aside(at(9s)).empty());
+    CHECK(pool.pool.unhealthy(at(9s)).empty());
   }
   SECTION("it can end after the server has been removed") {
     pool.pool.finished(placement_id(3), server_outcome::answered, at(1s));
@@ -330,7 +330,7 @@
     CHECK(pool.pool.demand() == 0);
   }
   SECTION("it does not count towards the limit of calls in flight") {
-    pool.pool.set_window(2, at(1s));
+    pool.pool.set_in_flight_limit(2, at(1s));
     CHECK(pool.submit(call(4)) == submit_outcome::placed);
   }
 }
