--- a/libs/placement/include/hawthornlane/placement/in_flight_limit.h
+++ b/libs/placement/include/hawthornlane/placement/in_flight_limit.h
@@ -19,13 +19,13 @@
 /// Ratio of demand to places above which in-flight calls are limited. Excess calls then queue at
 /// hosts, which order them by urgency, instead of at servers, which work in order of arrival. Below
 /// this ratio a call waits for less than half of a call's time.
-constexpr double window_from = 1.5;
+constexpr double overload_demand_ratio = 1.5;
 /// Calls that all hosts together may have in flight, as a multiple of all places. It is above 1
 /// because a server with some queued calls has no idle time between two calls, and because hosts
 /// don't know which servers other hosts use. With 1.15, model servers did 10% less work in a burst.
-constexpr double window_size = 1.5;
+constexpr double in_flight_ratio = 1.5;
 /// Lower bound of the limit, so that a host with little demand can always send calls.
-constexpr std::uint32_t least_window = 2;
+constexpr std::uint32_t min_in_flight_limit = 2;
 
 /// This host's share of the calls in flight, in proportion to its share of the demand. Empty if
 /// demand is low enough that no limit is needed, or if there are no places.
--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -18,11 +18,11 @@
 namespace hawthornlane {
 
 /// Identifies a call across hosts: its host and its number on that host.
-struct claimant {
+struct global_call_id {
   host_id host;
   std::uint64_t call = 0;
 
-  friend auto operator<=>(const claimant&, const claimant&) = default;
+  friend auto operator<=>(const global_call_id&, const global_call_id&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->host, this->call);
@@ -32,7 +32,7 @@
 /// A call's request for a place at a server. Times are sent as remaining durations because the
 /// clocks of hosts differ.
 struct place_claim {
-  claimant from;
+  global_call_id from;
   server_key server;
   /// Calls that may be at the server at once.
   std::uint32_t places = 0;
@@ -85,7 +85,7 @@
 
 /// Permits a call to be sent to a server now.
 struct place_grant {
-  claimant to;
+  global_call_id to;
   server_key server;
 
   friend bool operator==(const place_grant&, const place_grant&) = default;
@@ -113,25 +113,25 @@
   /// a server. If the first message about a server arrives later than this plus `learning_time`
   /// after a change, this host was responsible for it all along, and the server was idle or did not
   /// exist: its counts are known.
-  static constexpr duration settling_time = std::chrono::milliseconds(1000);
+  static constexpr duration convergence_time = std::chrono::milliseconds(1000);
   /// A server is removed if no message about it has arrived for this long. Hosts report the counts
   /// of a server in use once a second, so another host is responsible for it now, or it is idle.
-  static constexpr duration memory = std::chrono::seconds(4);
+  static constexpr duration idle_lifetime = std::chrono::seconds(4);
   /// A claim past its soft deadline is served after claims that can still meet theirs, but only
   /// until it has waited this long; then it is ordered by its soft deadline again. A turn is given
   /// up after 3 s, which would waste the work already done for its program.
-  static constexpr duration late_patience = std::chrono::seconds(1);
+  static constexpr duration late_penalty_time = std::chrono::seconds(1);
   /// A claim that has waited this long is overdue: a program of about ten turns has used up its
   /// slack by then.
   static constexpr duration overdue_after = std::chrono::milliseconds(1500);
   /// One in this many grants goes to the claim that has waited longest, if it is overdue, whatever
   /// its priority. A larger share would amount to order of arrival once all claims are overdue.
-  static constexpr std::uint32_t overdue_share = 32;
+  static constexpr std::uint32_t overdue_grant_interval = 32;
   /// Lower bound of the expected rate at which each place of a server becomes free: turns take 0.2
   /// to 1 s at the engines in use.
-  static constexpr double least_freed_per_second = 1;
+  static constexpr double min_freed_per_second = 1;
   /// Upper bound of the claims that wait at one server; they take 0.1 MB.
-  static constexpr std::size_t most_waiting = 512;
+  static constexpr std::size_t max_waiting = 512;
 
   /// `counts` holds the calls that hosts report, and must outlive the queue.
   explicit place_queue(const placement_directory& counts) : directory(counts) {}
@@ -141,7 +141,7 @@
   /// Answers a new or repeated claim. A claim that already has a grant is granted again.
   claim_response claim(const place_claim& claim, timestamp now);
   /// Removes the call's claim at this server, and frees a place that was granted to it.
-  void withdraw(const claimant& from, server_key server, timestamp now);
+  void withdraw(const global_call_id& from, server_key server, timestamp now);
   /// `host` has reported a new count to the directory, which replaces `before`.
   void count_changed(const host_id& host, const server_load& load, std::uint32_t before,
                      timestamp now);
@@ -157,13 +157,13 @@
 private:
   struct waiting_claim {
     place_claim claim;
-    timestamp since{};
-    timestamp heard{};
+    timestamp waiting_since{};
+    timestamp last_repeated{};
     timestamp wanted_by{};
   };
-  struct open_grant {
-    claimant to;
-    timestamp given{};
+  struct pending_grant {
+    global_call_id to;
+    timestamp granted_at{};
   };
   /// Start-time fair queueing between accounts; each granted call costs 1.
   struct fair_share {
@@ -175,16 +175,16 @@
     [[nodiscard]] double start_of(const client_account& account) const;
     void grant(const client_account& account);
   };
-  struct kept_server {
+  struct server_queue {
     std::uint32_t places = 0;
-    timestamp first_heard{};
-    timestamp last_heard{};
+    timestamp first_message_at{};
+    timestamp last_message_at{};
     std::vector<waiting_claim> waiting;
     /// Grants that no reported count includes yet.
-    std::vector<open_grant> grants;
+    std::vector<pending_grant> grants;
     /// Places freed per second: a sum of freed places that decays by a factor of e per second.
-    double freed = 0;
-    timestamp freed_at{};
+    double freed_per_second = 0;
+    timestamp freed_updated_at{};
     /// One for each priority, so grants at one priority don't affect the shares at another.
     std::map<std::uint32_t, fair_share> shares;
     std::uint32_t grants_since_overdue = 0;
@@ -196,36 +196,36 @@
     bool is_new = false;
     double share = 0;
     timestamp wanted_by{};
-    timestamp since{};
-    claimant from;
+    timestamp waiting_since{};
+    global_call_id from;
 
     friend auto operator<=>(const claim_rank&, const claim_rank&) = default;
   };
 
-  [[nodiscard]] bool is_learning(const kept_server& server, timestamp now) const;
-  kept_server& heard_of(server_key server, timestamp now);
-  [[nodiscard]] static claim_rank rank_of(const kept_server& server, const waiting_claim& item,
+  [[nodiscard]] bool is_warming_up(const server_queue& server, timestamp now) const;
+  server_queue& touch_server(server_key server, timestamp now);
+  [[nodiscard]] static claim_rank rank_of(const server_queue& server, const waiting_claim& item,
                                           timestamp now);
-  static void drop_old(kept_server& server, timestamp now);
+  static void drop_expired(server_queue& server, timestamp now);
   /// Number of calls at the server and of grants to it.
-  [[nodiscard]] std::uint32_t used(server_key key, const kept_server& server, timestamp now) const;
-  static std::vector<waiting_claim>::iterator next_claim(kept_server& server, timestamp now);
+  [[nodiscard]] std::uint32_t used(server_key key, const server_queue& server, timestamp now) const;
+  static std::vector<waiting_claim>::iterator next_claim(server_queue& server, timestamp now);
   /// Grants all free places to waiting claims.
-  void grant_free(server_key key, kept_server& server, timestamp now);
+  void grant_free(server_key key, server_queue& server, timestamp now);
   /// Removes a grant that has not been sent yet. Returns false if there is none.
-  bool take_untold(const claimant& to, server_key server);
-  [[nodiscard]] claim_response expect(server_key key, const kept_server& server,
+  bool take_unsent_grant(const global_call_id& to, server_key server);
+  [[nodiscard]] claim_response expect(server_key key, const server_queue& server,
                                       const waiting_claim& item, timestamp now) const;
-  static void note_freed(kept_server& server, double places, timestamp now);
-  static double fading(const kept_server& server, timestamp now);
+  static void record_freed(server_queue& server, double places, timestamp now);
+  static double decay_factor(const server_queue& server, timestamp now);
 
   const placement_directory& directory;
-  std::map<server_key, kept_server> servers;
+  std::map<server_key, server_queue> servers;
   /// Empty until the first change.
   std::optional<timestamp> hosts_changed_at;
   /// Grants that are still to be sent. Invariant: each is in the `grants` of its server, unless it
   /// has expired there.
-  std::vector<place_grant> untold;
+  std::vector<place_grant> unsent_grants;
 };
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/placement_directory.h
+++ b/libs/placement/include/hawthornlane/placement/placement_directory.h
@@ -50,7 +50,7 @@
 /// An estimate of a server's speed, as hosts report it to each other.
 struct speed_report {
   server_key server;
-  speed_word word;
+  speed_estimate word;
 
   friend bool operator==(const speed_report&, const speed_report&) = default;
   template <class Archive>
@@ -92,7 +92,7 @@
   static constexpr duration speed_lifetime = std::chrono::seconds(75);
   /// Upper bound of the session entries that one host holds, of about 100 bytes each. The least
   /// recently written entry is removed first.
-  static constexpr std::size_t most_lines = 16384;
+  static constexpr std::size_t max_sessions = 16384;
 
   /// Sets the number of calls that `host` has at the server. Returns the previous number.
   std::uint32_t set_load(const host_id& host, const server_load& load, timestamp now);
@@ -101,10 +101,11 @@
   void set_speed(const host_id& host, const speed_report& speed, timestamp now);
   /// Weighted mean of the estimates of all hosts but `asker`. Empty if no other host has reported
   /// one that still has weight.
-  [[nodiscard]] std::optional<speed_report> speed_of_others(server_key server, const host_id& asker,
+  [[nodiscard]] std::optional<speed_report> speed_of_others(server_key server,
+                                                            const host_id& requester,
                                                             timestamp now) const;
   /// Number of calls that all hosts but `asker` have at the server.
-  [[nodiscard]] std::uint32_t load_of_others(server_key server, const host_id& asker,
+  [[nodiscard]] std::uint32_t load_of_others(server_key server, const host_id& requester,
                                              timestamp now) const;
   /// Number of calls that all hosts have at the server.
   [[nodiscard]] std::uint32_t load_of_all(server_key server, timestamp now) const;
@@ -112,28 +113,28 @@
   [[nodiscard]] std::optional<part_location> find(prompt_part_key part) const;
 
 private:
-  struct told_count {
+  struct reported_count {
     std::uint32_t calls = 0;
-    timestamp told{};
+    timestamp reported_at{};
   };
-  struct told_word {
-    speed_word word;
-    timestamp told{};
+  struct reported_speed {
+    speed_estimate word;
+    timestamp reported_at{};
   };
-  struct line_entry {
+  struct session_entry {
     part_location location;
-    std::list<prompt_part_key>::iterator used;
+    std::list<prompt_part_key>::iterator recency_position;
   };
   /// Drops outdated reports: those of hosts that are down, and those about removed servers.
-  void drop_old_speeds(timestamp now);
+  void drop_expired_speeds(timestamp now);
 
   speed_rules rules;
-  std::map<server_key, std::map<host_id, told_count>> loads;
-  std::map<server_key, std::map<host_id, told_word>> speeds;
+  std::map<server_key, std::map<host_id, reported_count>> loads;
+  std::map<server_key, std::map<host_id, reported_speed>> speeds;
   timestamp next_drop{};
   /// Most recently written first. Invariant: contains the key of each entry of `lines` once.
-  std::list<prompt_part_key> by_use;
-  std::unordered_map<prompt_part_key, line_entry> lines;
+  std::list<prompt_part_key> recency;
+  std::unordered_map<prompt_part_key, session_entry> lines;
 };
 
 /// The host that holds the directory entry of `key`. All hosts that have the same list of hosts get
--- a/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
+++ b/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
@@ -29,24 +29,24 @@
 public:
   /// Number of tokens of `prompt` that `server` has cached. All parts before the last cached part
   /// count as cached, since a server reads no part without those before it.
-  [[nodiscard]] token_count held(const std::vector<prompt_piece>& prompt,
-                                 const backend_server_id& server) const;
+  [[nodiscard]] token_count cached(const std::vector<prompt_piece>& prompt,
+                                   const backend_server_id& server) const;
   /// Number of tokens of `prompt` that `server` would have to read.
-  [[nodiscard]] token_count missing(const std::vector<prompt_piece>& prompt,
-                                    const backend_server_id& server) const;
+  [[nodiscard]] token_count uncached(const std::vector<prompt_piece>& prompt,
+                                     const backend_server_id& server) const;
   /// Servers that have cached more of `prompt` than its first part, without duplicates.
-  [[nodiscard]] std::vector<backend_server_id> holders_of_line(
+  [[nodiscard]] std::vector<backend_server_id> servers_with_session(
       const std::vector<prompt_piece>& prompt) const;
   /// True if some server is known to have read this part.
   [[nodiscard]] bool has_prompt_part(prompt_part_key part) const {
     return this->parts.contains(part);
   }
   /// Records that `server` reads the prompt.
-  void note(const std::vector<prompt_piece>& prompt, const backend_server_id& server);
+  void add_prompt(const std::vector<prompt_piece>& prompt, const backend_server_id& server);
   /// Records that `server` has read one part, as another host reports it.
-  void note_part(const prompt_piece& piece, const backend_server_id& server);
+  void add_part(const prompt_piece& piece, const backend_server_id& server);
   /// Removes a server that has stopped and so lost its cache.
-  void forget(const backend_server_id& server);
+  void drop_server(const backend_server_id& server);
 
 private:
   /// A server that has read a part, and the number of its tokens that it has read.
@@ -55,16 +55,16 @@
     token_count tokens{0};
   };
   /// Number of tokens of this part that the server has cached. Empty if it has not read the part.
-  [[nodiscard]] std::optional<token_count> held_of(const prompt_piece& piece,
-                                                   const backend_server_id& server) const;
+  [[nodiscard]] std::optional<token_count> cached_part(const prompt_piece& piece,
+                                                       const backend_server_id& server) const;
 
   struct part_state {
     std::vector<holder> holders;
-    std::list<prompt_part_key>::iterator used;
+    std::list<prompt_part_key>::iterator recency_position;
   };
 
   /// Most recently used first. Invariant: contains the key of each entry of `parts` once.
-  std::list<prompt_part_key> by_use;
+  std::list<prompt_part_key> recency;
   std::unordered_map<prompt_part_key, part_state> parts;
 };
 
--- a/libs/placement/include/hawthornlane/placement/server_choice.h
+++ b/libs/placement/include/hawthornlane/placement/server_choice.h
@@ -9,7 +9,7 @@
 namespace hawthornlane {
 
 /// A host's estimate of the state of one server, for one call.
-struct server_prospect {
+struct server_estimate {
   /// Calls that the server works on at once.
   double slots = 1;
   /// Calls of all hosts at the server.
@@ -17,9 +17,9 @@
   /// Tokens of the prompt that the server would have to read.
   double missing_tokens = 0;
   /// True if the server is in this host's availability zone.
-  bool near = false;
+  bool same_zone = false;
   /// Time of calls at this server as a multiple of the time at a typical server.
-  double slowness = 1;
+  double slowdown = 1;
 };
 
 /// Weights of the cost, as fractions of the time that a call takes at its server: an engine that is
@@ -27,31 +27,31 @@
 struct choice_rules {
   /// Cost of reading one prompt token: 12 us of a turn of 0.3 s at one of the engines in use, 6 us
   /// of 0.2 s at another.
-  double token = 4e-5;
+  double read_token_cost = 4e-5;
   /// Weight of the delay of other calls. While a server reads a prompt, all its other calls stop,
   /// and calls that arrive while it is full wait for them. In a simulated burst at 8 servers with
   /// 16 slots, 49% of the programs were in time with a weight of 1, 55% with 2 and 60% with 4 to 8.
   /// With a low weight a session moves to a server that seems cheaper at every turn, and each move
   /// has its prompt read again.
-  double delayed_others = 4;
+  double delay_weight = 4;
   /// Relative slowdown of a call at a full server compared with an idle one, since the server reads
   /// the prompts of other calls between the call's tokens.
-  double crowding = 0.35;
+  double contention = 0.35;
   /// Cost of another availability zone: a round trip of 2 ms of 0.3 s, and traffic that is charged
   /// for. The prompt of a turn has about 6 KB.
-  double far = 0.05;
+  double cross_zone_cost = 0.05;
   /// Numbers of candidates besides the servers that have cached the session: `choices` of all
   /// servers and `near_choices` of this zone, chosen by hash. The best of two random choices
   /// balances load nearly as well as the best of all.
   std::size_t choices = 2;
-  std::size_t near_choices = 2;
+  std::size_t zone_choices = 2;
 };
 
 /// Time of a call at a server of typical speed with this load, as a multiple of its time at an idle
 /// one. Reading of the prompt is not included.
-double time_at(const server_prospect& server, const choice_rules& rules);
+double relative_time(const server_estimate& server, const choice_rules& rules);
 /// Cost of the call in units of a call's time: its own time and the delay of other calls, beyond
 /// the time of a call at an idle server of typical speed.
-double cost_of(const server_prospect& server, const choice_rules& rules);
+double placement_cost(const server_estimate& server, const choice_rules& rules);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -85,7 +85,7 @@
   /// send to each server, and a server is fastest when not all of its slots are used.
   double slots_share = 1.0;
   /// Lower bound of this limit, so that a single host can still use the server.
-  std::uint32_t least_limit = 2;
+  std::uint32_t min_limit = 2;
   /// Limit of queued calls, as a multiple of all places of this host. In a longer queue calls would
   /// only reach their deadlines.
   double queue_factor = 2.0;
@@ -114,7 +114,7 @@
 /// Places the calls of one service on one host. No I/O, clock or randomness.
 class server_pool {
 public:
-  server_pool(pool_rules rules, const host_id& own, availability_zone here);
+  server_pool(pool_rules rules, const host_id& own_host, availability_zone own_zone);
 
   /// Sets the servers that may get calls: those that are listed and not draining. Returns queued
   /// calls that can be placed now.
@@ -132,7 +132,7 @@
   [[nodiscard]] std::vector<server_load> own_loads() const;
   /// Sets the utilization of the servers: calls of all hosts per place, by the latest counts
   /// received. Calls without a prompt are reported and queried only when it is high.
-  void set_utilization(double calls_per_place) { this->fill_heard = calls_per_place; }
+  void set_utilization(double calls_per_place) { this->utilization = calls_per_place; }
   /// Ends of calls without a prompt are reported in batches. Moves a batch that is due by `now`
   /// into the next `take_update`. Returns false if none is due.
   bool flush_ended_calls(timestamp now);
@@ -166,7 +166,7 @@
   void started(placement_id id, timestamp now);
   /// Limits the calls of this host in flight while places are scarce; empty for no limit. Returns
   /// queued calls that can be placed now.
-  std::vector<placement> set_in_flight_limit(std::optional<std::uint32_t> most, timestamp now);
+  std::vector<placement> set_in_flight_limit(std::optional<std::uint32_t> limit, timestamp now);
   /// Removes a call from the queue.
   void cancel(placement_id id);
   /// Removes the calls whose `give_up_at` has passed from the queue, and returns them.
@@ -177,7 +177,7 @@
 
   [[nodiscard]] std::size_t waiting() const { return this->queue.size(); }
   /// Number of calls at servers and in the queue.
-  [[nodiscard]] std::size_t demand() const { return this->queue.size() + this->calls_inside; }
+  [[nodiscard]] std::size_t demand() const { return this->queue.size() + this->calls_in_flight; }
   /// Servers that get no calls for now because of failures.
   [[nodiscard]] std::set<backend_server_id> excluded(timestamp now) const;
   /// Servers that are excluded, or degraded and used only if no other server is available.
@@ -190,18 +190,18 @@
   /// Version of this pool's state for a server; a new one begins when the server is first listed
   /// and when it restarts. The `start` of an entry can't be used for this: it may repeat when the
   /// store lists an older entry.
-  using server_life = strong_value<struct server_life_tag, std::uint64_t>;
+  using server_state_version = strong_value<struct server_life_tag, std::uint64_t>;
   struct server_state {
     backend_entry entry;
-    server_life life;
+    server_state_version state_version;
     /// Key of the server in messages between hosts.
     server_key key;
     /// Number of this host's calls at the server. Invariant: equals the number of entries of
     /// `running` with this server's `life`.
-    std::uint32_t inside = 0;
+    std::uint32_t in_flight = 0;
     /// Number of other hosts' calls, and when it was received.
-    double others = 0;
-    timestamp others_heard{};
+    double remote_calls = 0;
+    timestamp remote_calls_at{};
     /// Those of `inside` that are reported to other hosts.
     std::uint32_t shared = 0;
     server_health health;
@@ -213,21 +213,21 @@
     bool listed = true;
   };
   /// Which servers a choice considers: those that are not degraded, or any.
-  enum class choice_range : std::uint8_t { trusted, any };
+  enum class choice_scope : std::uint8_t { healthy, any };
   /// A call at a server.
   struct running_call {
     backend_server_id server;
     /// The server's `life` when the call was sent. If the server has another one now, the call says
     /// nothing about it.
-    server_life life;
+    server_state_version state_version;
     std::uint64_t kind = 0;
     /// True if the call is reported to other hosts: it has a prompt, or utilization is high.
-    bool is_shared = false;
-    timestamp since{};
+    bool is_reported = false;
+    timestamp sent_at{};
     /// True once the time until the first part of the answer has been recorded.
-    bool timed = false;
+    bool first_event_timed = false;
     /// True if the call has no prompt and its end is reported in a batch.
-    bool ends_later = false;
+    bool has_batched_end = false;
     /// Kind of the call for speed samples: calls with about as many tokens to read take about the
     /// same time.
     std::uint64_t timed_kind = 0;
@@ -235,7 +235,7 @@
     /// server.
     double load = 1;
     /// True if its server had no free slot.
-    bool waits = false;
+    bool is_queued = false;
   };
   /// Priority, whether the call starts a program, whether `wanted_by` has passed, `wanted_by`, and
   /// the call's id.
@@ -248,57 +248,58 @@
     /// Order among equally busy servers, specific to this host.
     std::uint64_t rank = 0;
     /// True if the server is in this host's availability zone.
-    bool near = false;
+    bool same_zone = false;
   };
   /// A server and its rendezvous weight for a key.
   using weighted_server = std::pair<std::uint64_t, const server_state*>;
 
   [[nodiscard]] std::uint32_t limit_of(const server_state& server) const;
-  [[nodiscard]] bool is_set_aside(const server_state& server, timestamp now) const;
-  [[nodiscard]] bool may_take(const server_state& server, choice_range range, timestamp now) const;
+  [[nodiscard]] bool is_unhealthy(const server_state& server, timestamp now) const;
+  [[nodiscard]] bool may_take(const server_state& server, choice_scope scope, timestamp now) const;
   [[nodiscard]] server_state* choose(const placement_request& request, timestamp now);
   [[nodiscard]] server_state* choose_among(const placement_request& request,
-                                           const server_list& candidates, choice_range range,
+                                           const server_list& candidates, choice_scope scope,
                                            timestamp now);
   [[nodiscard]] server_state* choose_for_prompt(const placement_request& request,
-                                                const server_list& candidates, choice_range range,
+                                                const server_list& candidates, choice_scope scope,
                                                 timestamp now);
   [[nodiscard]] server_state* choose_least_busy(const placement_request& request,
-                                                choice_range range, timestamp now);
+                                                choice_scope scope, timestamp now);
   /// Cost of sending the call to the server.
   [[nodiscard]] double cost_at(const server_state& server, const placement_request& request,
                                timestamp now) const;
   /// Like `choose_least_busy`, but by the calls of all hosts and the servers' speeds.
-  [[nodiscard]] server_state* choose_by_speed(const placement_request& request, choice_range range,
+  [[nodiscard]] server_state* choose_by_speed(const placement_request& request, choice_scope scope,
                                               timestamp now);
   /// The few candidates for a call without a prompt; the server of its affinity key is the first.
   /// Faster servers are chosen more often, so that work is shared by speed even if hosts have
   /// outdated counts.
   [[nodiscard]] std::vector<const listed_server*> candidates_by_speed(
-      const placement_request& request, choice_range range, timestamp now) const;
+      const placement_request& request, choice_scope scope, timestamp now) const;
   /// Work at the server with one more call without a prompt, in calls of typical duration.
-  [[nodiscard]] double plain_cost(const listed_server& item, timestamp now) const;
+  [[nodiscard]] double promptless_cost(const listed_server& item, timestamp now) const;
   /// This host's estimate of the server's state for the call.
-  [[nodiscard]] server_prospect prospect_of(const server_state& server,
-                                            const placement_request& request, timestamp now) const;
+  [[nodiscard]] server_estimate estimate_server(const server_state& server,
+                                                const placement_request& request,
+                                                timestamp now) const;
   /// Decides by the utilization whether a call without a prompt is reported to other hosts.
-  void note_plain_call(running_call& call, const server_state& server);
-  [[nodiscard]] directory_request plain_question(const placement_request& request,
-                                                 timestamp now) const;
+  void mark_reported(running_call& call, const server_state& server);
+  [[nodiscard]] directory_request promptless_directory_request(const placement_request& request,
+                                                               timestamp now) const;
   /// Records the server's load in a call that is about to be placed.
-  void note_load_met(running_call& call, const server_state& server,
-                     const placement_request& request, timestamp now) const;
+  void record_load(running_call& call, const server_state& server, const placement_request& request,
+                   timestamp now) const;
   /// Updates the speed estimate of the call's server with the call's time.
-  void note_speed_of(const running_call& call, timed_part part, timestamp now);
+  void record_speed(const running_call& call, timed_part part, timestamp now);
   /// Adds the end of a call to the batch that is reported later.
-  void note_end(const server_state& server, timestamp now);
-  void renew_slow_factor(server_state& server, timestamp now);
+  void batch_end(const server_state& server, timestamp now);
+  void update_slow_factor(server_state& server, timestamp now);
   /// Updates the cached factors once a second, since estimates decay.
-  void renew_slow_factors(timestamp now);
+  void update_slow_factors(timestamp now);
   /// Speed of the server relative to the mean speed of all servers.
-  [[nodiscard]] double part_of_work(const server_state& server) const;
+  [[nodiscard]] double relative_speed(const server_state& server) const;
   /// Number of this host's calls at the server that are reported to other hosts.
-  [[nodiscard]] std::uint32_t told_calls(const server_state& server) const;
+  [[nodiscard]] std::uint32_t reported_calls(const server_state& server) const;
   /// Candidates for a call with a prompt: the servers that have cached its session, and a few
   /// others. Empty for a call without a prompt.
   [[nodiscard]] server_list candidates_for(const placement_request& request, timestamp now) const;
@@ -306,8 +307,8 @@
   /// Adds the servers that have cached the call's session to `chosen`.
   void add_holders(const placement_request& request, timestamp now,
                    std::vector<weighted_server>& chosen) const;
-  [[nodiscard]] bool may_weigh(const server_state& server, const placement_request& request,
-                               timestamp now) const;
+  [[nodiscard]] bool is_candidate(const server_state& server, const placement_request& request,
+                                  timestamp now) const;
   [[nodiscard]] placement_basis basis_of(const server_state& server,
                                          const placement_request& request, timestamp now) const;
   /// Null if the server is unknown, belongs to another service, or has restarted.
@@ -315,24 +316,24 @@
   /// The call's server; null if it has been removed or has restarted since.
   [[nodiscard]] server_state* server_of(const running_call& call);
   /// Resets the state of a server that has restarted.
-  void forget_incarnation(server_state& server);
+  void reset_server(server_state& server);
   /// Rebuilds all data that is derived from `servers`.
   void index_servers();
   /// Drops unreported speed changes of servers that have been removed.
-  void drop_old_news();
+  void drop_unknown_speeds();
   /// Removes a server that is no longer listed and has no calls left.
   void remove_server(const backend_server_id& id);
   /// Estimated number of calls of all hosts at the server now.
   [[nodiscard]] double calls_at(const server_state& server, timestamp now) const;
-  void note_prompt(const placement_request& request, const server_state& server);
+  void record_prompt(const placement_request& request, const server_state& server);
   [[nodiscard]] static queue_key key_of(const placement_request& request, timestamp now);
   void place(const placement_request& request, server_state& server, timestamp now,
              std::vector<placement>& placed);
   /// Updates the health of the call's server with the time that the call has taken so far.
-  void note_time(const running_call& call, bool lower_bound, timestamp now);
+  void record_elapsed(const running_call& call, bool lower_bound, timestamp now);
   /// Updates server health with the pending calls that have no answer yet. Only calls that are
   /// later than usual have an effect.
-  void note_late_calls(timestamp now);
+  void record_pending_calls(timestamp now);
   /// Places as many queued calls as possible, in order.
   std::vector<placement> fill(timestamp now);
 
@@ -344,35 +345,35 @@
   std::vector<listed_server> listed_servers;
   std::unordered_map<server_key, server_state*> by_key;
   /// Invariant: the sum of `others`.
-  double calls_of_others = 0;
+  double total_remote_calls = 0;
   /// Limit of this host's calls at the listed servers, and the number that it has.
   std::size_t places = 0;
-  std::size_t calls_at_listed = 0;
+  std::size_t calls_at_listed_servers = 0;
   /// Invariant: the sum of `inside`. Calls at former incarnations are not included.
-  std::size_t calls_inside = 0;
+  std::size_t calls_in_flight = 0;
   std::map<placement_id, running_call> running;
-  server_life last_life;
+  server_state_version last_state_version;
   std::map<queue_key, placement_request> queue;
   std::map<placement_id, queue_key> queued;
-  usual_times usual;
+  baseline_times baselines;
   prefix_cache_view caches;
   /// Unreported changes: locations of sessions, and servers at which this host's count has changed.
-  std::vector<part_location> moved;
-  std::set<server_key> changed;
+  std::vector<part_location> unreported_locations;
+  std::set<server_key> unreported_loads;
   /// Servers with unreported ends of calls without a prompt, and the time of the first of them.
-  std::set<server_key> ended;
-  timestamp ended_since{};
+  std::set<server_key> batched_ends;
+  timestamp batch_started{};
   typical_times typical;
   /// Servers with speed samples that this host has not reported yet.
-  std::set<server_key> speed_news;
-  timestamp next_renewal{};
+  std::set<server_key> unreported_speeds;
+  timestamp next_factor_update{};
   /// Mean of 1 / `slow_factor` at the last update of all factors.
   double mean_speed = 1;
-  double fill_heard = 0;
+  double utilization = 0;
   /// Limit of this host's calls in flight while places are scarce; empty for no limit.
   std::optional<std::uint32_t> window;
   /// Hash seed that makes the order of equally busy servers differ from host to host.
-  std::uint64_t own_key;
+  std::uint64_t host_seed;
 };
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -22,28 +22,28 @@
   double server_variance = 0.25;
   /// Variance of the logarithm of a server's temporary slowdowns: 2.5 times slower for a seventh of
   /// the time.
-  double spell_variance = 0.1;
+  double temporary_variance = 0.1;
   /// Samples decay by a factor of e in this time. A host has about one call per two seconds at each
   /// of 45 servers, so its own estimate is based on about ten calls.
-  duration slow_fading = std::chrono::seconds(15);
+  duration slow_decay_time = std::chrono::seconds(15);
   /// Decay time for temporary slowdowns: half of a typical duration of 600 ms.
-  duration fast_fading = std::chrono::milliseconds(300);
+  duration fast_decay_time = std::chrono::milliseconds(300);
   /// Upper bound of the weight of a host's own estimate, and of that of the mean of the other
   /// hosts. It makes an estimate without new calls halve in 70 s: 15 s times the logarithm of the
   /// sum of both weights.
-  double most_weight = 50;
+  double max_weight = 50;
 };
 
 /// One call's time, compared with the time of similar calls.
-struct server_speed_sample {
+struct speed_sample {
   /// Logarithm of the ratio of the two times.
-  double pace = 0;
+  double log_ratio = 0;
   double weight = 0;
 };
 
 /// One host's estimate of a server's speed, or the mean of several hosts' estimates. Takes 8 bytes
 /// in messages between hosts.
-struct speed_word {
+struct speed_estimate {
   /// Lasting slowdown in thousandths of a logarithm, and its weight in eighths.
   std::int16_t slow = 0;
   std::uint16_t slow_weight = 0;
@@ -52,7 +52,7 @@
   std::uint16_t fast_weight = 0;
 
   [[nodiscard]] bool empty() const { return this->slow_weight == 0 && this->fast_weight == 0; }
-  friend bool operator==(const speed_word&, const speed_word&) = default;
+  friend bool operator==(const speed_estimate&, const speed_estimate&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->slow, this->slow_weight, this->fast, this->fast_weight);
@@ -60,36 +60,36 @@
 };
 
 /// A weighted mean whose weight decays exponentially.
-class fading_mean {
+class decaying_mean {
 public:
-  fading_mean() = default;
-  fading_mean(double mean, double weight, timestamp renewed)
-      : value(mean), weight(weight), renewed(renewed) {}
+  decaying_mean() = default;
+  decaying_mean(double mean, double weight, timestamp updated_at)
+      : value(mean), weight(weight), updated_at(updated_at) {}
 
-  void add(double sample, double by, duration fading, timestamp now);
+  void add(double sample, double sample_weight, duration decay_time, timestamp now);
   [[nodiscard]] double mean() const { return this->value; }
   /// The weight at `now`. It is capped at `most` before it decays, so that a mean of many samples
   /// is forgotten as soon as one of few.
-  [[nodiscard]] double weight_at(double most, duration fading, timestamp now) const;
+  [[nodiscard]] double weight_at(double upper_bound, duration decay_time, timestamp now) const;
 
 private:
-  [[nodiscard]] double faded(double from, duration fading, timestamp now) const;
+  [[nodiscard]] double decayed(double from, duration decay_time, timestamp now) const;
 
   double value = 0;
   double weight = 0;
-  timestamp renewed{};
+  timestamp updated_at{};
 };
 
 /// Speed estimate of one incarnation of a server.
 class server_speed {
 public:
   /// Adds a sample from a call of this host.
-  void note(const server_speed_sample& sample, const speed_rules& rules, timestamp now);
+  void add_sample(const speed_sample& sample, const speed_rules& rules, timestamp now);
   /// Sets the mean of other hosts' estimates. It replaces the previous one, and is never part of
   /// what this host reports.
-  void hear(const speed_word& word, timestamp now);
+  void set_remote_estimate(const speed_estimate& word, timestamp now);
   /// Estimate from this host's own calls only.
-  [[nodiscard]] speed_word own_word(const speed_rules& rules, timestamp now) const;
+  [[nodiscard]] speed_estimate own_estimate(const speed_rules& rules, timestamp now) const;
   /// Lasting slowdown of the server.
   [[nodiscard]] double slow(const speed_rules& rules, timestamp now) const;
   /// Slowdown to expect for a call that is sent now: the lasting and the temporary one together.
@@ -98,33 +98,33 @@
   [[nodiscard]] double weight(const speed_rules& rules, timestamp now) const;
 
 private:
-  fading_mean own_slow;
-  fading_mean own_fast;
-  fading_mean told_slow;
-  fading_mean told_fast;
+  decaying_mean own_slow;
+  decaying_mean own_fast;
+  decaying_mean remote_slow;
+  decaying_mean remote_fast;
 };
 
 /// Weighted mean of the estimates that several hosts have reported.
 class speed_mean {
 public:
-  void add(const speed_word& word, duration age, const speed_rules& rules);
-  [[nodiscard]] speed_word word(const speed_rules& rules) const;
+  void add(const speed_estimate& word, duration age, const speed_rules& rules);
+  [[nodiscard]] speed_estimate word(const speed_rules& rules) const;
 
 private:
-  struct faded_sum {
+  struct decayed_sum {
     /// Sums of: the reported values times their decayed weights, the decayed weights, and the
     /// weights as reported.
-    double slowdowns = 0;
-    double faded = 0;
+    double log_ratios = 0;
+    double decayed = 0;
     double whole = 0;
 
-    void add(double pace, double weight, double fading);
+    void add(double log_ratio, double weight, double decay_time);
     /// The decayed weight of the mean; the reported weight is capped at `most` before it decays.
-    [[nodiscard]] double weight(double most) const;
+    [[nodiscard]] double weight(double upper_bound) const;
   };
 
-  faded_sum slow;
-  faded_sum fast;
+  decayed_sum slow;
+  decayed_sum fast;
 };
 
 /// Which part of a call was timed: up to the first event of its answer, or all of it.
@@ -136,9 +136,8 @@
   /// Compares a call's time with the typical one, and updates that. `load` is the time of a call at
   /// the load that the server had, as a multiple of the time at an idle server. `expected` is the
   /// estimate of the server's slowdown. Empty while too few calls of the kind are known.
-  std::optional<server_speed_sample> compare(std::uint64_t kind, timed_part part, duration took,
-                                             double load, double expected,
-                                             const speed_rules& rules);
+  std::optional<speed_sample> compare(std::uint64_t kind, timed_part part, duration took,
+                                      double load, double expected, const speed_rules& rules);
 
 private:
   /// Statistics of the logarithm of the time in seconds.
@@ -149,7 +148,7 @@
   };
   std::map<std::pair<std::uint64_t, timed_part>, kind_times> kinds;
   /// Logarithm of the recent slowdown of all calls, which must not be attributed to any server.
-  double common = 0;
+  double common_slowdown = 0;
 };
 
 }  // namespace hawthornlane
--- a/libs/placement/src/in_flight_limit.cc
+++ b/libs/placement/src/in_flight_limit.cc
@@ -7,13 +7,13 @@
 namespace hawthornlane {
 
 std::optional<std::uint32_t> compute_in_flight_limit(const service_load& load) {
-  const double needed = load.own_calls + load.other_calls;
-  if (load.places <= 0 || needed < window_from * load.places) {
+  const double demand = load.own_calls + load.other_calls;
+  if (load.places <= 0 || demand < overload_demand_ratio * load.places) {
     return std::nullopt;
   }
-  const double part = load.own_calls / needed;
-  const double most = std::ceil(load.places * window_size * part);
-  return std::max(least_window, static_cast<std::uint32_t>(most));
+  const double own_share = load.own_calls / demand;
+  const double limit = std::ceil(load.places * in_flight_ratio * own_share);
+  return std::max(min_in_flight_limit, static_cast<std::uint32_t>(limit));
 }
 
 }  // namespace hawthornlane
--- a/libs/placement/src/placement_directory.cc
+++ b/libs/placement/src/placement_directory.cc
@@ -16,8 +16,8 @@
 std::uint32_t placement_directory::set_load(const host_id& host, const server_load& load,
                                             timestamp now) {
   auto& hosts = this->loads[load.server];
-  const auto told = hosts.find(host);
-  const std::uint32_t before = told == hosts.end() ? 0 : told->second.calls;
+  const auto previous = hosts.find(host);
+  const std::uint32_t before = previous == hosts.end() ? 0 : previous->second.calls;
   if (load.calls > 0) {
     hosts[host] = {load.calls, now};
     return before;
@@ -34,7 +34,7 @@
   return this->load_of_others(server, host_id(), now);
 }
 
-std::uint32_t placement_directory::load_of_others(server_key server, const host_id& asker,
+std::uint32_t placement_directory::load_of_others(server_key server, const host_id& requester,
                                                   timestamp now) const {
   const auto found = this->loads.find(server);
   if (found == this->loads.end()) {
@@ -42,7 +42,7 @@
   }
   std::uint32_t sum = 0;
   for (const auto& [host, count] : found->second) {
-    if (host == asker || now - count.told > count_lifetime) {
+    if (host == requester || now - count.reported_at > count_lifetime) {
       continue;
     }
     sum += count.calls;
@@ -52,21 +52,22 @@
 
 void placement_directory::set_speed(const host_id& host, const speed_report& speed, timestamp now) {
   if (now >= this->next_drop) {
-    this->drop_old_speeds(now);
+    this->drop_expired_speeds(now);
     this->next_drop = now + speed_lifetime;
   }
   this->speeds[speed.server][host] = {speed.word, now};
 }
 
-void placement_directory::drop_old_speeds(timestamp now) {
+void placement_directory::drop_expired_speeds(timestamp now) {
   for (auto& [server, hosts] : this->speeds) {
-    std::erase_if(hosts, [&](const auto& item) { return now - item.second.told > speed_lifetime; });
+    std::erase_if(hosts,
+                  [&](const auto& item) { return now - item.second.reported_at > speed_lifetime; });
   }
   std::erase_if(this->speeds, [](const auto& item) { return item.second.empty(); });
 }
 
 std::optional<speed_report> placement_directory::speed_of_others(server_key server,
-                                                                 const host_id& asker,
+                                                                 const host_id& requester,
                                                                  timestamp now) const {
   const auto found = this->speeds.find(server);
   if (found == this->speeds.end()) {
@@ -74,27 +75,28 @@
   }
   speed_mean mean;
   for (const auto& [host, item] : found->second) {
-    if (host != asker) {
-      mean.add(item.word, std::chrono::duration_cast<duration>(now - item.told), this->rules);
+    if (host != requester) {
+      mean.add(item.word, std::chrono::duration_cast<duration>(now - item.reported_at),
+               this->rules);
     }
   }
-  const speed_word word = mean.word(this->rules);
+  const speed_estimate word = mean.word(this->rules);
   return word.empty() ? std::nullopt : std::optional(speed_report{server, word});
 }
 
 void placement_directory::set_location(const part_location& location) {
   const auto [found, is_new] = this->lines.try_emplace(location.part);
-  line_entry& entry = found->second;
+  session_entry& entry = found->second;
   entry.location = location;
   if (!is_new) {
-    this->by_use.splice(this->by_use.begin(), this->by_use, entry.used);
+    this->recency.splice(this->recency.begin(), this->recency, entry.recency_position);
     return;
   }
-  this->by_use.push_front(location.part);
-  entry.used = this->by_use.begin();
-  if (this->lines.size() > most_lines) {
-    this->lines.erase(this->by_use.back());
-    this->by_use.pop_back();
+  this->recency.push_front(location.part);
+  entry.recency_position = this->recency.begin();
+  if (this->lines.size() > max_sessions) {
+    this->lines.erase(this->recency.back());
+    this->recency.pop_back();
   }
 }
 
--- a/libs/placement/src/prefix_cache_view.cc
+++ b/libs/placement/src/prefix_cache_view.cc
@@ -8,21 +8,21 @@
 
 /// Upper bound of the parts that one host tracks; at about 200 bytes each this is 2 MB. A host of
 /// the largest deployment has about 1,700 programs in progress.
-constexpr std::size_t most_parts = 8192;
+constexpr std::size_t max_parts = 8192;
 /// Upper bound of the servers that are recorded for one part. A part on more servers is shared by
 /// so many programs that nearly all servers have it.
-constexpr std::size_t most_holders = 64;
+constexpr std::size_t max_holders = 64;
 /// Token counts are capped here: no part is longer, and callers may send any number.
-constexpr std::int64_t most_tokens = 100'000'000;
+constexpr std::int64_t max_part_tokens = 100'000'000;
 
-std::int64_t in_bounds(token_count tokens) {
-  return std::clamp<std::int64_t>(tokens.get(), 0, most_tokens);
+std::int64_t clamp_tokens(token_count tokens) {
+  return std::clamp<std::int64_t>(tokens.get(), 0, max_part_tokens);
 }
 
 }  // namespace
 
-std::optional<token_count> prefix_cache_view::held_of(const prompt_piece& piece,
-                                                      const backend_server_id& server) const {
+std::optional<token_count> prefix_cache_view::cached_part(const prompt_piece& piece,
+                                                          const backend_server_id& server) const {
   const auto found = this->parts.find(piece.key);
   if (found == this->parts.end()) {
     return std::nullopt;
@@ -36,29 +36,29 @@
   return std::min(at->tokens, piece.tokens);
 }
 
-token_count prefix_cache_view::held(const std::vector<prompt_piece>& prompt,
-                                    const backend_server_id& server) const {
+token_count prefix_cache_view::cached(const std::vector<prompt_piece>& prompt,
+                                      const backend_server_id& server) const {
   std::int64_t before = 0;
-  std::int64_t held = 0;
+  std::int64_t cached = 0;
   for (const prompt_piece& piece : prompt) {
-    if (const auto tokens = this->held_of(piece, server)) {
-      held = before + in_bounds(*tokens);
+    if (const auto tokens = this->cached_part(piece, server)) {
+      cached = before + clamp_tokens(*tokens);
     }
-    before += in_bounds(piece.tokens);
+    before += clamp_tokens(piece.tokens);
   }
-  return token_count(held);
+  return token_count(cached);
 }
 
-token_count prefix_cache_view::missing(const std::vector<prompt_piece>& prompt,
-                                       const backend_server_id& server) const {
+token_count prefix_cache_view::uncached(const std::vector<prompt_piece>& prompt,
+                                        const backend_server_id& server) const {
   std::int64_t all = 0;
   for (const prompt_piece& piece : prompt) {
-    all += in_bounds(piece.tokens);
+    all += clamp_tokens(piece.tokens);
   }
-  return token_count(all - this->held(prompt, server).get());
+  return token_count(all - this->cached(prompt, server).get());
 }
 
-std::vector<backend_server_id> prefix_cache_view::holders_of_line(
+std::vector<backend_server_id> prefix_cache_view::servers_with_session(
     const std::vector<prompt_piece>& prompt) const {
   std::vector<backend_server_id> servers;
   for (std::size_t number = 1; number < prompt.size(); ++number) {
@@ -76,21 +76,21 @@
   return servers;
 }
 
-void prefix_cache_view::note(const std::vector<prompt_piece>& prompt,
-                             const backend_server_id& server) {
+void prefix_cache_view::add_prompt(const std::vector<prompt_piece>& prompt,
+                                   const backend_server_id& server) {
   for (const prompt_piece& piece : prompt) {
-    this->note_part(piece, server);
+    this->add_part(piece, server);
   }
 }
 
-void prefix_cache_view::note_part(const prompt_piece& piece, const backend_server_id& server) {
+void prefix_cache_view::add_part(const prompt_piece& piece, const backend_server_id& server) {
   const auto [found, is_new] = this->parts.try_emplace(piece.key);
   part_state& part = found->second;
   if (is_new) {
-    this->by_use.push_front(piece.key);
-    part.used = this->by_use.begin();
+    this->recency.push_front(piece.key);
+    part.recency_position = this->recency.begin();
   } else {
-    this->by_use.splice(this->by_use.begin(), this->by_use, part.used);
+    this->recency.splice(this->recency.begin(), this->recency, part.recency_position);
   }
   const auto at = std::find_if(part.holders.begin(), part.holders.end(),
                                [&](const holder& item) { return item.server == server; });
@@ -98,17 +98,17 @@
     at->tokens = std::max(at->tokens, piece.tokens);
     return;
   }
-  if (part.holders.size() >= most_holders) {
+  if (part.holders.size() >= max_holders) {
     part.holders.erase(part.holders.begin());
   }
   part.holders.push_back({server, piece.tokens});
-  if (this->parts.size() > most_parts) {
-    this->parts.erase(this->by_use.back());
-    this->by_use.pop_back();
+  if (this->parts.size() > max_parts) {
+    this->parts.erase(this->recency.back());
+    this->recency.pop_back();
   }
 }
 
-void prefix_cache_view::forget(const backend_server_id& server) {
+void prefix_cache_view::drop_server(const backend_server_id& server) {
   for (auto& [key, part] : this->parts) {
     std::erase_if(part.holders, [&](const holder& item) { return item.server == server; });
   }
--- a/libs/placement/src/server_choice.cc
+++ b/libs/placement/src/server_choice.cc
@@ -7,28 +7,30 @@
 
 namespace {
 
-double calls_beside(const server_prospect& server) { return std::min(server.calls, server.slots); }
+double calls_in_service(const server_estimate& server) {
+  return std::min(server.calls, server.slots);
+}
 
-double waiting_at(const server_prospect& server) {
+double queue_delay(const server_estimate& server) {
   return std::max(0.0, server.calls + 1 - server.slots) / server.slots;
 }
 
-double crowding_at(const server_prospect& server, const choice_rules& rules) {
-  return rules.crowding * calls_beside(server) / server.slots;
+double contention_delay(const server_estimate& server, const choice_rules& rules) {
+  return rules.contention * calls_in_service(server) / server.slots;
 }
 
 }  // namespace
 
-double time_at(const server_prospect& server, const choice_rules& rules) {
-  return 1 + waiting_at(server) + crowding_at(server, rules);
+double relative_time(const server_estimate& server, const choice_rules& rules) {
+  return 1 + queue_delay(server) + contention_delay(server, rules);
 }
 
-double cost_of(const server_prospect& server, const choice_rules& rules) {
-  const double others_delayed = rules.delayed_others * calls_beside(server);
-  const double reading = server.missing_tokens * rules.token * (1 + others_delayed);
-  const double loaded = waiting_at(server) + crowding_at(server, rules) + reading;
-  const double slower = server.slowness - 1;
-  return server.slowness * loaded + slower + (server.near ? 0 : rules.far);
+double placement_cost(const server_estimate& server, const choice_rules& rules) {
+  const double delay = rules.delay_weight * calls_in_service(server);
+  const double read_cost = server.missing_tokens * rules.read_token_cost * (1 + delay);
+  const double load_cost = queue_delay(server) + contention_delay(server, rules) + read_cost;
+  const double slower = server.slowdown - 1;
+  return server.slowdown * load_cost + slower + (server.same_zone ? 0 : rules.cross_zone_cost);
 }
 
 }  // namespace hawthornlane
--- a/libs/placement/src/server_pool.cc
+++ b/libs/placement/src/server_pool.cc
@@ -8,21 +8,23 @@
 
 namespace hawthornlane {
 
-server_pool::server_pool(pool_rules with, const host_id& own, availability_zone here)
-    : rules(with), zone(std::move(here)), own_key(rendezvous_weight(own.get(), 0)) {}
+server_pool::server_pool(pool_rules new_rules, const host_id& own_host, availability_zone own_zone)
+    : rules(new_rules),
+      zone(std::move(own_zone)),
+      host_seed(rendezvous_weight(own_host.get(), 0)) {}
 
 std::uint32_t server_pool::limit_of(const server_state& server) const {
   const double share = std::ceil(server.entry.slots * this->rules.slots_share);
-  return std::max(this->rules.least_limit, static_cast<std::uint32_t>(share));
+  return std::max(this->rules.min_limit, static_cast<std::uint32_t>(share));
 }
 
-bool server_pool::may_take(const server_state& server, choice_range range, timestamp now) const {
+bool server_pool::may_take(const server_state& server, choice_scope scope, timestamp now) const {
   if (!server.listed || server.health.excluded(now)) {
     return false;
   }
-  const bool trusted =
-      range == choice_range::any || !server.health.doubted(this->rules.health, now);
-  return trusted && server.inside < this->limit_of(server);
+  const bool healthy =
+      scope == choice_scope::any || !server.health.degraded(this->rules.health, now);
+  return healthy && server.in_flight < this->limit_of(server);
 }
 
 server_pool::queue_key server_pool::key_of(const placement_request& request, timestamp now) {
@@ -34,33 +36,34 @@
 
 server_pool::server_state* server_pool::choose(const placement_request& request, timestamp now) {
   // A call that a server has refused or failed is exempt, so that its retry is not delayed.
-  if (this->window && this->calls_inside >= *this->window && request.tried.empty()) {
+  if (this->window && this->calls_in_flight >= *this->window && request.tried.empty()) {
     return nullptr;
   }
-  if (this->calls_at_listed >= this->places) {
+  if (this->calls_at_listed_servers >= this->places) {
     return nullptr;
   }
   const server_list candidates = this->candidates_for(request, now);
-  server_state* trusted = this->choose_among(request, candidates, choice_range::trusted, now);
-  return trusted != nullptr ? trusted
-                            : this->choose_among(request, candidates, choice_range::any, now);
+  server_state* healthy = this->choose_among(request, candidates, choice_scope::healthy, now);
+  return healthy != nullptr ? healthy
+                            : this->choose_among(request, candidates, choice_scope::any, now);
 }
 
 void server_pool::place(const placement_request& request, server_state& server, timestamp now,
                         std::vector<placement>& placed) {
   placement chosen{request.id, server.entry, std::nullopt};
-  running_call call{server.entry.id, server.life, request.kind, !request.prompt.empty(), now};
-  this->note_load_met(call, server, request, now);
-  if (call.is_shared) {
+  running_call call{server.entry.id, server.state_version, request.kind, !request.prompt.empty(),
+                    now};
+  this->record_load(call, server, request, now);
+  if (call.is_reported) {
     chosen.basis = this->basis_of(server, request, now);
-    this->note_prompt(request, server);
+    this->record_prompt(request, server);
   } else {
-    this->note_plain_call(call, server);
+    this->mark_reported(call, server);
   }
-  ++server.inside;
-  server.shared += call.is_shared ? 1 : 0;
-  ++this->calls_inside;
-  ++this->calls_at_listed;
+  ++server.in_flight;
+  server.shared += call.is_reported ? 1 : 0;
+  ++this->calls_in_flight;
+  ++this->calls_at_listed_servers;
   this->running[request.id] = call;
   placed.push_back(std::move(chosen));
 }
@@ -92,11 +95,11 @@
     const auto [found, is_new] = this->servers.try_emplace(entry.id);
     server_state& server = found->second;
     if (!is_new && server.entry.start != entry.start) {
-      this->forget_incarnation(server);
+      this->reset_server(server);
     }
-    if (server.life == server_life()) {
-      this->last_life = server_life(this->last_life.get() + 1);
-      server.life = this->last_life;
+    if (server.state_version == server_state_version()) {
+      this->last_state_version = server_state_version(this->last_state_version.get() + 1);
+      server.state_version = this->last_state_version;
     }
     server.key = server_key_of(entry.id, entry.start);
     server.entry = entry;
@@ -104,11 +107,11 @@
   }
   for (const auto& [id, server] : this->servers) {
     if (!server.listed) {
-      this->caches.forget(id);
+      this->caches.drop_server(id);
     }
   }
   std::erase_if(this->servers,
-                [](const auto& item) { return !item.second.listed && item.second.inside == 0; });
+                [](const auto& item) { return !item.second.listed && item.second.in_flight == 0; });
   this->index_servers();
   return this->fill(now);
 }
@@ -116,54 +119,56 @@
 void server_pool::index_servers() {
   this->listed_servers.clear();
   this->by_key.clear();
-  this->calls_of_others = 0;
+  this->total_remote_calls = 0;
   this->places = 0;
-  this->calls_at_listed = 0;
+  this->calls_at_listed_servers = 0;
   for (auto& [id, server] : this->servers) {
     this->by_key[server.key] = &server;
-    this->calls_of_others += server.others;
+    this->total_remote_calls += server.remote_calls;
     if (!server.listed) {
       continue;
     }
     this->places += this->limit_of(server);
-    this->calls_at_listed += server.inside;
+    this->calls_at_listed_servers += server.in_flight;
     listed_server item;
     item.server = &server;
     item.name_hash = rendezvous_weight(id.get(), 0);
-    item.near = server.entry.zone == this->zone;
+    item.same_zone = server.entry.zone == this->zone;
     // Servers in this zone come first. The order within a zone differs from host to host, so that
     // each host reuses its open connections and hosts spread over the servers.
-    const std::uint64_t far = item.near ? 0 : 1;
-    item.rank = far << 32U | (rendezvous_weight(id.get(), this->own_key) & 0xffffffffU);
+    const std::uint64_t other_zone = item.same_zone ? 0 : 1;
+    item.rank = other_zone << 32U | (rendezvous_weight(id.get(), this->host_seed) & 0xffffffffU);
     this->listed_servers.push_back(item);
   }
-  this->drop_old_news();
+  this->drop_unknown_speeds();
 }
 
-void server_pool::drop_old_news() {
-  std::erase_if(this->speed_news, [this](server_key key) { return !this->by_key.contains(key); });
+void server_pool::drop_unknown_speeds() {
+  std::erase_if(this->unreported_speeds,
+                [this](server_key key) { return !this->by_key.contains(key); });
 }
 
 void server_pool::remove_server(const backend_server_id& id) {
   const auto found = this->servers.find(id);
   this->by_key.erase(found->second.key);
-  this->calls_of_others -= found->second.others;
+  this->total_remote_calls -= found->second.remote_calls;
   this->servers.erase(found);
 }
 
-void server_pool::forget_incarnation(server_state& server) {
-  if (server.inside > 0) {
+void server_pool::reset_server(server_state& server) {
+  if (server.in_flight > 0) {
     // Other hosts still count these calls; the next update corrects their counts.
-    this->changed.insert(server.key);
+    this->unreported_loads.insert(server.key);
   }
-  this->caches.forget(server.entry.id);
-  this->calls_inside -= server.inside;
+  this->caches.drop_server(server.entry.id);
+  this->calls_in_flight -= server.in_flight;
   server = {};
 }
 
 server_pool::server_state* server_pool::server_of(const running_call& call) {
   const auto found = this->servers.find(call.server);
-  const bool same_process = found != this->servers.end() && found->second.life == call.life;
+  const bool same_process =
+      found != this->servers.end() && found->second.state_version == call.state_version;
   return same_process ? &found->second : nullptr;
 }
 
@@ -177,8 +182,8 @@
   const bool untried = std::any_of(listed.begin(), listed.end(), [&](const listed_server& item) {
     return !request.tried.contains(item.server->entry.id);
   });
-  const double most = this->rules.queue_factor * static_cast<double>(this->places);
-  const bool no_room = static_cast<double>(this->queue.size()) >= most;
+  const double limit = this->rules.queue_factor * static_cast<double>(this->places);
+  const bool no_room = static_cast<double>(this->queue.size()) >= limit;
   if (!untried || no_room || request.give_up_at <= now) {
     return submit_outcome::refused;
   }
@@ -188,41 +193,41 @@
   return submit_outcome::queued;
 }
 
-void server_pool::note_time(const running_call& call, bool lower_bound, timestamp now) {
-  const duration took = std::chrono::duration_cast<duration>(now - call.since);
-  const pace_sample sample = this->usual.compare(call.kind, took, lower_bound);
+void server_pool::record_elapsed(const running_call& call, bool lower_bound, timestamp now) {
+  const duration took = std::chrono::duration_cast<duration>(now - call.sent_at);
+  const time_sample sample = this->baselines.compare(call.kind, took, lower_bound);
   server_state* server = this->server_of(call);
   if (server == nullptr) {
     return;
   }
   if (lower_bound) {
-    server->health.hold_pace(sample, this->rules.health, now);
+    server->health.record_pending_time(sample, this->rules.health, now);
   } else {
-    server->health.note_pace(sample, this->rules.health, now);
+    server->health.record_time(sample, this->rules.health, now);
   }
 }
 
 void server_pool::started(placement_id id, timestamp now) {
   const auto found = this->running.find(id);
-  if (found == this->running.end() || found->second.timed) {
+  if (found == this->running.end() || found->second.first_event_timed) {
     return;
   }
-  found->second.timed = true;
-  this->note_time(found->second, false, now);
-  this->note_speed_of(found->second, timed_part::first_event, now);
+  found->second.first_event_timed = true;
+  this->record_elapsed(found->second, false, now);
+  this->record_speed(found->second, timed_part::first_event, now);
 }
 
-void server_pool::note_late_calls(timestamp now) {
+void server_pool::record_pending_calls(timestamp now) {
   for (auto& [id, call] : this->running) {
-    if (!call.timed) {
-      this->note_time(call, true, now);
+    if (!call.first_event_timed) {
+      this->record_elapsed(call, true, now);
     }
   }
 }
 
-std::vector<placement> server_pool::set_in_flight_limit(std::optional<std::uint32_t> most,
+std::vector<placement> server_pool::set_in_flight_limit(std::optional<std::uint32_t> limit,
                                                         timestamp now) {
-  this->window = most;
+  this->window = limit;
   return this->fill(now);
 }
 
@@ -238,27 +243,27 @@
       outcome == server_outcome::answered || outcome == server_outcome::error_answer;
   const bool never_ran =
       outcome == server_outcome::refused || outcome == server_outcome::unreachable;
-  if (!call.timed && !never_ran) {
-    this->note_time(call, !answered, now);
+  if (!call.first_event_timed && !never_ran) {
+    this->record_elapsed(call, !answered, now);
   }
   if (outcome == server_outcome::answered) {
-    this->note_speed_of(call, timed_part::whole, now);
+    this->record_speed(call, timed_part::whole, now);
   }
   server_state* server = this->server_of(call);
   if (server == nullptr) {
     return this->fill(now);
   }
-  if (call.ends_later) {
-    this->note_end(*server, now);
-  } else if (call.is_shared) {
-    this->changed.insert(server->key);
+  if (call.has_batched_end) {
+    this->batch_end(*server, now);
+  } else if (call.is_reported) {
+    this->unreported_loads.insert(server->key);
   }
-  server->shared -= call.is_shared ? 1 : 0;
-  --server->inside;
-  --this->calls_inside;
-  this->calls_at_listed -= server->listed ? 1 : 0;
-  server->health.note(outcome, this->rules.health, now);
-  if (!server->listed && server->inside == 0) {
+  server->shared -= call.is_reported ? 1 : 0;
+  --server->in_flight;
+  --this->calls_in_flight;
+  this->calls_at_listed_servers -= server->listed ? 1 : 0;
+  server->health.record_outcome(outcome, this->rules.health, now);
+  if (!server->listed && server->in_flight == 0) {
     this->remove_server(call.server);
   }
   return this->fill(now);
@@ -288,13 +293,13 @@
 }
 
 std::vector<placement> server_pool::tick(timestamp now) {
-  this->note_late_calls(now);
-  this->renew_slow_factors(now);
+  this->record_pending_calls(now);
+  this->update_slow_factors(now);
   return this->fill(now);
 }
 
-bool server_pool::is_set_aside(const server_state& server, timestamp now) const {
-  return server.health.excluded(now) || server.health.doubted(this->rules.health, now);
+bool server_pool::is_unhealthy(const server_state& server, timestamp now) const {
+  return server.health.excluded(now) || server.health.degraded(this->rules.health, now);
 }
 
 std::set<backend_server_id> server_pool::excluded(timestamp now) const {
@@ -310,7 +315,7 @@
 std::set<backend_server_id> server_pool::unhealthy(timestamp now) const {
   std::set<backend_server_id> ids;
   for (const auto& [id, server] : this->servers) {
-    if (server.listed && this->is_set_aside(server, now)) {
+    if (server.listed && this->is_unhealthy(server, now)) {
       ids.insert(id);
     }
   }
@@ -320,7 +325,7 @@
 double server_pool::healthy_places(timestamp now) const {
   double places = 0;
   for (const auto& [id, server] : this->servers) {
-    places += server.listed && !this->is_set_aside(server, now) ? server.entry.slots : 0;
+    places += server.listed && !this->is_unhealthy(server, now) ? server.entry.slots : 0;
   }
   return places;
 }
--- a/libs/placement/src/server_pool_choice.cc
+++ b/libs/placement/src/server_pool_choice.cc
@@ -10,11 +10,11 @@
 namespace {
 
 /// Bit that puts the weight of a server in this zone above the weights of all other servers.
-constexpr std::uint64_t near_bit = std::uint64_t{1} << 63U;
+constexpr std::uint64_t same_zone_bit = std::uint64_t{1} << 63U;
 
 /// The reported load of a server decays by a factor of e in this time towards the mean of all
 /// servers. A turn takes about as long, so the reported calls have ended after it.
-constexpr double load_fading_seconds = 0.3;
+constexpr double load_decay_seconds = 0.3;
 /// A load that was received less than this long ago is not queried again: more frequent queries
 /// only return the same calls.
 constexpr duration fresh_load = std::chrono::milliseconds(20);
@@ -23,23 +23,23 @@
 
 server_pool::server_state* server_pool::choose_among(const placement_request& request,
                                                      const server_list& candidates,
-                                                     choice_range range, timestamp now) {
-  server_state* server = this->choose_for_prompt(request, candidates, range, now);
-  return server != nullptr ? server : this->choose_least_busy(request, range, now);
+                                                     choice_scope scope, timestamp now) {
+  server_state* server = this->choose_for_prompt(request, candidates, scope, now);
+  return server != nullptr ? server : this->choose_least_busy(request, scope, now);
 }
 
 double server_pool::cost_at(const server_state& server, const placement_request& request,
                             timestamp now) const {
-  return cost_of(this->prospect_of(server, request, now), this->rules.choice);
+  return placement_cost(this->estimate_server(server, request, now), this->rules.choice);
 }
 
 server_pool::server_state* server_pool::choose_for_prompt(const placement_request& request,
                                                           const server_list& candidates,
-                                                          choice_range range, timestamp now) {
+                                                          choice_scope scope, timestamp now) {
   const server_state* best = nullptr;
   double best_cost = 0;
   for (const server_state* server : candidates) {
-    if (!this->may_take(*server, range, now)) {
+    if (!this->may_take(*server, scope, now)) {
       continue;
     }
     const double cost = this->cost_at(*server, request, now);
@@ -51,33 +51,34 @@
   return best == nullptr ? nullptr : &this->servers.at(best->entry.id);
 }
 
-server_prospect server_pool::prospect_of(const server_state& server,
-                                         const placement_request& request, timestamp now) const {
-  server_prospect prospect;
-  prospect.slots = server.entry.slots;
-  prospect.calls = this->calls_at(server, now);
-  const token_count missing = this->caches.missing(request.prompt, server.entry.id);
-  prospect.missing_tokens = static_cast<double>(missing.get());
-  prospect.near = server.entry.zone == this->zone;
+server_estimate server_pool::estimate_server(const server_state& server,
+                                             const placement_request& request,
+                                             timestamp now) const {
+  server_estimate estimated;
+  estimated.slots = server.entry.slots;
+  estimated.calls = this->calls_at(server, now);
+  const token_count uncached = this->caches.uncached(request.prompt, server.entry.id);
+  estimated.missing_tokens = static_cast<double>(uncached.get());
+  estimated.same_zone = server.entry.zone == this->zone;
   if (this->rules.learns_speed) {
     // Uses the lasting slowdown only: if a session left a server because of a temporary slowdown,
     // its prompt would be read again elsewhere.
-    prospect.slowness = std::exp(server.speed.slow(this->rules.speed, now));
+    estimated.slowdown = std::exp(server.speed.slow(this->rules.speed, now));
   }
-  return prospect;
+  return estimated;
 }
 
 server_pool::server_state* server_pool::choose_least_busy(const placement_request& request,
-                                                          choice_range range, timestamp now) {
+                                                          choice_scope scope, timestamp now) {
   if (this->rules.learns_speed) {
-    return this->choose_by_speed(request, range, now);
+    return this->choose_by_speed(request, scope, now);
   }
   server_state* least = nullptr;
   server_state* preferred = nullptr;
   std::uint64_t preferred_weight = 0;
   std::uint64_t least_rank = 0;
-  for (const auto& [server, name_hash, rank, near] : this->listed_servers) {
-    if (!this->may_take(*server, range, now) || request.tried.contains(server->entry.id)) {
+  for (const auto& [server, name_hash, rank, same_zone] : this->listed_servers) {
+    if (!this->may_take(*server, scope, now) || request.tried.contains(server->entry.id)) {
       continue;
     }
     // The server of an affinity key is in this zone if the zone has any server. Callers stay in
@@ -86,20 +87,21 @@
     std::uint64_t weight = 0;
     if (request.affinity != 0) {
       weight = rendezvous_weight(server->entry.id.get(), request.affinity) >> 1U;
-      weight |= near ? near_bit : 0;
+      weight |= same_zone ? same_zone_bit : 0;
     }
     if (request.affinity != 0 && (preferred == nullptr || weight > preferred_weight)) {
       preferred = server;
       preferred_weight = weight;
     }
-    const bool better = least == nullptr || server->inside < least->inside ||
-                        (server->inside == least->inside && rank < least_rank);
+    const bool better = least == nullptr || server->in_flight < least->in_flight ||
+                        (server->in_flight == least->in_flight && rank < least_rank);
     if (better) {
       least = server;
       least_rank = rank;
     }
   }
-  if (preferred != nullptr && preferred->inside <= least->inside + this->rules.affinity_slack) {
+  if (preferred != nullptr &&
+      preferred->in_flight <= least->in_flight + this->rules.affinity_slack) {
     return preferred;
   }
   return least;
@@ -108,19 +110,19 @@
 bool server_pool::holds_line(const server_state& server, const placement_request& request) const {
   // The first part is not enough: so many programs share it that nearly all servers have cached it.
   return request.prompt.size() > 1 &&
-         this->caches.held(request.prompt, server.entry.id) > request.prompt.front().tokens;
+         this->caches.cached(request.prompt, server.entry.id) > request.prompt.front().tokens;
 }
 
-bool server_pool::may_weigh(const server_state& server, const placement_request& request,
-                            timestamp now) const {
+bool server_pool::is_candidate(const server_state& server, const placement_request& request,
+                               timestamp now) const {
   return server.listed && !server.health.excluded(now) && !request.tried.contains(server.entry.id);
 }
 
 void server_pool::add_holders(const placement_request& request, timestamp now,
                               std::vector<weighted_server>& chosen) const {
-  for (const backend_server_id& id : this->caches.holders_of_line(request.prompt)) {
+  for (const backend_server_id& id : this->caches.servers_with_session(request.prompt)) {
     const auto found = this->servers.find(id);
-    if (found == this->servers.end() || !this->may_weigh(found->second, request, now)) {
+    if (found == this->servers.end() || !this->is_candidate(found->second, request, now)) {
       continue;
     }
     const std::uint64_t name_hash = rendezvous_weight(id.get(), 0);
@@ -139,24 +141,24 @@
                           const weighted_server& item) {
     return highest.size() < most || item > highest.back();
   };
-  const auto keep = [](std::vector<weighted_server>& highest, std::size_t most,
-                       const weighted_server& item) {
+  const auto insert_highest = [](std::vector<weighted_server>& highest, std::size_t most,
+                                 const weighted_server& item) {
     highest.insert(std::upper_bound(highest.begin(), highest.end(), item, std::greater<>()), item);
     highest.resize(std::min(highest.size(), most));
   };
   const choice_rules& choice = this->rules.choice;
-  for (const auto& [server, name_hash, rank, near] : this->listed_servers) {
+  for (const auto& [server, name_hash, rank, same_zone] : this->listed_servers) {
     const weighted_server item{rendezvous_weight(name_hash, request.affinity), server};
     const bool as_any = is_high(of_all, choice.choices, item);
-    const bool as_near = near && is_high(of_zone, choice.near_choices, item);
-    if ((!as_any && !as_near) || !this->may_weigh(*server, request, now)) {
+    const bool as_same_zone = same_zone && is_high(of_zone, choice.zone_choices, item);
+    if ((!as_any && !as_same_zone) || !this->is_candidate(*server, request, now)) {
       continue;
     }
     if (as_any) {
-      keep(of_all, choice.choices, item);
+      insert_highest(of_all, choice.choices, item);
     }
-    if (as_near) {
-      keep(of_zone, choice.near_choices, item);
+    if (as_same_zone) {
+      insert_highest(of_zone, choice.zone_choices, item);
     }
   }
   std::vector<weighted_server> chosen = std::move(of_all);
@@ -173,52 +175,52 @@
 
 double server_pool::calls_at(const server_state& server, timestamp now) const {
   const double count = static_cast<double>(this->servers.size());
-  double mean = this->servers.empty() ? 0 : this->calls_of_others / count;
+  double mean = this->servers.empty() ? 0 : this->total_remote_calls / count;
   if (this->rules.learns_speed) {
     // A slow server gets less work, so fewer calls are expected there when its count is unknown.
-    mean *= this->part_of_work(server);
+    mean *= this->relative_speed(server);
   }
-  const double age = to_seconds(std::chrono::duration_cast<duration>(now - server.others_heard));
-  const double weight = std::exp(-age / load_fading_seconds);
-  return server.inside + weight * server.others + (1 - weight) * mean;
+  const double age = to_seconds(std::chrono::duration_cast<duration>(now - server.remote_calls_at));
+  const double weight = std::exp(-age / load_decay_seconds);
+  return server.in_flight + weight * server.remote_calls + (1 - weight) * mean;
 }
 
 placement_basis server_pool::basis_of(const server_state& server, const placement_request& request,
                                       timestamp now) const {
   placement_basis basis;
   basis.calls = this->calls_at(server, now);
-  basis.load_age = std::chrono::duration_cast<duration>(now - server.others_heard);
-  basis.missing_tokens = this->caches.missing(request.prompt, server.entry.id);
+  basis.load_age = std::chrono::duration_cast<duration>(now - server.remote_calls_at);
+  basis.missing_tokens = this->caches.uncached(request.prompt, server.entry.id);
   basis.holds_line = this->holds_line(server, request);
   return basis;
 }
 
-void server_pool::note_prompt(const placement_request& request, const server_state& server) {
+void server_pool::record_prompt(const placement_request& request, const server_state& server) {
   if (request.prompt.size() > 1) {
     // Only the last part is reported, which belongs to this session alone. A sub-agent's session
     // does not report the location of its parent's session.
     const prompt_piece& line = request.prompt.back();
-    this->moved.push_back({line.key, server.key, line.tokens});
+    this->unreported_locations.push_back({line.key, server.key, line.tokens});
   }
-  this->caches.note(request.prompt, server.entry.id);
-  this->changed.insert(server.key);
+  this->caches.add_prompt(request.prompt, server.entry.id);
+  this->unreported_loads.insert(server.key);
 }
 
 directory_request server_pool::directory_request_for(const placement_request& request,
                                                      timestamp now) const {
-  directory_request question;
+  directory_request lookup;
   if (request.prompt.empty()) {
-    return this->plain_question(request, now);
+    return this->promptless_directory_request(request, now);
   }
   for (const server_state* server : this->candidates_for(request, now)) {
-    if (now - server->others_heard > fresh_load) {
-      question.servers.push_back(server->key);
+    if (now - server->remote_calls_at > fresh_load) {
+      lookup.servers.push_back(server->key);
     }
   }
   for (std::size_t number = 1; number < request.prompt.size(); ++number) {
-    question.parts.push_back(request.prompt[number].key);
+    lookup.parts.push_back(request.prompt[number].key);
   }
-  return question;
+  return lookup;
 }
 
 server_pool::server_state* server_pool::find_server(server_key key) {
@@ -228,39 +230,39 @@
 
 void server_pool::set_remote_load(const server_load& load, timestamp now) {
   if (server_state* server = this->find_server(load.server)) {
-    this->calls_of_others += load.calls - server->others;
-    server->others = load.calls;
-    server->others_heard = now;
+    this->total_remote_calls += load.calls - server->remote_calls;
+    server->remote_calls = load.calls;
+    server->remote_calls_at = now;
   }
 }
 
 void server_pool::add_prompt_location(const part_location& location) {
   if (const server_state* server = this->find_server(location.server)) {
-    this->caches.note_part({location.part, location.tokens}, server->entry.id);
+    this->caches.add_part({location.part, location.tokens}, server->entry.id);
   }
 }
 
 directory_update server_pool::take_update() {
   directory_update update;
-  if (!this->changed.empty() || !this->moved.empty()) {
-    this->changed.merge(this->ended);
-    this->ended.clear();
+  if (!this->unreported_loads.empty() || !this->unreported_locations.empty()) {
+    this->unreported_loads.merge(this->batched_ends);
+    this->batched_ends.clear();
   }
-  for (const server_key key : this->changed) {
+  for (const server_key key : this->unreported_loads) {
     const server_state* server = this->find_server(key);
-    update.loads.push_back({key, server == nullptr ? 0 : this->told_calls(*server)});
+    update.loads.push_back({key, server == nullptr ? 0 : this->reported_calls(*server)});
   }
-  this->changed.clear();
-  update.locations = std::move(this->moved);
-  this->moved.clear();
+  this->unreported_loads.clear();
+  update.locations = std::move(this->unreported_locations);
+  this->unreported_locations.clear();
   return update;
 }
 
 std::vector<server_load> server_pool::own_loads() const {
   std::vector<server_load> loads;
   for (const auto& [id, server] : this->servers) {
-    if (this->told_calls(server) > 0) {
-      loads.push_back({server.key, this->told_calls(server)});
+    if (this->reported_calls(server) > 0) {
+      loads.push_back({server.key, this->reported_calls(server)});
     }
   }
   return loads;
--- a/libs/placement/src/server_pool_claims.cc
+++ b/libs/placement/src/server_pool_claims.cc
@@ -10,11 +10,11 @@
 
 /// Upper bound of the servers at which one call claims a place. Two choices balance load nearly as
 /// well as more, and each claim is a message.
-constexpr std::size_t most_targets = 2;
+constexpr std::size_t max_targets = 2;
 /// A call claims a place at a second server only if the cost there is at most this much higher, as
 /// a fraction of a call's time. A server that has to read the whole session again takes that time
 /// from other calls.
-constexpr double most_dearer = 0.3;
+constexpr double max_extra_cost = 0.3;
 /// Places of a server beyond its slots: a call that it can start as soon as another one ends.
 constexpr std::uint32_t spare_places = 1;
 
@@ -26,29 +26,29 @@
   if (!this->rules.claims_places || request.prompt.empty() || !request.tried.empty()) {
     return {};
   }
-  struct weighed_server {
-    bool doubted = false;
+  struct candidate {
+    bool degraded = false;
     double cost = 0;
     const server_state* server = nullptr;
   };
-  std::vector<weighed_server> weighed;
+  std::vector<candidate> candidates;
   for (const server_state* server : this->candidates_for(request, now)) {
-    const bool doubted = server->health.doubted(this->rules.health, now);
-    weighed.push_back({doubted, this->cost_at(*server, request, now), server});
+    const bool degraded = server->health.degraded(this->rules.health, now);
+    candidates.push_back({degraded, this->cost_at(*server, request, now), server});
   }
-  if (weighed.empty()) {
+  if (candidates.empty()) {
     return {};
   }
-  const auto is_cheaper = [](const weighed_server& a, const weighed_server& b) {
-    return std::tie(a.doubted, a.cost) < std::tie(b.doubted, b.cost);
+  const auto is_cheaper = [](const candidate& a, const candidate& b) {
+    return std::tie(a.degraded, a.cost) < std::tie(b.degraded, b.cost);
   };
-  std::stable_sort(weighed.begin(), weighed.end(), is_cheaper);
-  weighed.resize(std::min(weighed.size(), most_targets));
-  std::erase_if(weighed, [first = weighed.front().cost](const weighed_server& item) {
-    return item.cost > first + most_dearer;
+  std::stable_sort(candidates.begin(), candidates.end(), is_cheaper);
+  candidates.resize(std::min(candidates.size(), max_targets));
+  std::erase_if(candidates, [first = candidates.front().cost](const candidate& item) {
+    return item.cost > first + max_extra_cost;
   });
   std::vector<place_target> targets;
-  for (const weighed_server& item : weighed) {
+  for (const candidate& item : candidates) {
     place_target target;
     target.server = item.server->entry.id;
     target.key = item.server->key;
@@ -63,7 +63,7 @@
 std::optional<placement> server_pool::place_at(const placement_request& request,
                                                const backend_server_id& server, timestamp now) {
   const auto found = this->servers.find(server);
-  if (found == this->servers.end() || !this->may_weigh(found->second, request, now)) {
+  if (found == this->servers.end() || !this->is_candidate(found->second, request, now)) {
     return std::nullopt;
   }
   std::vector<placement> placed;
--- a/libs/placement/src/server_speed.cc
+++ b/libs/placement/src/server_speed.cc
@@ -9,161 +9,163 @@
 namespace {
 
 /// Weight of a new time in the moving average of a kind's typical time, after the first 50 calls.
-constexpr double usual_newest_part = 0.02;
+constexpr double typical_newest_weight = 0.02;
 /// Weight of a new time in the moving average of the slowdown of all calls. A host has about 20
 /// calls per second, so the average follows a change of load within a second.
-constexpr double common_newest_part = 0.05;
+constexpr double common_newest_weight = 0.05;
 /// Lower bound of call times, so that the logarithm is finite; no measured call is faster.
-constexpr double least_seconds = 0.001;
+constexpr double min_seconds = 0.001;
 /// Calls of a kind that must be known before a call of this kind yields a sample.
-constexpr std::uint32_t calls_to_compare = 5;
+constexpr std::uint32_t min_calls_to_compare = 5;
 /// Samples are clamped to this logarithm either way: 20 times slower or faster.
-constexpr double most_pace = 3;
+constexpr double max_log_ratio = 3;
 /// Lower bound of the variance of a kind: its calls differ by at least 20%.
-constexpr double least_variance = 0.04;
+constexpr double min_variance = 0.04;
 /// Units of `speed_word`.
-constexpr double word_per_pace = 1000;
-constexpr double word_per_weight = 8;
+constexpr double units_per_log_ratio = 1000;
+constexpr double units_per_weight = 8;
 
-double fading_factor(duration age, duration fading) {
-  return std::exp(-std::max(0.0, to_seconds(age)) / to_seconds(fading));
+double decay_factor(duration age, duration decay_time) {
+  return std::exp(-std::max(0.0, to_seconds(age)) / to_seconds(decay_time));
 }
 
 template <class Integer>
 Integer rounded(double value) {
-  constexpr double least = std::numeric_limits<Integer>::min();
-  constexpr double most = std::numeric_limits<Integer>::max();
-  return static_cast<Integer>(std::lround(std::clamp(value, least, most)));
+  constexpr double lowest = std::numeric_limits<Integer>::min();
+  constexpr double upper_bound = std::numeric_limits<Integer>::max();
+  return static_cast<Integer>(std::lround(std::clamp(value, lowest, upper_bound)));
 }
 
-double pace_of(std::int16_t word) { return word / word_per_pace; }
-double weight_of(std::uint16_t word) { return word / word_per_weight; }
+double log_ratio_of(std::int16_t word) { return word / units_per_log_ratio; }
+double weight_of(std::uint16_t word) { return word / units_per_weight; }
 
 /// Weighted mean of the own and the reported estimate, and of a prior of 0 with weight `before`.
-double joined(const fading_mean& own, const fading_mean& told, double before, double most,
-              duration fading, timestamp now) {
-  const double own_weight = own.weight_at(most, fading, now);
-  const double told_weight = told.weight_at(most, fading, now);
-  const double sum = own_weight * own.mean() + told_weight * told.mean();
-  return sum / (own_weight + told_weight + before);
+double combined_mean(const decaying_mean& own, const decaying_mean& reported, double before,
+                     double upper_bound, duration decay_time, timestamp now) {
+  const double own_weight = own.weight_at(upper_bound, decay_time, now);
+  const double reported_weight = reported.weight_at(upper_bound, decay_time, now);
+  const double sum = own_weight * own.mean() + reported_weight * reported.mean();
+  return sum / (own_weight + reported_weight + before);
 }
 
 }  // namespace
 
-void fading_mean::add(double sample, double by, duration fading, timestamp now) {
-  const double before = this->faded(this->weight, fading, now);
-  this->weight = before + by;
-  this->renewed = now;
-  if (by > 0) {
-    this->value += by / this->weight * (sample - this->value);
+void decaying_mean::add(double sample, double sample_weight, duration decay_time, timestamp now) {
+  const double before = this->decayed(this->weight, decay_time, now);
+  this->weight = before + sample_weight;
+  this->updated_at = now;
+  if (sample_weight > 0) {
+    this->value += sample_weight / this->weight * (sample - this->value);
   }
 }
 
-double fading_mean::weight_at(double most, duration fading, timestamp now) const {
-  return this->faded(std::min(this->weight, most), fading, now);
+double decaying_mean::weight_at(double upper_bound, duration decay_time, timestamp now) const {
+  return this->decayed(std::min(this->weight, upper_bound), decay_time, now);
 }
 
-double fading_mean::faded(double from, duration fading, timestamp now) const {
-  return from == 0 ? 0 : from * fading_factor(now - this->renewed, fading);
+double decaying_mean::decayed(double from, duration decay_time, timestamp now) const {
+  return from == 0 ? 0 : from * decay_factor(now - this->updated_at, decay_time);
 }
 
-void server_speed::note(const server_speed_sample& sample, const speed_rules& rules,
-                        timestamp now) {
-  const double from_slow = sample.pace - this->slow(rules, now);
-  this->own_fast.add(from_slow, sample.weight, rules.fast_fading, now);
-  this->own_slow.add(sample.pace, sample.weight, rules.slow_fading, now);
+void server_speed::add_sample(const speed_sample& sample, const speed_rules& rules, timestamp now) {
+  const double from_slow = sample.log_ratio - this->slow(rules, now);
+  this->own_fast.add(from_slow, sample.weight, rules.fast_decay_time, now);
+  this->own_slow.add(sample.log_ratio, sample.weight, rules.slow_decay_time, now);
 }
 
-void server_speed::hear(const speed_word& word, timestamp now) {
-  this->told_slow = {pace_of(word.slow), weight_of(word.slow_weight), now};
-  this->told_fast = {pace_of(word.fast), weight_of(word.fast_weight), now};
+void server_speed::set_remote_estimate(const speed_estimate& word, timestamp now) {
+  this->remote_slow = {log_ratio_of(word.slow), weight_of(word.slow_weight), now};
+  this->remote_fast = {log_ratio_of(word.fast), weight_of(word.fast_weight), now};
 }
 
-speed_word server_speed::own_word(const speed_rules& rules, timestamp now) const {
-  const double slow_weight = this->own_slow.weight_at(rules.most_weight, rules.slow_fading, now);
-  const double fast_weight = this->own_fast.weight_at(rules.most_weight, rules.fast_fading, now);
-  speed_word word;
-  word.slow = rounded<std::int16_t>(this->own_slow.mean() * word_per_pace);
-  word.slow_weight = rounded<std::uint16_t>(slow_weight * word_per_weight);
-  word.fast = rounded<std::int16_t>(this->own_fast.mean() * word_per_pace);
-  word.fast_weight = rounded<std::uint16_t>(fast_weight * word_per_weight);
+speed_estimate server_speed::own_estimate(const speed_rules& rules, timestamp now) const {
+  const double slow_weight = this->own_slow.weight_at(rules.max_weight, rules.slow_decay_time, now);
+  const double fast_weight = this->own_fast.weight_at(rules.max_weight, rules.fast_decay_time, now);
+  speed_estimate word;
+  word.slow = rounded<std::int16_t>(this->own_slow.mean() * units_per_log_ratio);
+  word.slow_weight = rounded<std::uint16_t>(slow_weight * units_per_weight);
+  word.fast = rounded<std::int16_t>(this->own_fast.mean() * units_per_log_ratio);
+  word.fast_weight = rounded<std::uint16_t>(fast_weight * units_per_weight);
   return word;
 }
 
 double server_speed::slow(const speed_rules& rules, timestamp now) const {
-  return joined(this->own_slow, this->told_slow, 1, rules.most_weight, rules.slow_fading, now);
+  return combined_mean(this->own_slow, this->remote_slow, 1, rules.max_weight,
+                       rules.slow_decay_time, now);
 }
 
 double server_speed::expected(const speed_rules& rules, timestamp now) const {
-  const double before = rules.server_variance / rules.spell_variance;
-  const double fast =
-      joined(this->own_fast, this->told_fast, before, rules.most_weight, rules.fast_fading, now);
-  return std::clamp(this->slow(rules, now) + fast, -most_pace, most_pace);
+  const double before = rules.server_variance / rules.temporary_variance;
+  const double fast = combined_mean(this->own_fast, this->remote_fast, before, rules.max_weight,
+                                    rules.fast_decay_time, now);
+  return std::clamp(this->slow(rules, now) + fast, -max_log_ratio, max_log_ratio);
 }
 
 double server_speed::weight(const speed_rules& rules, timestamp now) const {
-  return this->own_slow.weight_at(rules.most_weight, rules.slow_fading, now) +
-         this->told_slow.weight_at(rules.most_weight, rules.slow_fading, now);
+  return this->own_slow.weight_at(rules.max_weight, rules.slow_decay_time, now) +
+         this->remote_slow.weight_at(rules.max_weight, rules.slow_decay_time, now);
 }
 
-void speed_mean::add(const speed_word& word, duration age, const speed_rules& rules) {
-  this->slow.add(pace_of(word.slow), weight_of(word.slow_weight),
-                 fading_factor(age, rules.slow_fading));
-  this->fast.add(pace_of(word.fast), weight_of(word.fast_weight),
-                 fading_factor(age, rules.fast_fading));
+void speed_mean::add(const speed_estimate& word, duration age, const speed_rules& rules) {
+  this->slow.add(log_ratio_of(word.slow), weight_of(word.slow_weight),
+                 decay_factor(age, rules.slow_decay_time));
+  this->fast.add(log_ratio_of(word.fast), weight_of(word.fast_weight),
+                 decay_factor(age, rules.fast_decay_time));
 }
 
-void speed_mean::faded_sum::add(double pace, double weight, double fading) {
-  this->slowdowns += weight * fading * pace;
-  this->faded += weight * fading;
+void speed_mean::decayed_sum::add(double log_ratio, double weight, double decay_time) {
+  this->log_ratios += weight * decay_time * log_ratio;
+  this->decayed += weight * decay_time;
   this->whole += weight;
 }
 
-double speed_mean::faded_sum::weight(double most) const {
+double speed_mean::decayed_sum::weight(double upper_bound) const {
   // The weight is capped before it decays, so that the reports of many hosts are forgotten as soon
   // as that of one.
-  return this->whole > most ? this->faded * most / this->whole : this->faded;
+  return this->whole > upper_bound ? this->decayed * upper_bound / this->whole : this->decayed;
 }
 
-speed_word speed_mean::word(const speed_rules& rules) const {
-  const auto told = [&](const faded_sum& sum) {
-    return rounded<std::uint16_t>(sum.weight(rules.most_weight) * word_per_weight);
+speed_estimate speed_mean::word(const speed_rules& rules) const {
+  const auto reported = [&](const decayed_sum& sum) {
+    return rounded<std::uint16_t>(sum.weight(rules.max_weight) * units_per_weight);
   };
-  speed_word mean;
-  mean.slow_weight = told(this->slow);
-  mean.fast_weight = told(this->fast);
+  speed_estimate mean;
+  mean.slow_weight = reported(this->slow);
+  mean.fast_weight = reported(this->fast);
   if (mean.slow_weight > 0) {
-    mean.slow = rounded<std::int16_t>(this->slow.slowdowns / this->slow.faded * word_per_pace);
+    mean.slow =
+        rounded<std::int16_t>(this->slow.log_ratios / this->slow.decayed * units_per_log_ratio);
   }
   if (mean.fast_weight > 0) {
-    mean.fast = rounded<std::int16_t>(this->fast.slowdowns / this->fast.faded * word_per_pace);
+    mean.fast =
+        rounded<std::int16_t>(this->fast.log_ratios / this->fast.decayed * units_per_log_ratio);
   }
   return mean;
 }
 
-std::optional<server_speed_sample> typical_times::compare(std::uint64_t kind, timed_part part,
-                                                          duration took, double load,
-                                                          double expected,
-                                                          const speed_rules& rules) {
+std::optional<speed_sample> typical_times::compare(std::uint64_t kind, timed_part part,
+                                                   duration took, double load, double expected,
+                                                   const speed_rules& rules) {
   kind_times& times = this->kinds[{kind, part}];
-  const double log_time = std::log(std::max(to_seconds(took), least_seconds) / load);
+  const double log_time = std::log(std::max(to_seconds(took), min_seconds) / load);
   ++times.calls;
   if (times.calls == 1) {
     times.mean = log_time;
     return std::nullopt;
   }
-  const double from_usual = log_time - times.mean;
-  const double pace = std::clamp(from_usual - this->common, -most_pace, most_pace);
-  const double unexplained = pace - expected;
-  const double variance = std::max(times.variance, least_variance);
-  const double newest_part = std::max(usual_newest_part, 1.0 / times.calls);
-  times.mean += newest_part * from_usual;
-  times.variance += newest_part * (unexplained * unexplained - times.variance);
-  if (times.calls <= calls_to_compare) {
+  const double from_typical = log_time - times.mean;
+  const double log_ratio =
+      std::clamp(from_typical - this->common_slowdown, -max_log_ratio, max_log_ratio);
+  const double residual = log_ratio - expected;
+  const double variance = std::max(times.variance, min_variance);
+  const double newest_weight = std::max(typical_newest_weight, 1.0 / times.calls);
+  times.mean += newest_weight * from_typical;
+  times.variance += newest_weight * (residual * residual - times.variance);
+  if (times.calls <= min_calls_to_compare) {
     return std::nullopt;
   }
-  this->common += common_newest_part * unexplained;
-  return server_speed_sample{pace, rules.server_variance / variance};
+  this->common_slowdown += common_newest_weight * residual;
+  return speed_sample{log_ratio, rules.server_variance / variance};
 }
 
 }  // namespace hawthornlane
--- a/libs/placement/test/place_load_test.cc
+++ b/libs/placement/test/place_load_test.cc
@@ -12,7 +12,7 @@
 /// Load of each account in the burst, as a multiple of its usual load.
 constexpr double surge = 3.5;
 /// The same for the first account.
-constexpr double most_surge = 6.6;
+constexpr double max_surge = 6.6;
 constexpr int accounts = 10;
 
 load_plan burst_plan(int hosts, int servers, std::uint32_t slots, double usual, unsigned seed) {
@@ -24,7 +24,7 @@
   plan.burst = usual;
   plan.burst_to = plan.burst_from + 6s;
   plan.slack = 1.3;
-  plan.windows = true;
+  plan.limits_in_flight = true;
   plan.priorities = {0, 1, 2};
   plan.seed = seed;
   plan.accounts.clear();
@@ -32,7 +32,7 @@
     account_plan account;
     account.name = client_account("account-" + std::to_string(number));
     account.part = 1.0 / accounts;
-    account.surge = number == 0 ? most_surge : surge;
+    account.surge = number == 0 ? max_surge : surge;
     plan.accounts.push_back(account);
   }
   return plan;
@@ -41,8 +41,8 @@
 std::string text_of(const load_result& result) {
   std::string text = "in time " + std::to_string(result.in_time) + " of " +
                      std::to_string(result.began) + ", busy " +
-                     std::to_string(result.worked_on / result.workable) + ", read " +
-                     std::to_string(result.read / result.unavoidable) + ", refused " +
+                     std::to_string(result.busy_slot_steps / result.slot_steps) + ", read " +
+                     std::to_string(result.read / result.required_read) + ", refused " +
                      std::to_string(result.refused);
   const auto add = [&text](const std::string& what, const caller_result& item) {
     text +=
@@ -78,9 +78,9 @@
   };
   for (row item : rows) {
     item.plan.claims = false;
-    const load_result without = played_turns(item.plan).play();
+    const load_result without = turn_simulation(item.plan).play();
     item.plan.claims = true;
-    const load_result with = played_turns(item.plan).play();
+    const load_result with = turn_simulation(item.plan).play();
     INFO(item.what << "\nwithout claims: " << text_of(without) << "\nwith: " << text_of(with));
     CHECK(with.in_time > without.in_time);
     for (const auto& [priority, got] : with.by_priority) {
@@ -91,7 +91,7 @@
     // The highest priority is served before the others, and normally again after the burst.
     CHECK(with.by_priority.at(0).share() > with.by_priority.at(1).share());
     CHECK(with.by_priority_after.at(0).share() > 0.9);
-    CHECK(with.worked_on >= 0.95 * with.workable);
+    CHECK(with.busy_slot_steps >= 0.95 * with.slot_steps);
     caller_result all;
     for (const auto& [account, got] : with.by_account) {
       all.began += got.began;
--- a/libs/placement/test/place_queue_test.cc
+++ b/libs/placement/test/place_queue_test.cc
@@ -110,66 +110,66 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    full_server keeper;
+    full_server fixture;
     place_claim first = claim_of(1);
     place_claim second = claim_of(2);
     first.priority = second.priority = 5;
     item.first(first);
     item.second(second);
-    CHECK(keeper.claim(first) == claim_outcome::waiting);
-    CHECK(keeper.claim(second) == claim_outcome::waiting);
-    CHECK(keeper.free_one() == calls{item.winner});
+    CHECK(fixture.claim(first) == claim_outcome::waiting);
+    CHECK(fixture.claim(second) == claim_outcome::waiting);
+    CHECK(fixture.free_one() == calls{item.winner});
   }
 }
 
 TEST_CASE("a claim past its soft deadline is served after others for at most a second") {
-  full_server keeper;
+  full_server fixture;
   place_claim late = claim_of(1);
   late.wanted_in = -1s;
-  CHECK(keeper.claim(late) == claim_outcome::waiting);
+  CHECK(fixture.claim(late) == claim_outcome::waiting);
   constexpr duration repeat = place_queue::repeat_interval;
   std::uint64_t others = 1;
   duration waited{};
   while (waited < 2s) {
-    CHECK(keeper.claim(claim_of(++others)) == claim_outcome::waiting);
-    const calls granted = keeper.free_one();
+    CHECK(fixture.claim(claim_of(++others)) == claim_outcome::waiting);
+    const calls granted = fixture.free_one();
     if (granted == calls{1}) {
       break;
     }
-    keeper.now += repeat;
+    fixture.now += repeat;
     waited += repeat;
-    keeper.claim(late);
+    fixture.claim(late);
   }
-  CHECK(waited >= place_queue::late_patience);
-  CHECK(waited < place_queue::late_patience + repeat);
+  CHECK(waited >= place_queue::late_penalty_time);
+  CHECK(waited < place_queue::late_penalty_time + repeat);
 }
 
 TEST_CASE("a free place is granted at once and only once") {
-  full_server keeper;
-  keeper.count(busy_host, places - 2);
-  CHECK(keeper.claim(claim_of(1)) == claim_outcome::granted);
-  CHECK(keeper.claim(claim_of(2)) == claim_outcome::granted);
-  CHECK(keeper.claim(claim_of(3)) == claim_outcome::waiting);
+  full_server fixture;
+  fixture.count(busy_host, places - 2);
+  CHECK(fixture.claim(claim_of(1)) == claim_outcome::granted);
+  CHECK(fixture.claim(claim_of(2)) == claim_outcome::granted);
+  CHECK(fixture.claim(claim_of(3)) == claim_outcome::waiting);
   // The answers contained the grants, so there is none to send.
-  CHECK(keeper.granted().empty());
+  CHECK(fixture.granted().empty());
   // The counts include the granted calls now, so the grants are not counted in addition.
-  keeper.count(host_id("front"), 2);
-  CHECK(keeper.granted().empty());
-  keeper.count(host_id("front"), 1);
-  CHECK(keeper.granted() == calls{3});
+  fixture.count(host_id("front"), 2);
+  CHECK(fixture.granted().empty());
+  fixture.count(host_id("front"), 1);
+  CHECK(fixture.granted() == calls{3});
 }
 
 TEST_CASE("an account with more calls gets no larger share of the places") {
-  full_server keeper;
+  full_server fixture;
   std::uint64_t call = 0;
   for (int number = 0; number < 60; ++number) {
     place_claim claim = claim_of(++call);
     claim.account = client_account(number < 40 ? "surge" : number < 50 ? "b" : "c");
-    REQUIRE(keeper.claim(claim) == claim_outcome::waiting);
+    REQUIRE(fixture.claim(claim) == claim_outcome::waiting);
   }
   std::map<int, int> served;
   for (int number = 0; number < 15; ++number) {
-    const std::uint64_t winner = keeper.serve_one();
+    const std::uint64_t winner = fixture.serve_one();
     ++served[winner <= 40 ? 0 : winner <= 50 ? 1 : 2];
   }
   CHECK(served[0] == 5);
@@ -178,25 +178,25 @@
 }
 
 TEST_CASE("a claim of the lowest priority is not starved by claims of higher priority") {
-  full_server keeper;
+  full_server fixture;
   place_claim low = claim_of(1);
   low.priority = 9;
   std::uint64_t call = 1;
   int grants = 0;
   bool served = false;
   while (!served && grants < 200) {
-    keeper.now += 50ms;
-    keeper.claim(low);
+    fixture.now += 50ms;
+    fixture.claim(low);
     place_claim better = claim_of(++call);
     better.wanted_in = 1s;
-    keeper.claim(better);
+    fixture.claim(better);
     ++grants;
-    served = keeper.serve_one() == 1;
+    served = fixture.serve_one() == 1;
   }
   CHECK(served);
   // It must not be served before it is overdue.
   CHECK(grants * 50ms >= place_queue::overdue_after);
-  CHECK(grants <= static_cast<int>(2 * place_queue::overdue_share));
+  CHECK(grants <= static_cast<int>(2 * place_queue::overdue_grant_interval));
 }
 
 TEST_CASE("a claim is refused at once if the expected wait exceeds the time it has left") {
@@ -215,20 +215,20 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    full_server keeper;
+    full_server fixture;
     for (int number = 0; number < item.before; ++number) {
       place_claim other = claim_of(100 + number);
       other.given_up_in = 90s;
-      keeper.claim(other);
+      fixture.claim(other);
     }
     place_claim claim = claim_of(1);
     claim.wanted_in = 10s;
     claim.given_up_in = item.given_up_in;
-    const claim_response answer = keeper.queue.claim(claim, keeper.now);
+    const claim_response answer = fixture.queue.claim(claim, fixture.now);
     CHECK(answer.outcome == item.expected);
     CHECK((answer.wait < item.given_up_in) == (item.expected == claim_outcome::waiting));
     const std::size_t waits = item.expected == claim_outcome::waiting ? 1 : 0;
-    CHECK(keeper.queue.waiting(server) == static_cast<std::size_t>(item.before) + waits);
+    CHECK(fixture.queue.waiting(server) == static_cast<std::size_t>(item.before) + waits);
   }
 }
 
@@ -240,8 +240,8 @@
     quick.free_one();
     slow.now += 25ms;
   }
-  const auto wait_at = [](full_server& keeper) {
-    return keeper.queue.claim(claim_of(1), keeper.now).wait;
+  const auto wait_at = [](full_server& fixture) {
+    return fixture.queue.claim(claim_of(1), fixture.now).wait;
   };
   CHECK(wait_at(quick) < wait_at(slow) / 4);
 }
@@ -256,9 +256,9 @@
   now += 1ms;
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::granted);
   // The counts of a server stay known between messages, but not for an unlimited time.
-  now += place_queue::memory;
+  now += place_queue::idle_lifetime;
   CHECK(queue.claim(claim_of(2), now).outcome == claim_outcome::granted);
-  now += place_queue::memory + 1ms;
+  now += place_queue::idle_lifetime + 1ms;
   CHECK(queue.claim(claim_of(3), now).outcome == claim_outcome::unknown);
 }
 
@@ -268,7 +268,7 @@
     duration since_change;
     claim_outcome expected;
   };
-  constexpr duration settled = place_queue::settling_time + place_queue::warm_up_time;
+  constexpr duration settled = place_queue::convergence_time + place_queue::warm_up_time;
   const row rows[] = {
       {"the hosts have just changed", 0ms, claim_outcome::unknown},
       {"some hosts may not know of the change yet", settled - 1ms, claim_outcome::unknown},
@@ -289,26 +289,26 @@
 }
 
 TEST_CASE("a repeated claim takes only one place, also if its grant was lost") {
-  full_server keeper;
+  full_server fixture;
   for (int number = 0; number < 5; ++number) {
-    CHECK(keeper.claim(claim_of(1)) == claim_outcome::waiting);
-    keeper.now += place_queue::repeat_interval;
+    CHECK(fixture.claim(claim_of(1)) == claim_outcome::waiting);
+    fixture.now += place_queue::repeat_interval;
   }
-  CHECK(keeper.queue.waiting(server) == 1);
-  CHECK(keeper.free_one() == calls{1});
+  CHECK(fixture.queue.waiting(server) == 1);
+  CHECK(fixture.free_one() == calls{1});
   // The grant was lost. The repeated claim is granted again and takes no further place.
-  CHECK(keeper.claim(claim_of(1)) == claim_outcome::granted);
-  CHECK(keeper.queue.waiting(server) == 0);
-  CHECK(keeper.claim(claim_of(2)) == claim_outcome::waiting);
+  CHECK(fixture.claim(claim_of(1)) == claim_outcome::granted);
+  CHECK(fixture.queue.waiting(server) == 0);
+  CHECK(fixture.claim(claim_of(2)) == claim_outcome::waiting);
 }
 
 TEST_CASE("a granted place that is withdrawn or not used goes to the next claim") {
   struct row {
     const char* what;
-    std::function<void(full_server&)> happens;
+    std::function<void(full_server&)> action;
     calls then;
   };
-  const claimant first{host_id("front"), 1};
+  const global_call_id first{host_id("front"), 1};
   const row rows[] = {
       {"nothing", [](full_server&) {}, {}},
       {"the granted call is withdrawn",
@@ -335,21 +335,21 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    full_server keeper;
+    full_server fixture;
     for (std::uint64_t call = 1; call <= 3; ++call) {
-      keeper.claim(claim_of(call));
+      fixture.claim(claim_of(call));
     }
-    keeper.count(busy_host, places - 1);
-    REQUIRE(keeper.granted() == calls{1});
-    item.happens(keeper);
-    CHECK(keeper.granted() == item.then);
+    fixture.count(busy_host, places - 1);
+    REQUIRE(fixture.granted() == calls{1});
+    item.action(fixture);
+    CHECK(fixture.granted() == item.then);
   }
 }
 
 TEST_CASE("the calls of a dead host don't hold places forever") {
-  full_server keeper;
-  keeper.claim(claim_of(1));
-  keeper.now += placement_directory::count_lifetime + 1ms;
+  full_server fixture;
+  fixture.claim(claim_of(1));
+  fixture.now += placement_directory::count_lifetime + 1ms;
   // The busy host has not repeated its count, so its calls are no longer counted.
-  CHECK(keeper.claim(claim_of(1)) == claim_outcome::granted);
+  CHECK(fixture.claim(claim_of(1)) == claim_outcome::granted);
 }
--- a/libs/placement/test/placement_directory_test.cc
+++ b/libs/placement/test/placement_directory_test.cc
@@ -43,7 +43,7 @@
   directory.set_location({line, server_key(8), token_count(300)});
   REQUIRE(directory.find(line));
   CHECK(directory.find(line)->server == server_key(8));
-  for (std::uint64_t key = 2; key < 2 + placement_directory::most_lines; ++key) {
+  for (std::uint64_t key = 2; key < 2 + placement_directory::max_sessions; ++key) {
     directory.set_location({prompt_part_key(key), server, token_count(1)});
   }
   CHECK_FALSE(directory.find(line));
@@ -59,10 +59,10 @@
   constexpr int entries = 2000;
   std::vector<host_id> fewer(hosts.begin(), hosts.end() - 1);
   for (std::uint64_t key = 0; key < entries; ++key) {
-    const auto keeper = directory_host_for(key * 7919, hosts);
-    REQUIRE(keeper);
-    ++kept[*keeper];
-    moved += directory_host_for(key * 7919, fewer) != keeper ? 1 : 0;
+    const auto directory_host = directory_host_for(key * 7919, hosts);
+    REQUIRE(directory_host);
+    ++kept[*directory_host];
+    moved += directory_host_for(key * 7919, fewer) != directory_host ? 1 : 0;
   }
   for (const auto& [host, count] : kept) {
     CHECK(count > entries / 20 / 2);
--- a/libs/placement/test/played_events.h
+++ b/libs/placement/test/played_events.h
@@ -13,11 +13,11 @@
 namespace hawthornlane::play {
 
 /// Runs events in order of time. Events at the same time run in the order in which they were added.
-class played_events {
+class event_queue {
 public:
   /// Schedules `act` to run `after` from now.
   void at(duration after, std::function<void()> act) {
-    this->events.push({this->time + after, ++this->planned, std::move(act)});
+    this->events.push({this->time + after, ++this->last_order, std::move(act)});
   }
   /// Runs until no events are left.
   void run() {
@@ -41,7 +41,7 @@
   };
 
   duration time{};
-  std::uint64_t planned = 0;
+  std::uint64_t last_order = 0;
   std::priority_queue<event> events;
 };
 
--- a/libs/placement/test/played_turns.h
+++ b/libs/placement/test/played_turns.h
@@ -17,9 +17,9 @@
 
 /// Simulates hosts, engines and callers in virtual time. Messages between hosts take no time,
 /// except for grants, which arrive one step later.
-class played_turns {
+class turn_simulation {
 public:
-  explicit played_turns(load_plan with) : plan(with) {
+  explicit turn_simulation(load_plan with) : plan(with) {
     std::vector<backend_entry> entries;
     for (int number = 0; number < this->plan.servers; ++number) {
       engine item;
@@ -27,9 +27,9 @@
       item.entry.zone = availability_zone("z" + std::to_string(number % 4));
       item.entry.slots = this->plan.slots;
       entries.push_back(item.entry);
-      if (this->plan.unequal) {
+      if (this->plan.unequal_speeds) {
         item.factor = number % 3 == 2 ? slow_factor : fast_factor;
-        item.spell_phase = 731ms * number;
+        item.slow_period_offset = 731ms * number;
       }
       this->engines.emplace(item.entry.id, std::move(item));
     }
@@ -44,13 +44,13 @@
   }
 
   load_result play() {
-    constexpr duration patience = 20s;
-    while (this->now < arrivals_end + patience) {
-      this->share_places();
-      this->arrive();
-      this->wake();
-      this->deliver_told();
-      if (this->plan.unequal && this->now % tick_pause == 0ms) {
+    constexpr duration drain_time = 20s;
+    while (this->now < arrivals_end + drain_time) {
+      this->set_limits();
+      this->start_programs();
+      this->resume_sessions();
+      this->deliver_updates();
+      if (this->plan.unequal_speeds && this->now % tick_interval == 0ms) {
         this->tick();
       }
       this->repeat_claims();
@@ -58,8 +58,8 @@
       for (auto& [id, server] : this->engines) {
         this->run(server);
         const bool in_burst = this->now >= this->plan.burst_from && this->now < this->plan.burst_to;
-        this->result.worked_on += in_burst ? static_cast<double>(server.running.size()) : 0;
-        this->result.workable += in_burst ? this->plan.slots : 0;
+        this->result.busy_slot_steps += in_burst ? static_cast<double>(server.running.size()) : 0;
+        this->result.slot_steps += in_burst ? this->plan.slots : 0;
       }
       this->now += step;
     }
@@ -70,7 +70,7 @@
   static host_id name_of(int number) { return host_id("h" + std::to_string(number)); }
   [[nodiscard]] timestamp moment() const { return timestamp(this->now); }
 
-  void arrive() {
+  void start_programs() {
     if (this->now >= arrivals_end) {
       return;
     }
@@ -78,11 +78,11 @@
     const double rate = in_burst ? this->plan.burst : this->plan.usual;
     for (const account_plan& account : this->plan.accounts) {
       const double surge = in_burst ? account.surge : 1;
-      this->arrive(account, rate * account.part * surge);
+      this->start_programs(account, rate * account.part * surge);
     }
   }
 
-  void arrive(const account_plan& account, double rate) {
+  void start_programs(const account_plan& account, double rate) {
     std::poisson_distribution<int> count(rate * step_ms / 1000);
     for (int left = count(this->random); left > 0; --left) {
       line first;
@@ -102,7 +102,7 @@
       }
       ++this->result.began;
       this->result.began_after += this->is_after() ? 1 : 0;
-      this->sleepers.push_back({this->now, first});
+      this->idle_sessions.push_back({this->now, first});
     }
   }
   prompt_part_key next_part() { return prompt_part_key(++this->parts * 7919 + 1); }
@@ -111,9 +111,9 @@
   /// second are served besides the usual 290: 4.5 s.
   [[nodiscard]] bool is_after() const { return this->now >= this->plan.burst_to + 5s; }
 
-  void wake() {
+  void resume_sessions() {
     std::vector<line> due;
-    std::erase_if(this->sleepers, [&](const auto& item) {
+    std::erase_if(this->idle_sessions, [&](const auto& item) {
       if (item.first > this->now) {
         return false;
       }
@@ -127,11 +127,11 @@
 
   void submit(line from) {
     from.prompt.back().tokens = token_count(from.prompt.back().tokens.get() + new_tokens);
-    this->result.unavoidable += new_tokens;
+    this->result.required_read += new_tokens;
     turn item;
     item.from = std::move(from);
     // A program's own calls use two hosts, its sub-agents' calls any host.
-    const int spread = item.from.is_helper ? this->plan.hosts : 2;
+    const int spread = item.from.is_sub_agent ? this->plan.hosts : 2;
     item.host =
         (item.from.program + std::uniform_int_distribution<int>(0, spread - 1)(this->random)) %
         this->plan.hosts;
@@ -140,22 +140,23 @@
     request.id = placement_id(++this->calls);
     request.affinity = static_cast<std::uint64_t>(item.from.program) * 104'729 + 1;
     request.prompt = item.from.prompt;
-    request.begun = item.from.left < turns || item.from.is_helper;
+    request.begun = item.from.left < turns || item.from.is_sub_agent;
     request.priority = owner.priority;
     request.account = owner.account;
-    request.wanted_by =
-        this->plan.claims || this->plan.windows ? timestamp(this->due(owner)) : this->moment() + 3s;
+    request.wanted_by = this->plan.claims || this->plan.limits_in_flight
+                            ? timestamp(this->due(owner))
+                            : this->moment() + 3s;
     request.give_up_at = this->moment() + 20s;
     server_pool& pool = this->pools[item.host];
     if (this->plan.share) {
-      this->ask(pool, request, name_of(item.host));
+      this->request_directory(pool, request, name_of(item.host));
     }
     const int host = item.host;
-    const turn& kept = this->turns_under_way.emplace(request.id, std::move(item)).first->second;
+    const turn& kept = this->turns_in_progress.emplace(request.id, std::move(item)).first->second;
     if (!this->claim(kept)) {
       this->submit_to_pool(kept);
     }
-    this->tell(host);
+    this->report(host);
   }
 
   void submit_to_pool(const turn& item) {
@@ -172,8 +173,8 @@
     ++this->result.refused;
     line again = item.from;
     again.prompt.back().tokens = token_count(again.prompt.back().tokens.get() - new_tokens);
-    this->result.unavoidable -= new_tokens;
-    this->sleepers.push_back({this->now + wait + 250ms, std::move(again)});
+    this->result.required_read -= new_tokens;
+    this->idle_sessions.push_back({this->now + wait + 250ms, std::move(again)});
   }
 
   [[nodiscard]] place_claim claim_of(const turn& item, const place_target& target) const {
@@ -208,7 +209,7 @@
   /// Sends a first or repeated claim to all targets. Returns false if the call is to be placed
   /// without a claim.
   bool claim_at(placement_id id) {
-    const turn& item = this->turns_under_way.at(id);
+    const turn& item = this->turns_in_progress.at(id);
     const std::vector<place_target> targets = this->waiting.at(id).targets;
     std::map<claim_outcome, int> outcomes;
     duration wait{};
@@ -218,7 +219,7 @@
       ++outcomes[answer.outcome];
       wait = std::max(wait, answer.wait);
       if (answer.outcome == claim_outcome::granted) {
-        this->take(id, target);
+        this->accept_grant(id, target);
         return true;
       }
     }
@@ -230,12 +231,12 @@
       return false;
     }
     this->refuse(item, wait);
-    this->turns_under_way.erase(id);
+    this->turns_in_progress.erase(id);
     return true;
   }
 
-  void take(placement_id id, const place_target& granted) {
-    const turn& item = this->turns_under_way.at(id);
+  void accept_grant(placement_id id, const place_target& granted) {
+    const turn& item = this->turns_in_progress.at(id);
     for (const place_target& target : this->waiting.at(id).targets) {
       if (target.key != granted.key) {
         this->places->withdraw({name_of(item.host), id.get()}, target.key, this->moment());
@@ -249,7 +250,7 @@
     if (const auto placed = this->pools[item.host].place_at(item.request, server, this->moment())) {
       this->send({*placed});
     }
-    this->tell(item.host);
+    this->report(item.host);
   }
 
   void take_grants() {
@@ -263,7 +264,7 @@
       }
       for (const place_target& target : std::vector(found->second.targets)) {
         if (target.key == grant.server) {
-          this->take(id, target);
+          this->accept_grant(id, target);
         }
       }
     }
@@ -279,15 +280,15 @@
     }
     for (const placement_id& id : due) {
       if (this->waiting.contains(id) && !this->claim_at(id)) {
-        this->submit_to_pool(this->turns_under_way.at(id));
+        this->submit_to_pool(this->turns_in_progress.at(id));
       }
     }
   }
 
   /// Sets the limit of each host's calls in flight. Hosts know each other's demand without delay,
   /// which is better than in reality.
-  void share_places() {
-    if (!this->plan.windows || this->now % 100ms != 0ms) {
+  void set_limits() {
+    if (!this->plan.limits_in_flight || this->now % 100ms != 0ms) {
       return;
     }
     double all = 0;
@@ -308,37 +309,38 @@
     return item.began + from_seconds(ms / 1000);
   }
 
-  void ask(server_pool& pool, const placement_request& request, const host_id& asker) {
-    const directory_request question = pool.directory_request_for(request, this->moment());
-    for (const server_key& server : question.servers) {
-      const auto calls = this->directory.load_of_others(server, asker, this->moment());
+  void request_directory(server_pool& pool, const placement_request& request,
+                         const host_id& requester) {
+    const directory_request lookup = pool.directory_request_for(request, this->moment());
+    for (const server_key& server : lookup.servers) {
+      const auto calls = this->directory.load_of_others(server, requester, this->moment());
       const auto claims = static_cast<std::uint32_t>(this->places->waiting(server));
       pool.set_remote_load({server, calls + claims}, this->moment());
-      if (const auto speed = this->directory.speed_of_others(server, asker, this->moment())) {
+      if (const auto speed = this->directory.speed_of_others(server, requester, this->moment())) {
         pool.set_remote_speed(*speed, this->moment());
       }
     }
-    for (const prompt_part_key& part : question.parts) {
+    for (const prompt_part_key& part : lookup.parts) {
       if (const auto location = this->directory.find(part)) {
         pool.add_prompt_location(*location);
       }
     }
   }
 
-  void tell(int host) {
+  void report(int host) {
     directory_update update = this->pools[host].take_update();
     this->pools[host].add_speeds(update, this->moment());
     for (const part_location& location : update.locations) {
       this->directory.set_location(location);
     }
-    this->told.push_back({this->now + this->plan.view_age, host, std::move(update)});
-    this->deliver_told();
+    this->updates.push_back({this->now + this->plan.report_delay, host, std::move(update)});
+    this->deliver_updates();
   }
 
-  void deliver_told() {
-    while (!this->told.empty() && this->told.front().arrives <= this->now) {
-      const told_update item = std::move(this->told.front());
-      this->told.pop_front();
+  void deliver_updates() {
+    while (!this->updates.empty() && this->updates.front().arrives <= this->now) {
+      const sent_update item = std::move(this->updates.front());
+      this->updates.pop_front();
       const host_id host = name_of(item.host);
       for (const server_load& load : item.update.loads) {
         const auto before = this->directory.set_load(host, load, this->moment());
@@ -365,32 +367,32 @@
 
   void run(engine& server) {
     while (!server.queue.empty() && server.running.size() < this->plan.slots) {
-      turn& next = this->turns_under_way.at(server.queue.front());
-      next.to_read = missing(server, next.from.prompt);
+      turn& next = this->turns_in_progress.at(server.queue.front());
+      next.to_read = uncached(server, next.from.prompt);
       this->result.read += next.to_read;
-      server.cache.note(next.from.prompt, server.entry.id);
+      server.cache.add_prompt(next.from.prompt, server.entry.id);
       server.running.push_back(server.queue.front());
       server.queue.pop_front();
     }
     double left_ms = step_ms / this->factor_of(server);
     for (const placement_id& id : server.running) {
-      turn& item = this->turns_under_way.at(id);
+      turn& item = this->turns_in_progress.at(id);
       const double part = std::min(item.to_read, left_ms * read_tokens_per_ms);
       item.to_read -= part;
       left_ms -= part / read_tokens_per_ms;
     }
     std::vector<placement_id> ended;
     for (const placement_id& id : server.running) {
-      turn& item = this->turns_under_way.at(id);
+      turn& item = this->turns_in_progress.at(id);
       if (item.to_read > 0) {
         continue;
       }
-      item.to_make -= left_ms / token_ms;
+      item.to_generate -= left_ms / token_ms;
       if (!item.first_event) {
         item.first_event = true;
         this->pools[item.host].started(id, this->moment());
       }
-      if (item.to_make <= 0) {
+      if (item.to_generate <= 0) {
         ended.push_back(id);
       }
     }
@@ -401,41 +403,43 @@
   }
 
   [[nodiscard]] double factor_of(const engine& server) const {
-    const duration in_turn = (this->now + server.spell_phase) % (spell + between_spells);
-    return this->plan.unequal && in_turn < spell ? server.factor * spell_factor : server.factor;
+    const duration in_turn =
+        (this->now + server.slow_period_offset) % (slow_period + normal_period);
+    return this->plan.unequal_speeds && in_turn < slow_period ? server.factor * slow_period_factor
+                                                              : server.factor;
   }
 
-  static double missing(const engine& server, const std::vector<prompt_piece>& prompt) {
+  static double uncached(const engine& server, const std::vector<prompt_piece>& prompt) {
     double all = 0;
     for (const prompt_piece& piece : prompt) {
       all += static_cast<double>(piece.tokens.get());
     }
-    return all - static_cast<double>(server.cache.held(prompt, server.entry.id).get());
+    return all - static_cast<double>(server.cache.cached(prompt, server.entry.id).get());
   }
 
   void finish(placement_id id) {
-    turn item = std::move(this->turns_under_way.at(id));
-    this->turns_under_way.erase(id);
+    turn item = std::move(this->turns_in_progress.at(id));
+    this->turns_in_progress.erase(id);
     this->send(this->pools[item.host].finished(id, server_outcome::answered, this->moment()));
-    this->tell(item.host);
+    this->report(item.host);
     line& from = item.from;
     --from.left;
     program& owner = this->programs[from.program];
-    if (!from.is_helper && from.left == turns - 1) {
-      for (int number = 0; number < helpers; ++number) {
-        line helper = from;
-        helper.is_helper = true;
-        helper.left = helper_turns;
-        helper.prompt.push_back({this->next_part(), token_count(0)});
-        ++owner.open_lines;
-        this->sleepers.push_back({this->now + pause, helper});
+    if (!from.is_sub_agent && from.left == turns - 1) {
+      for (int number = 0; number < sub_agents; ++number) {
+        line sub_agent = from;
+        sub_agent.is_sub_agent = true;
+        sub_agent.left = sub_agent_turns;
+        sub_agent.prompt.push_back({this->next_part(), token_count(0)});
+        ++owner.open_sessions;
+        this->idle_sessions.push_back({this->now + turn_interval, sub_agent});
       }
     }
     if (from.left > 0) {
-      this->sleepers.push_back({this->now + pause, from});
+      this->idle_sessions.push_back({this->now + turn_interval, from});
       return;
     }
-    if (--owner.open_lines > 0) {
+    if (--owner.open_sessions > 0) {
       return;
     }
     const bool in_time = this->now <= this->due(owner);
@@ -453,7 +457,7 @@
 
   load_plan plan;
   duration now{};
-  std::deque<told_update> told;
+  std::deque<sent_update> updates;
   std::mt19937 random{this->plan.seed};
   std::map<backend_server_id, engine> engines;
   std::vector<server_pool> pools;
@@ -461,8 +465,8 @@
   std::unique_ptr<place_queue> places = std::make_unique<place_queue>(this->directory);
   std::map<placement_id, waiting_turn> waiting;
   std::vector<program> programs;
-  std::vector<std::pair<duration, line>> sleepers;
-  std::map<placement_id, turn> turns_under_way;
+  std::vector<std::pair<duration, line>> idle_sessions;
+  std::map<placement_id, turn> turns_in_progress;
   std::uint64_t parts = 0;
   std::uint64_t calls = 0;
   load_result result;
--- a/libs/placement/test/prefix_cache_view_test.cc
+++ b/libs/placement/test/prefix_cache_view_test.cc
@@ -19,15 +19,15 @@
 
 TEST_CASE("a prompt counts as cached up to the last part that the server has read") {
   prefix_cache_view view;
-  view.note({piece(1, 500), piece(2, 1000)}, one);
-  view.note({piece(1, 500), piece(3, 300)}, other);
+  view.add_prompt({piece(1, 500), piece(2, 1000)}, one);
+  view.add_prompt({piece(1, 500), piece(3, 300)}, other);
   struct row {
     const char* what;
     std::vector<prompt_piece> prompt;
     backend_server_id server;
-    std::int64_t held;
+    std::int64_t cached;
   };
-  const auto [what, prompt, server, held] = GENERATE(values<row>({
+  const auto [what, prompt, server, cached] = GENERATE(values<row>({
       {"an unknown prompt", {piece(9, 100)}, one, 0},
       {"the whole prompt", {piece(1, 500), piece(2, 1000)}, one, 1500},
       {"the session has grown since", {piece(1, 500), piece(2, 1400)}, one, 1500},
@@ -38,23 +38,23 @@
       {"only the shared part", {piece(1, 500), piece(2, 1000)}, other, 500},
   }));
   INFO(what);
-  CHECK(view.held(prompt, server) == token_count(held));
+  CHECK(view.cached(prompt, server) == token_count(cached));
 }
 
 TEST_CASE("a removed server has no cached tokens") {
   prefix_cache_view view;
-  view.note({piece(1, 500)}, one);
-  view.note({piece(1, 500)}, other);
-  view.forget(one);
-  CHECK(view.held({piece(1, 500)}, one) == token_count(0));
-  CHECK(view.held({piece(1, 500)}, other) == token_count(500));
+  view.add_prompt({piece(1, 500)}, one);
+  view.add_prompt({piece(1, 500)}, other);
+  view.drop_server(one);
+  CHECK(view.cached({piece(1, 500)}, one) == token_count(0));
+  CHECK(view.cached({piece(1, 500)}, other) == token_count(500));
 }
 
 TEST_CASE("the number of parts is bounded, and the least recently used are removed") {
   prefix_cache_view view;
   constexpr std::uint64_t many = 20'000;
   for (std::uint64_t key = 1; key <= many; ++key) {
-    view.note({piece(1, 500), piece(key, 10)}, one);
+    view.add_prompt({piece(1, 500), piece(key, 10)}, one);
   }
   CHECK_FALSE(view.has_prompt_part(prompt_part_key(2)));
   CHECK(view.has_prompt_part(prompt_part_key(1)));
@@ -64,7 +64,7 @@
 TEST_CASE("huge token counts don't overflow to negative sums") {
   prefix_cache_view view;
   constexpr std::int64_t huge = std::numeric_limits<std::int64_t>::max();
-  view.note({piece(1, huge), piece(2, huge)}, one);
-  CHECK(view.held({piece(1, huge), piece(2, huge)}, one) >= token_count(0));
-  CHECK(view.missing({piece(8, huge), piece(9, huge)}, one) > token_count(0));
+  view.add_prompt({piece(1, huge), piece(2, huge)}, one);
+  CHECK(view.cached({piece(1, huge), piece(2, huge)}, one) >= token_count(0));
+  CHECK(view.uncached({piece(8, huge), piece(9, huge)}, one) > token_count(0));
 }
--- a/libs/placement/test/server_health_test.cc
+++ b/libs/placement/test/server_health_test.cc
@@ -18,7 +18,7 @@
   struct row {
     const char* what;
     std::vector<server_outcome> outcomes;
-    bool doubted;
+    bool degraded;
   };
   const row rows[] = {
       {"no calls", {}, false},
@@ -39,10 +39,10 @@
     duration now = 0s;
     for (const server_outcome outcome : item.outcomes) {
       now += 50ms;
-      health.note(outcome, rules, at(now));
+      health.record_outcome(outcome, rules, at(now));
     }
-    CHECK(health.doubted(rules, at(now)) == item.doubted);
-    CHECK_FALSE(health.doubted(rules, at(now + 8s)));
+    CHECK(health.degraded(rules, at(now)) == item.degraded);
+    CHECK_FALSE(health.degraded(rules, at(now + 8s)));
   }
 }
 
@@ -55,7 +55,7 @@
     /// Calls are alternately longer and shorter by this factor.
     double spread;
     int calls;
-    bool doubted;
+    bool degraded;
   };
   const row rows[] = {
       {"as fast as the others", 1, 1, 1.3, 20, false},
@@ -73,7 +73,7 @@
   const health_rules rules;
   for (const row& item : rows) {
     INFO(item.what);
-    usual_times times;
+    baseline_times times;
     server_health health;
     int made = 0;
     const auto took = [&](double factor) {
@@ -91,16 +91,16 @@
         times.compare(kind, took(item.others), false);
       }
       now += 50ms;
-      health.note_pace(times.compare(kind, took(item.own), false), rules, at(now));
+      health.record_time(times.compare(kind, took(item.own), false), rules, at(now));
     }
-    CHECK(health.doubted(rules, at(now)) == item.doubted);
+    CHECK(health.degraded(rules, at(now)) == item.degraded);
   }
 }
 
 TEST_CASE("the time so far of a pending call can make a server slower but never faster") {
-  usual_times times;
-  CHECK(times.compare(1, 5s, true).pace == 0);
+  baseline_times times;
+  CHECK(times.compare(1, 5s, true).log_ratio == 0);
   times.compare(1, 100ms, false);
-  CHECK(times.compare(1, 1ms, true).pace == 0);
-  CHECK(times.compare(1, 1s, true).pace == Approx(2.3).margin(0.01));
+  CHECK(times.compare(1, 1ms, true).log_ratio == 0);
+  CHECK(times.compare(1, 1s, true).log_ratio == Approx(2.3).margin(0.01));
 }
--- a/libs/placement/test/server_pool_claims_test.cc
+++ b/libs/placement/test/server_pool_claims_test.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::uint32_t slots = 6;
-const timestamp heard(10s);
-const backend_server_id holder("s1");
+const timestamp load_time(10s);
+const backend_server_id session_server("s1");
 
 backend_entry server(const std::string& id) {
   backend_entry entry;
@@ -24,15 +24,15 @@
 /// A pool of two servers; the first one has cached the call's session.
 class claim_fixture {
 public:
-  explicit claim_fixture(std::int64_t line_tokens) {
-    this->pool.set_servers({server("s1"), server("s2")}, heard);
+  explicit claim_fixture(std::int64_t session_tokens) {
+    this->pool.set_servers({server("s1"), server("s2")}, load_time);
     this->request.id = placement_id(1);
     this->request.affinity = 7;
     this->request.prompt = {{prompt_part_key(1), token_count(100)},
-                            {prompt_part_key(2), token_count(line_tokens)}};
-    this->request.give_up_at = heard + 5s;
+                            {prompt_part_key(2), token_count(session_tokens)}};
+    this->request.give_up_at = load_time + 5s;
     for (const prompt_piece& piece : this->request.prompt) {
-      this->pool.add_prompt_location({piece.key, server_key_of(holder), piece.tokens});
+      this->pool.add_prompt_location({piece.key, server_key_of(session_server), piece.tokens});
     }
   }
   static pool_rules rules() {
@@ -40,9 +40,9 @@
     with.claims_places = true;
     return with;
   }
-  void load(std::uint32_t of_holder, std::uint32_t of_other) {
-    this->pool.set_remote_load({server_key_of(holder), of_holder}, heard);
-    this->pool.set_remote_load({server_key_of(backend_server_id("s2")), of_other}, heard);
+  void load(std::uint32_t of_session_server, std::uint32_t of_other) {
+    this->pool.set_remote_load({server_key_of(session_server), of_session_server}, load_time);
+    this->pool.set_remote_load({server_key_of(backend_server_id("s2")), of_other}, load_time);
   }
 
   server_pool pool{rules(), host_id("front"), availability_zone("here")};
@@ -54,8 +54,8 @@
 TEST_CASE("a call claims a place at a second server only if that costs little more") {
   struct row {
     const char* what;
-    std::int64_t line_tokens;
-    std::uint32_t of_holder;
+    std::int64_t session_tokens;
+    std::uint32_t of_session_server;
     std::uint32_t of_other;
     duration age;
     bool full;
@@ -70,11 +70,11 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    claim_fixture fixture(item.line_tokens);
-    fixture.load(item.of_holder, item.of_other);
-    const auto targets = fixture.pool.claim_targets(fixture.request, heard + item.age);
+    claim_fixture fixture(item.session_tokens);
+    fixture.load(item.of_session_server, item.of_other);
+    const auto targets = fixture.pool.claim_targets(fixture.request, load_time + item.age);
     REQUIRE(targets.size() == item.targets);
-    CHECK(targets.front().server == holder);
+    CHECK(targets.front().server == session_server);
     CHECK(targets.front().places == slots + 1);
     CHECK(targets.front().full == item.full);
   }
@@ -89,14 +89,14 @@
   const row rows[] = {
       {"a first attempt with a prompt", [](placement_request&) {}, 1},
       {"no prompt", [](placement_request& r) { r.prompt.clear(); }, 0},
-      {"a retry", [](placement_request& r) { r.tried.insert(holder); }, 0},
+      {"a retry", [](placement_request& r) { r.tried.insert(session_server); }, 0},
   };
   for (const row& item : rows) {
     INFO(item.what);
     claim_fixture fixture(5000);
     fixture.load(slots + 1, slots + 1);
     item.change(fixture.request);
-    CHECK(fixture.pool.claim_targets(fixture.request, heard).size() == item.targets);
+    CHECK(fixture.pool.claim_targets(fixture.request, load_time).size() == item.targets);
   }
 }
 
@@ -104,10 +104,11 @@
   claim_fixture fixture(5000);
   for (std::uint64_t number = 1; number <= slots + 1; ++number) {
     fixture.request.id = placement_id(number);
-    REQUIRE(fixture.pool.place_at(fixture.request, holder, heard));
+    REQUIRE(fixture.pool.place_at(fixture.request, session_server, load_time));
   }
-  CHECK(fixture.pool.own_loads() == std::vector<server_load>{{server_key_of(holder), slots + 1}});
-  fixture.pool.set_servers({server("s2")}, heard);
+  CHECK(fixture.pool.own_loads() ==
+        std::vector<server_load>{{server_key_of(session_server), slots + 1}});
+  fixture.pool.set_servers({server("s2")}, load_time);
   fixture.request.id = placement_id(99);
-  CHECK_FALSE(fixture.pool.place_at(fixture.request, holder, heard));
+  CHECK_FALSE(fixture.pool.place_at(fixture.request, session_server, load_time));
 }
--- a/libs/placement/test/server_pool_history_test.cc
+++ b/libs/placement/test/server_pool_history_test.cc
@@ -57,7 +57,7 @@
         std::count_if(this->running.begin(), this->running.end(), same));
   }
 
-  void note(const std::vector<placement>& placed) {
+  void record(const std::vector<placement>& placed) {
     for (const placement& item : placed) {
       this->running[item.id] = item.server;
     }
@@ -80,7 +80,7 @@
       }
     }
     this->listed = next;
-    this->note(this->pool.set_servers(next, at(this->now)));
+    this->record(this->pool.set_servers(next, at(this->now)));
   }
 
   void begin_call() {
@@ -93,7 +93,7 @@
     }
     std::vector<placement> placed;
     this->pool.submit(request, at(this->now), placed);
-    this->note(placed);
+    this->record(placed);
   }
 
   void end_call() {
@@ -104,7 +104,7 @@
         std::next(this->running.begin(), static_cast<int>(this->random() % this->running.size()));
     const placement_id id = ended->first;
     this->running.erase(ended);
-    this->note(this->pool.finished(id, server_outcome::answered, at(this->now)));
+    this->record(this->pool.finished(id, server_outcome::answered, at(this->now)));
   }
 
   std::mt19937 random;
--- a/libs/placement/test/server_pool_speed_test.cc
+++ b/libs/placement/test/server_pool_speed_test.cc
@@ -28,9 +28,9 @@
 }
 
 /// One host that makes one call at a time; `s0` takes `factor` times as long as the other servers.
-class lone_host {
+class single_host {
 public:
-  explicit lone_host(bool learns = true)
+  explicit single_host(bool learns = true)
       : pool(rules(learns), host_id("h"), availability_zone("z")) {
     this->pool.set_servers(entries(), timestamp{});
   }
@@ -66,10 +66,10 @@
     }
     return at_slow;
   }
-  double pace_of_slow() const {
-    for (const server_slowdown& pace : this->pool.slowdowns(this->moment())) {
-      if (pace.id == slow_server) {
-        return pace.factor;
+  double slowdown_of_slow_server() const {
+    for (const server_slowdown& slowdown : this->pool.slowdowns(this->moment())) {
+      if (slowdown.id == slow_server) {
+        return slowdown.factor;
       }
     }
     return 1;
@@ -86,15 +86,15 @@
 }  // namespace
 
 TEST_CASE("a single host detects a slow server by its own calls and sends it fewer calls") {
-  lone_host host;
+  single_host host;
   host.call_times(200);
-  CHECK(host.pace_of_slow() > 1.8);
+  CHECK(host.slowdown_of_slow_server() > 1.8);
   // In proportion to its speed it gets 1 of 13 calls, without speed estimates 1 of 6.
   CHECK(host.call_times(600) < 70);
 }
 
 TEST_CASE("without learns_speed no speed is estimated, reported, queried or accepted") {
-  lone_host host(false);
+  single_host host(false);
   host.call_times(200);
   host.pool.set_utilization(1);
   host.pool.set_remote_speed({key, {900, 400, 0, 0}}, host.moment());
@@ -108,17 +108,17 @@
 }
 
 TEST_CASE("a new host uses the speeds that other hosts report") {
-  lone_host host;
+  single_host host;
   host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
-  CHECK(host.pace_of_slow() == Approx(2.4).margin(0.1));
+  CHECK(host.slowdown_of_slow_server() == Approx(2.4).margin(0.1));
   CHECK(host.call_times(130) < 20);
 }
 
 TEST_CASE("a restarted server does not keep the speed estimate of its former process") {
-  lone_host host;
+  single_host host;
   host.call_times(200);
   host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
-  REQUIRE(host.pace_of_slow() > 2);
+  REQUIRE(host.slowdown_of_slow_server() > 2);
   host.pool.set_servers(entries(200), host.moment());
   CHECK(host.pool.slowdowns(host.moment()).empty());
 
@@ -129,7 +129,7 @@
   SECTION("it is used like the others if it is as fast now") {
     host.factor = 1;
     host.call_times(100);
-    CHECK(host.pace_of_slow() < 1.2);
+    CHECK(host.slowdown_of_slow_server() < 1.2);
   }
 }
 
@@ -137,8 +137,8 @@
   struct row {
     const char* what;
     duration since;
-    std::uint16_t least_weight;
-    std::uint16_t most_weight;
+    std::uint16_t min_weight;
+    std::uint16_t max_weight;
   };
   // Weights are in eighths; each of two hosts has reported a weight of 10.
   const row rows[] = {
@@ -155,10 +155,10 @@
     const timestamp later(item.since);
     // A report about another server causes expired reports to be dropped.
     directory.set_speed(host_id("c"), {server_key(1), {}}, later);
-    const auto heard = directory.speed_of_others(key, host_id("asker"), later);
-    const std::uint16_t weight = heard ? heard->word.slow_weight : 0;
-    CHECK(weight >= item.least_weight);
-    CHECK(weight <= item.most_weight);
+    const auto received = directory.speed_of_others(key, host_id("asker"), later);
+    const std::uint16_t weight = received ? received->word.slow_weight : 0;
+    CHECK(weight >= item.min_weight);
+    CHECK(weight <= item.max_weight);
   }
 }
 
@@ -170,17 +170,17 @@
   CHECK_FALSE(directory.speed_of_others(server_key(1), host_id("b"), now));
   directory.set_speed(host_id("a"), {key, {100, 80, 0, 0}}, now);
   directory.set_speed(host_id("b"), {key, {500, 240, 0, 0}}, now);
-  const auto heard = directory.speed_of_others(key, host_id("c"), now);
-  REQUIRE(heard);
-  CHECK(heard->word.slow == 400);
-  CHECK(heard->word.slow_weight == 320);
+  const auto received = directory.speed_of_others(key, host_id("c"), now);
+  REQUIRE(received);
+  CHECK(received->word.slow == 400);
+  CHECK(received->word.slow_weight == 320);
   CHECK(directory.speed_of_others(key, host_id("b"), now)->word.slow == 100);
 }
 
 TEST_CASE("starts and ends of calls without a prompt are reported only at high utilization") {
   struct row {
     const char* what;
-    double fill;
+    double utilization;
     std::size_t at_begin;
     std::size_t at_end;
   };
@@ -191,8 +191,8 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    lone_host host;
-    host.pool.set_utilization(item.fill);
+    single_host host;
+    host.pool.set_utilization(item.utilization);
     placement_request request;
     request.id = placement_id(1);
     request.give_up_at = timestamp(10s);
@@ -206,28 +206,28 @@
 }
 
 TEST_CASE("ends of calls without a prompt are reported in batches after 50 ms") {
-  lone_host host;
+  single_host host;
   host.pool.set_utilization(0.48);
   placement_request request;
   request.id = placement_id(1);
   request.give_up_at = timestamp(10s);
   std::vector<placement> placed;
   host.pool.submit(request, timestamp{}, placed);
-  const server_key told = server_key_of(placed.front().server.id, incarnation(100));
-  CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 1}});
+  const server_key reported_key = server_key_of(placed.front().server.id, incarnation(100));
+  CHECK(host.pool.take_update().loads == std::vector<server_load>{{reported_key, 1}});
   host.pool.finished(request.id, server_outcome::answered, timestamp(100ms));
   CHECK(host.pool.take_update().empty());
   CHECK_FALSE(host.pool.flush_ended_calls(timestamp(120ms)));
   CHECK(host.pool.flush_ended_calls(timestamp(150ms)));
-  CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 0}});
+  CHECK(host.pool.take_update().loads == std::vector<server_load>{{reported_key, 0}});
 }
 
 TEST_CASE("loads are queried for calls without a prompt only at half utilization and if outdated") {
   struct row {
     const char* what;
-    double fill;
-    duration heard_ago;
-    std::size_t asked;
+    double utilization;
+    duration load_age;
+    std::size_t requested;
   };
   const row rows[] = {
       {"low utilization", 0.2, 10s, 0},
@@ -237,21 +237,21 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    lone_host host;
+    single_host host;
     host.now = 20s;
-    host.pool.set_utilization(item.fill);
+    host.pool.set_utilization(item.utilization);
     for (const backend_entry& entry : entries()) {
       const server_key server = server_key_of(entry.id, entry.start);
-      host.pool.set_remote_load({server, 1}, host.moment() - item.heard_ago);
+      host.pool.set_remote_load({server, 1}, host.moment() - item.load_age);
     }
     placement_request request;
     request.id = placement_id(1);
-    CHECK(host.pool.directory_request_for(request, host.moment()).servers.size() == item.asked);
+    CHECK(host.pool.directory_request_for(request, host.moment()).servers.size() == item.requested);
   }
 }
 
 TEST_CASE("a call without a prompt goes to the server with the least work of all hosts") {
-  lone_host host;
+  single_host host;
   for (const backend_entry& entry : entries()) {
     const server_key server = server_key_of(entry.id, entry.start);
     host.pool.set_remote_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
--- a/libs/placement/test/server_speed_test.cc
+++ b/libs/placement/test/server_speed_test.cc
@@ -14,9 +14,9 @@
 timestamp at(duration since) { return timestamp(since); }
 
 /// Simulates the calls of one host at some servers, one after the other.
-class played_servers {
+class server_simulation {
 public:
-  explicit played_servers(std::vector<double> with) : factors(std::move(with)) {
+  explicit server_simulation(std::vector<double> with) : factors(std::move(with)) {
     this->speeds.resize(this->factors.size());
   }
 
@@ -24,8 +24,9 @@
   void call(std::size_t server, double load = 1, std::uint64_t kind = 1) {
     std::lognormal_distribution<double> spread(0, this->noise);
     const double usual = 0.14 * static_cast<double>(kind);
-    const double took = usual * this->factors[server] * this->common * load * spread(this->random);
-    this->note(server, from_seconds(took), load, kind);
+    const double took =
+        usual * this->factors[server] * this->common_slowdown * load * spread(this->random);
+    this->add_sample(server, from_seconds(took), load, kind);
   }
   void call_each(int times) {
     for (int number = 0; number < times; ++number) {
@@ -47,17 +48,17 @@
   speed_rules rules;
   double noise = 0.3;
   /// Slowdown factor of all calls.
-  double common = 1;
+  double common_slowdown = 1;
   duration now{};
 
 private:
-  void note(std::size_t server, duration took, double load, std::uint64_t kind) {
+  void add_sample(std::size_t server, duration took, double load, std::uint64_t kind) {
     server_speed& speed = this->speeds[server];
     const double expected = speed.expected(this->rules, at(this->now));
     const auto sample =
         this->times.compare(kind, timed_part::whole, took, load, expected, this->rules);
     if (sample) {
-      speed.note(*sample, this->rules, at(this->now));
+      speed.add_sample(*sample, this->rules, at(this->now));
     }
   }
 
@@ -83,7 +84,7 @@
       {"one server is 2 times faster", {1, 1, 0.5}, 0.3, 60, 0.5, 0.1},
   };
   for (const row& item : rows) {
-    played_servers servers({item.factors.begin(), item.factors.end()});
+    server_simulation servers({item.factors.begin(), item.factors.end()});
     servers.noise = item.noise;
     servers.call_each(item.calls);
     INFO(item.what << ": " << servers.slow(0) << ", " << servers.slow(1) << ", "
@@ -94,19 +95,19 @@
 }
 
 TEST_CASE("a single sample has limited weight against the prior") {
-  played_servers servers({1, 1, 1});
+  server_simulation servers({1, 1, 1});
   servers.call_each(30);
   CHECK(server_speed().slow(servers.rules, at(0s)) == 0);
   server_speed unknown;
-  unknown.note({std::log(2.4), 1}, servers.rules, at(servers.now));
+  unknown.add_sample({std::log(2.4), 1}, servers.rules, at(servers.now));
   CHECK(std::exp(unknown.slow(servers.rules, at(servers.now))) < 1.6);
 }
 
 TEST_CASE("without calls an estimate halves in 70 s and is nearly gone after 4 minutes") {
-  played_servers servers({0.7, 0.7, 1.7});
+  server_simulation servers({0.7, 0.7, 1.7});
   servers.call_each(1000);
   for (server_speed& speed : servers.speeds) {
-    speed.hear({530, 4000, 0, 0}, at(servers.now));
+    speed.set_remote_estimate({530, 4000, 0, 0}, at(servers.now));
   }
   const double known = std::log(servers.slow(2));
   REQUIRE(known > 0.4);
@@ -117,7 +118,7 @@
 }
 
 TEST_CASE("a server that has become fast is recognized within 40 s") {
-  played_servers servers({0.7, 0.7, 1.7});
+  server_simulation servers({0.7, 0.7, 1.7});
   servers.call_each(300);
   REQUIRE(servers.slow(2) > 1.5 * servers.slow(0));
   servers.factors[2] = 0.7;
@@ -133,7 +134,7 @@
   const row rows[] = {{"nearly full", 1.35}, {"slightly overfull", 1.6}, {"calls wait", 2.4}};
   for (const row& item : rows) {
     INFO(item.what);
-    played_servers servers({1, 1, 1});
+    server_simulation servers({1, 1, 1});
     for (int number = 0; number < 100; ++number) {
       servers.call(0);
       servers.call(1);
@@ -145,18 +146,18 @@
 }
 
 TEST_CASE("a slowdown of all servers is not attributed to a single server") {
-  played_servers servers({0.7, 0.7, 1.7});
+  server_simulation servers({0.7, 0.7, 1.7});
   servers.noise = 0.15;
   servers.call_each(200);
   const double before = servers.slow(2) / servers.slow(0);
-  servers.common = 4;
+  servers.common_slowdown = 4;
   servers.call_each(60);
   CHECK(servers.slow(2) / servers.slow(0) == Approx(before).margin(0.4));
   CHECK(servers.slow(0) < 1.3);
 }
 
 TEST_CASE("the mix of long and short calls does not affect a server's speed estimate") {
-  played_servers servers({1, 1, 1});
+  server_simulation servers({1, 1, 1});
   for (int number = 0; number < 200; ++number) {
     servers.call(0, 1, 1);
     servers.call(1, 1, 1 + number % 2 * 7);
@@ -169,7 +170,7 @@
 TEST_CASE("a temporary slowdown is detected within 0.4 s and gone 0.6 s after its end") {
   // Each server gets 28 calls per second, the calls of all hosts together. Server 0 is 2.5 times
   // slower for a seventh of the time.
-  played_servers servers({0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 1.7, 1.7, 1.7, 1.7});
+  server_simulation servers({0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 1.7, 1.7, 1.7, 1.7});
   const auto call_for = [&](duration span) {
     for (const duration end = servers.now + span; servers.now < end; servers.now += 36ms) {
       for (std::size_t server = 0; server < servers.factors.size(); ++server) {
@@ -200,7 +201,7 @@
 TEST_CASE("a received estimate is weighted, not counted twice, and not reported again") {
   struct row {
     const char* what;
-    speed_word heard;
+    speed_estimate received;
     double slow;
   };
   // The host's own estimate is twice as slow, with a weight of 4.
@@ -215,13 +216,13 @@
   for (const row& item : rows) {
     INFO(item.what);
     server_speed speed;
-    speed.note({own, 4}, rules, at(1s));
-    const speed_word before = speed.own_word(rules, at(1s));
+    speed.add_sample({own, 4}, rules, at(1s));
+    const speed_estimate before = speed.own_estimate(rules, at(1s));
     for (int number = 0; number < 10; ++number) {
-      speed.hear(item.heard, at(1s));
+      speed.set_remote_estimate(item.received, at(1s));
     }
     CHECK(speed.slow(rules, at(1s)) == Approx(item.slow).margin(0.002));
-    CHECK(speed.own_word(rules, at(1s)) == before);
+    CHECK(speed.own_estimate(rules, at(1s)) == before);
     CHECK(before.slow == 693);
     CHECK(before.slow_weight == 32);
   }
@@ -231,7 +232,7 @@
   const speed_rules rules;
   struct row {
     const char* what;
-    std::vector<std::pair<speed_word, duration>> words;
+    std::vector<std::pair<speed_estimate, duration>> words;
     std::int16_t slow;
     std::uint16_t slow_weight;
   };
--- a/libs/placement/test/shared_load_test.cc
+++ b/libs/placement/test/shared_load_test.cc
@@ -21,10 +21,10 @@
 /// Time to the first event, which hardly differs between calls, and from there to the end.
 constexpr duration time_to_first = 60ms;
 constexpr duration service_time = 140ms;
-constexpr duration aim = 600ms;
+constexpr duration target_time = 600ms;
 /// Age of each host's information about the other hosts' demand.
 constexpr duration demand_age = 800ms;
-constexpr duration sharing_pause = 100ms;
+constexpr duration limit_interval = 100ms;
 constexpr duration burst_from = 3s;
 constexpr duration burst_to = 7s;
 constexpr duration end = 10s;
@@ -43,17 +43,17 @@
   double usual_load = 0.6;
   double burst_load = 1.35;
   /// If set, hosts limit their calls in flight.
-  bool share_places = true;
+  bool limit_calls = true;
   /// Slowdown factor of the first `slow_servers` servers during the burst.
-  int slowness = 1;
+  int slowdown = 1;
   /// If not set, each call has a kind of its own, so that hosts can't compare call times.
-  bool tell_pace = true;
+  bool same_kind = true;
 };
 
 /// Simulates hosts, servers and callers in virtual time.
-class played_load {
+class load_simulation {
 public:
-  explicit played_load(load_plan with) : plan(with) {
+  explicit load_simulation(load_plan with) : plan(with) {
     for (int number = 0; number < servers; ++number) {
       backend_entry entry;
       entry.id = backend_server_id("s" + std::to_string(number));
@@ -72,7 +72,7 @@
 
   std::map<std::uint32_t, class_result> play() {
     this->at(0ms, [this] { this->arrive(); });
-    this->at(0ms, [this] { this->tell_demand(); });
+    this->at(0ms, [this] { this->publish_demand(); });
     this->at(0ms, [this] { this->share(); });
     this->events.run();
     return this->results;
@@ -109,9 +109,9 @@
     placement_request request;
     request.id = placement_id(++this->calls_made);
     request.priority = std::bernoulli_distribution(0.4)(this->random) ? 0 : 1;
-    request.kind = this->plan.tell_pace ? 1 : this->calls_made;
+    request.kind = this->plan.same_kind ? 1 : this->calls_made;
     request.affinity = 1 + this->calls_made % 97;
-    request.wanted_by = this->moment() + aim;
+    request.wanted_by = this->moment() + target_time;
     request.give_up_at = this->moment() + 3s;
     this->known[request.id] = {host, request.priority, this->events.now(), {}};
     if (this->in_burst()) {
@@ -139,7 +139,7 @@
   void run(placement_id id) {
     const bool slow = this->in_burst() && this->slow.contains(this->known.at(id).server);
     const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(this->random);
-    const int factor = slow ? this->plan.slowness : 1;
+    const int factor = slow ? this->plan.slowdown : 1;
     const duration first = from_seconds(to_seconds(time_to_first) * factor);
     this->at(first,
              [this, id] { this->pools[this->known.at(id).host].started(id, this->moment()); });
@@ -151,7 +151,7 @@
     const known_call call = this->known.at(id);
     class_result& result = this->results[call.priority];
     const bool counts = call.arrived >= burst_from && call.arrived < burst_to;
-    result.in_time += counts && this->events.now() - call.arrived <= aim ? 1 : 0;
+    result.in_time += counts && this->events.now() - call.arrived <= target_time ? 1 : 0;
     server_state& server = this->states[call.server];
     --server.busy;
     if (!server.queue.empty()) {
@@ -164,16 +164,16 @@
     this->send(pool.finished(id, server_outcome::answered, this->moment()));
   }
 
-  void tell_demand() {
-    this->told.clear();
-    this->told_by_all = 0;
+  void publish_demand() {
+    this->known_demand.clear();
+    this->known_total_demand = 0;
     for (int number = 0; number < hosts; ++number) {
       const auto demand = static_cast<double>(this->pools[number].demand());
-      this->told.push_back(demand);
-      this->told_by_all += demand;
+      this->known_demand.push_back(demand);
+      this->known_total_demand += demand;
     }
     if (this->events.now() < end) {
-      this->at(demand_age, [this] { this->tell_demand(); });
+      this->at(demand_age, [this] { this->publish_demand(); });
     }
   }
 
@@ -183,17 +183,18 @@
       for (const placement_id& id : pool.expire(this->moment())) {
         this->known.erase(id);
       }
-      if (this->plan.share_places) {
+      if (this->plan.limit_calls) {
         service_load load;
         load.places = pool.healthy_places(this->moment());
         load.own_calls = static_cast<double>(pool.demand());
-        load.other_calls = this->told_by_all - this->told.at(static_cast<std::size_t>(number));
+        load.other_calls =
+            this->known_total_demand - this->known_demand.at(static_cast<std::size_t>(number));
         this->send(pool.set_in_flight_limit(compute_in_flight_limit(load), this->moment()));
       }
       this->send(pool.tick(this->moment()));
     }
     if (this->events.now() < end + 5s) {
-      this->at(sharing_pause, [this] { this->share(); });
+      this->at(limit_interval, [this] { this->share(); });
     }
   }
 
@@ -202,10 +203,10 @@
   std::deque<server_pool> pools;
   std::map<std::string, server_state> states;
   std::map<placement_id, known_call> known;
-  std::vector<double> told;
-  double told_by_all = 0;
+  std::vector<double> known_demand;
+  double known_total_demand = 0;
   std::set<std::string> slow;
-  play::played_events events;
+  play::event_queue events;
   std::map<std::uint32_t, class_result> results;
   std::mt19937_64 random{7};
   std::uint64_t calls_made = 0;
@@ -215,10 +216,10 @@
 
 TEST_CASE("limits of calls in flight serve urgent calls in a burst at little cost to others") {
   load_plan plan;
-  plan.share_places = false;
-  const auto before = played_load(plan).play();
-  plan.share_places = true;
-  const auto after = played_load(plan).play();
+  plan.limit_calls = false;
+  const auto before = load_simulation(plan).play();
+  plan.limit_calls = true;
+  const auto after = load_simulation(plan).play();
   INFO("urgent in time " << before.at(0).share() << " -> " << after.at(0).share() << ", others "
                          << before.at(1).share() << " -> " << after.at(1).share());
   CHECK(after.at(0).share() > 0.5);
@@ -233,10 +234,10 @@
 TEST_CASE("limits of calls in flight don't delay calls without a burst") {
   load_plan plan;
   plan.burst_load = plan.usual_load;
-  plan.share_places = false;
-  const auto before = played_load(plan).play();
-  plan.share_places = true;
-  const auto after = played_load(plan).play();
+  plan.limit_calls = false;
+  const auto before = load_simulation(plan).play();
+  plan.limit_calls = true;
+  const auto after = load_simulation(plan).play();
   for (const std::uint32_t priority : {0U, 1U}) {
     INFO(before.at(priority).share() << " -> " << after.at(priority).share());
     CHECK(after.at(priority).share() > before.at(priority).share() - 0.01);
@@ -246,11 +247,11 @@
 TEST_CASE("calls avoid a server that has become slow") {
   load_plan plan;
   plan.burst_load = plan.usual_load;
-  plan.slowness = slow_factor;
-  plan.tell_pace = false;
-  const auto blind = played_load(plan).play();
-  plan.tell_pace = true;
-  const auto seeing = played_load(plan).play();
-  INFO("urgent in time " << blind.at(0).share() << " -> " << seeing.at(0).share());
-  CHECK(seeing.at(0).share() > blind.at(0).share() + 0.03);
+  plan.slowdown = slow_factor;
+  plan.same_kind = false;
+  const auto without_times = load_simulation(plan).play();
+  plan.same_kind = true;
+  const auto with_times = load_simulation(plan).play();
+  INFO("urgent in time " << without_times.at(0).share() << " -> " << with_times.at(0).share());
+  CHECK(with_times.at(0).share() > without_times.at(0).share() + 0.03);
 }
--- a/libs/placement/test/speed_load_test.cc
+++ b/libs/placement/test/speed_load_test.cc
@@ -20,30 +20,30 @@
 constexpr std::uint32_t slots = 8;
 /// Mean time of a call at a server with factor 1.
 constexpr duration usual_time = 140ms;
-constexpr duration aim = 350ms;
+constexpr duration target_time = 350ms;
 /// Every third server is slow, and each server is temporarily slower for a seventh of the time.
 constexpr double fast_factor = 0.7;
 constexpr double slow_factor = 1.7;
-constexpr double spell_factor = 2.5;
-constexpr duration spell = 600ms;
-constexpr duration between_spells = 3400ms;
-constexpr duration learnt_after = 12s;
+constexpr double slow_period_factor = 2.5;
+constexpr duration slow_period = 600ms;
+constexpr duration normal_period = 3400ms;
+constexpr duration measured_from = 12s;
 constexpr duration end = 30s;
-constexpr duration fill_pause = 100ms;
-constexpr duration renewal_pause = 1s;
+constexpr duration utilization_interval = 100ms;
+constexpr duration report_interval = 1s;
 
 struct load_plan {
   /// Load as a fraction of the capacity of all servers.
   double load = 0.7;
   bool learns = true;
   /// Delay of directory updates.
-  duration view_age{};
+  duration report_delay{};
   /// If set, hosts know the age of the loads that they receive.
   bool age_known = true;
   /// If set, servers have temporary slowdowns.
-  bool spells = true;
+  bool slow_periods = true;
   /// If set, all entries of the directory are lost at once during the run.
-  bool lose_keepers = false;
+  bool lose_directory = false;
   /// Fraction of the calls that have an affinity key.
   double with_affinity = 0.3;
 };
@@ -56,8 +56,8 @@
   /// Highest number of calls at a server, relative to its share of all calls by speed.
   double busiest = 0;
   /// Mean slowdown of the slow and of the fast servers, as one host estimates it.
-  double slow_seen = 0;
-  double fast_seen = 0;
+  double slow_estimate = 0;
+  double fast_estimate = 0;
 
   [[nodiscard]] double share() const { return static_cast<double>(this->in_time) / this->calls; }
   [[nodiscard]] double mean_ms() const {
@@ -67,9 +67,9 @@
 };
 
 /// Simulates hosts, servers, callers and the directory in virtual time.
-class played_speeds {
+class speed_simulation {
 public:
-  explicit played_speeds(load_plan with) : plan(with) {
+  explicit speed_simulation(load_plan with) : plan(with) {
     std::vector<backend_entry> entries;
     for (int number = 0; number < servers; ++number) {
       backend_entry entry;
@@ -91,14 +91,14 @@
 
   load_result play() {
     this->at(0ms, [this] { this->arrive(); });
-    this->at(0ms, [this] { this->look(); });
-    this->at(0ms, [this] { this->renew(); });
-    if (this->plan.lose_keepers) {
-      this->at(learnt_after + 5s, [this] { this->directory = {}; });
+    this->at(0ms, [this] { this->update_utilization(); });
+    this->at(0ms, [this] { this->repeat_reports(); });
+    if (this->plan.lose_directory) {
+      this->at(measured_from + 5s, [this] { this->directory = {}; });
     }
-    for (int number = 0; number < servers && this->plan.spells; ++number) {
+    for (int number = 0; number < servers && this->plan.slow_periods; ++number) {
       const double first = std::uniform_real_distribution<double>(0, 4)(this->random);
-      this->at(from_seconds(first), [this, number] { this->begin_spell(number); });
+      this->at(from_seconds(first), [this, number] { this->begin_slow_period(number); });
     }
     this->events.run();
     this->measure_shares();
@@ -113,7 +113,7 @@
   };
   struct server_state {
     int busy = 0;
-    bool in_spell = false;
+    bool in_slow_period = false;
     std::deque<placement_id> queue;
     int calls = 0;
   };
@@ -123,7 +123,7 @@
   [[nodiscard]] timestamp moment() const { return timestamp(this->events.now()); }
   void at(duration after, std::function<void()> act) { this->events.at(after, std::move(act)); }
   [[nodiscard]] bool counts(duration arrived) const {
-    return arrived >= learnt_after && arrived < end;
+    return arrived >= measured_from && arrived < end;
   }
 
   /// Calls per second that all servers can serve.
@@ -132,15 +132,15 @@
     for (int number = 0; number < servers; ++number) {
       sum += slots / (to_seconds(usual_time) * factor_of(number));
     }
-    const double part = to_seconds(spell) / to_seconds(spell + between_spells);
-    return this->plan.spells ? sum * (1 - part + part / spell_factor) : sum;
+    const double part = to_seconds(slow_period) / to_seconds(slow_period + normal_period);
+    return this->plan.slow_periods ? sum * (1 - part + part / slow_period_factor) : sum;
   }
 
-  void begin_spell(int server) {
-    this->states[server].in_spell = true;
-    this->at(spell, [this, server] { this->states[server].in_spell = false; });
+  void begin_slow_period(int server) {
+    this->states[server].in_slow_period = true;
+    this->at(slow_period, [this, server] { this->states[server].in_slow_period = false; });
     if (this->events.now() < end) {
-      this->at(spell + between_spells, [this, server] { this->begin_spell(server); });
+      this->at(slow_period + normal_period, [this, server] { this->begin_slow_period(server); });
     }
   }
 
@@ -157,33 +157,33 @@
     if (std::bernoulli_distribution(this->plan.with_affinity)(this->random)) {
       request.affinity = 1 + this->random() % 2000;
     }
-    request.wanted_by = this->moment() + aim;
+    request.wanted_by = this->moment() + target_time;
     request.give_up_at = this->moment() + 3s;
     this->known[request.id] = {host, this->events.now(), 0};
     this->result.calls += this->counts(this->events.now()) ? 1 : 0;
-    this->ask(host, request);
+    this->request_loads(host, request);
     std::vector<placement> placed;
     this->pools[host].submit(request, this->moment(), placed);
     this->send(placed);
-    this->tell(host, this->pools[host].take_update());
+    this->report(host, this->pools[host].take_update());
   }
 
-  void ask(int host, const placement_request& request) {
-    const directory_request question =
+  void request_loads(int host, const placement_request& request) {
+    const directory_request lookup =
         this->pools[host].directory_request_for(request, this->moment());
-    for (const server_key key : question.servers) {
+    for (const server_key key : lookup.servers) {
       this->answer(host, key);
     }
-    this->count_messages(question.servers.size());
+    this->count_messages(lookup.servers.size());
   }
 
   void answer(int host, server_key key) {
-    const host_id asker = name_of(host);
-    const auto calls = this->directory.load_of_others(key, asker, this->moment());
+    const host_id requester = name_of(host);
+    const auto calls = this->directory.load_of_others(key, requester, this->moment());
     this->pools[host].set_remote_load(
         {key, calls},
-        timestamp(this->events.now() - (this->plan.age_known ? this->plan.view_age : 0ms)));
-    if (const auto speed = this->directory.speed_of_others(key, asker, this->moment())) {
+        timestamp(this->events.now() - (this->plan.age_known ? this->plan.report_delay : 0ms)));
+    if (const auto speed = this->directory.speed_of_others(key, requester, this->moment())) {
       this->pools[host].set_remote_speed(*speed, this->moment());
     }
   }
@@ -193,13 +193,13 @@
     this->result.messages += this->counts(this->events.now()) ? static_cast<double>(count) : 0;
   }
 
-  void tell(int host, directory_update update) {
+  void report(int host, directory_update update) {
     if (!this->plan.learns || update.empty()) {
       return;
     }
     this->pools[host].add_speeds(update, this->moment());
     this->count_messages(update.loads.size());
-    this->at(this->plan.view_age, [this, host, update] {
+    this->at(this->plan.report_delay, [this, host, update] {
       for (const server_load& load : update.loads) {
         this->directory.set_load(name_of(host), load, this->moment());
       }
@@ -230,7 +230,7 @@
   void run(placement_id id) {
     const int server = this->known.at(id).server;
     const double spread = std::uniform_real_distribution<double>(0.6, 1.4)(this->random);
-    const double slowed = this->states[server].in_spell ? spell_factor : 1;
+    const double slowed = this->states[server].in_slow_period ? slow_period_factor : 1;
     const double took = to_seconds(usual_time) * factor_of(server) * slowed * spread;
     this->at(from_seconds(took), [this, id] { this->end_call(id); });
   }
@@ -239,7 +239,7 @@
     const known_call call = this->known.at(id);
     this->known.erase(id);
     if (this->counts(call.arrived)) {
-      this->result.in_time += this->events.now() - call.arrived <= aim ? 1 : 0;
+      this->result.in_time += this->events.now() - call.arrived <= target_time ? 1 : 0;
       this->result.time_of_all += this->events.now() - call.arrived;
     }
     server_state& server = this->states[call.server];
@@ -252,33 +252,33 @@
     }
     server_pool& pool = this->pools[call.host];
     this->send(pool.finished(id, server_outcome::answered, this->moment()));
-    this->tell(call.host, pool.take_update());
+    this->report(call.host, pool.take_update());
   }
 
   /// Every 100 ms: gives the hosts the utilization, and reports batched ends of calls.
-  void look() {
-    const double fill = static_cast<double>(this->known.size()) / (servers * slots);
+  void update_utilization() {
+    const double utilization = static_cast<double>(this->known.size()) / (servers * slots);
     for (int host = 0; host < hosts; ++host) {
       server_pool& pool = this->pools[host];
-      pool.set_utilization(fill);
+      pool.set_utilization(utilization);
       this->send(pool.tick(this->moment()));
       if (pool.flush_ended_calls(this->moment())) {
-        this->tell(host, pool.take_update());
+        this->report(host, pool.take_update());
       }
     }
     if (this->events.now() < end + 5s) {
-      this->at(fill_pause, [this] { this->look(); });
+      this->at(utilization_interval, [this] { this->update_utilization(); });
     }
   }
 
-  void renew() {
+  void repeat_reports() {
     for (int host = 0; host < hosts; ++host) {
       directory_update update;
       update.loads = this->pools[host].own_loads();
-      this->tell(host, update);
+      this->report(host, update);
     }
     if (this->events.now() < end) {
-      this->at(renewal_pause, [this] { this->renew(); });
+      this->at(report_interval, [this] { this->repeat_reports(); });
     }
   }
 
@@ -290,14 +290,16 @@
       all_calls += this->states[number].calls;
     }
     for (int number = 0; number < servers; ++number) {
-      const double due = all_calls / all_rates / factor_of(number);
-      this->result.busiest = std::max(this->result.busiest, this->states[number].calls / due);
+      const double expected_calls = all_calls / all_rates / factor_of(number);
+      this->result.busiest =
+          std::max(this->result.busiest, this->states[number].calls / expected_calls);
     }
-    for (const server_slowdown& pace : this->pools.front().slowdowns(this->moment())) {
-      const bool slow = factor_of(this->numbers.at(pace.id)) == slow_factor;
-      (slow ? this->result.slow_seen : this->result.fast_seen) += pace.factor * 3 / servers;
+    for (const server_slowdown& estimated : this->pools.front().slowdowns(this->moment())) {
+      const bool slow = factor_of(this->numbers.at(estimated.id)) == slow_factor;
+      (slow ? this->result.slow_estimate : this->result.fast_estimate) +=
+          estimated.factor * 3 / servers;
     }
-    this->result.fast_seen /= 2;
+    this->result.fast_estimate /= 2;
   }
 
   load_plan plan;
@@ -306,7 +308,7 @@
   placement_directory directory;
   std::vector<server_state> states;
   std::map<placement_id, known_call> known;
-  play::played_events events;
+  play::event_queue events;
   load_result result;
   std::mt19937_64 random{7};
   std::uint64_t calls_made = 0;
@@ -319,11 +321,11 @@
   // 500 ms ago, the time of three calls, must not be worse than no loads.
   struct row {
     const char* what;
-    duration view_age;
+    duration report_delay;
     bool age_known;
     double with_affinity;
-    double late_part;
-    double late_more;
+    double max_late_ratio;
+    double late_margin;
   };
   const row rows[] = {
       {"current loads", 0ms, true, 0, 0.5, 0},
@@ -334,20 +336,20 @@
   };
   for (const row& item : rows) {
     load_plan plan;
-    plan.view_age = item.view_age;
+    plan.report_delay = item.report_delay;
     plan.age_known = item.age_known;
     plan.with_affinity = item.with_affinity;
     plan.learns = false;
-    const load_result before = played_speeds(plan).play();
+    const load_result before = speed_simulation(plan).play();
     plan.learns = true;
-    const load_result after = played_speeds(plan).play();
+    const load_result after = speed_simulation(plan).play();
     INFO(item.what << ": in time " << before.share() << " -> " << after.share() << ", mean "
                    << before.mean_ms() << " -> " << after.mean_ms() << " ms, busiest by rate "
                    << before.busiest << " -> " << after.busiest << ", messages a call "
-                   << after.messages_per_call() << ", estimated slowdowns " << after.slow_seen
-                   << " and " << after.fast_seen);
+                   << after.messages_per_call() << ", estimated slowdowns " << after.slow_estimate
+                   << " and " << after.fast_estimate);
     CHECK(after.busiest < 1.15);
-    CHECK(1 - after.share() < item.late_part * (1 - before.share()) + item.late_more);
+    CHECK(1 - after.share() < item.max_late_ratio * (1 - before.share()) + item.late_margin);
   }
 }
 
@@ -355,7 +357,7 @@
   struct row {
     const char* what;
     double load;
-    double most_messages;
+    double max_messages;
   };
   const row rows[] = {
       {"low load: no messages", 0.15, 0.01},
@@ -365,17 +367,17 @@
   for (const row& item : rows) {
     load_plan plan;
     plan.load = item.load;
-    const load_result result = played_speeds(plan).play();
+    const load_result result = speed_simulation(plan).play();
     INFO(item.what << ": " << result.messages_per_call() << " messages a call");
-    CHECK(result.messages_per_call() <= item.most_messages);
+    CHECK(result.messages_per_call() <= item.max_messages);
   }
 }
 
 TEST_CASE("hosts keep their speed estimates when the directory is lost") {
   load_plan plan;
-  const load_result kept = played_speeds(plan).play();
-  plan.lose_keepers = true;
-  const load_result lost = played_speeds(plan).play();
+  const load_result kept = speed_simulation(plan).play();
+  plan.lose_directory = true;
+  const load_result lost = speed_simulation(plan).play();
   INFO("in time " << kept.share() << " -> " << lost.share() << ", busiest by rate " << kept.busiest
                   << " -> " << lost.busiest);
   CHECK(lost.share() > kept.share() - 0.01);
--- a/libs/placement/test/turn_load_test.cc
+++ b/libs/placement/test/turn_load_test.cc
@@ -33,13 +33,13 @@
       {"24 hosts, 20 servers with 6 slots", small_servers, 0.75, 1.45},
   };
   for (const row& item : rows) {
-    const load_result result = played_turns(item.plan).play();
+    const load_result result = turn_simulation(item.plan).play();
     const double again = share(result.in_time_after, result.began_after);
     INFO(item.what << ": in time " << share(result.in_time, result.began) << ", after the burst "
-                   << again << ", read " << result.read / result.unavoidable);
+                   << again << ", read " << result.read / result.required_read);
     CHECK(share(result.in_time, result.began) > item.in_time);
     CHECK(again > 0.9);
-    CHECK(result.read < item.read_factor * result.unavoidable);
+    CHECK(result.read < item.read_factor * result.required_read);
   }
 }
 
@@ -48,12 +48,13 @@
   plan.hosts = 24;
   plan.servers = 20;
   plan.slots = 6;
-  const load_result shared = played_turns(plan).play();
+  const load_result shared = turn_simulation(plan).play();
   plan.share = false;
-  const load_result alone = played_turns(plan).play();
+  const load_result alone = turn_simulation(plan).play();
   INFO("in time " << share(alone.in_time, alone.began) << " -> "
                   << share(shared.in_time, shared.began) << ", read "
-                  << alone.read / alone.unavoidable << " -> " << shared.read / shared.unavoidable);
+                  << alone.read / alone.required_read << " -> "
+                  << shared.read / shared.required_read);
   CHECK(share(shared.in_time, shared.began) > share(alone.in_time, alone.began) + 0.05);
 }
 
@@ -66,12 +67,12 @@
   plan.slots = 8;
   plan.usual = 84;
   plan.burst = 84;
-  plan.unequal = true;
+  plan.unequal_speeds = true;
   struct row {
     const char* what;
-    duration view_age;
+    duration report_delay;
     /// Upper bound of the late programs with speed estimates, as a fraction of those without.
-    double late_part;
+    double max_late_ratio;
   };
   const row rows[] = {
       {"current loads", 0ms, 0.5},
@@ -79,15 +80,16 @@
       {"loads of 500 ms ago", 500ms, 1},
   };
   for (const row& item : rows) {
-    plan.view_age = item.view_age;
+    plan.report_delay = item.report_delay;
     plan.learns_speed = false;
-    const load_result before = played_turns(plan).play();
+    const load_result before = turn_simulation(plan).play();
     plan.learns_speed = true;
-    const load_result after = played_turns(plan).play();
+    const load_result after = turn_simulation(plan).play();
     const double in_time_before = share(before.in_time, before.began);
     const double in_time = share(after.in_time, after.began);
     INFO(item.what << ": in time " << in_time_before << " -> " << in_time << ", read "
-                   << before.read / before.unavoidable << " -> " << after.read / after.unavoidable);
-    CHECK(1 - in_time < item.late_part * (1 - in_time_before));
+                   << before.read / before.required_read << " -> "
+                   << after.read / after.required_read);
+    CHECK(1 - in_time < item.max_late_ratio * (1 - in_time_before));
   }
 }
--- a/libs/placement/test/turn_plan.h
+++ b/libs/placement/test/turn_plan.h
@@ -20,20 +20,20 @@
 constexpr std::int64_t shared_tokens = 500;
 constexpr std::int64_t new_tokens = 450;
 constexpr int turns = 6;
-constexpr int helpers = 3;
-constexpr int helper_turns = 2;
+constexpr int sub_agents = 3;
+constexpr int sub_agent_turns = 2;
 /// Time between two turns: tool calls, and the round trip between caller and host.
-constexpr duration pause = 120ms;
+constexpr duration turn_interval = 120ms;
 /// Time of one turn at an idle engine: reading, generating, and the pause.
 constexpr double idle_turn_ms = 1000 / read_tokens_per_ms + turn_tokens * token_ms + 120;
 constexpr duration arrivals_end = 24s;
 /// Slowdown factors of fast servers, slow servers, and temporary slowdowns ("spells").
 constexpr double fast_factor = 0.7;
 constexpr double slow_factor = 1.7;
-constexpr double spell_factor = 2.5;
-constexpr duration spell = 600ms;
-constexpr duration between_spells = 3400ms;
-constexpr duration tick_pause = 100ms;
+constexpr double slow_period_factor = 2.5;
+constexpr duration slow_period = 600ms;
+constexpr duration normal_period = 3400ms;
+constexpr duration tick_interval = 100ms;
 
 /// Result for the programs of one kind of caller.
 struct caller_result {
@@ -65,14 +65,14 @@
   /// A program is in time if it takes at most this multiple of its time at idle engines.
   double slack = 1.5;
   /// Hosts limit their calls in flight under overload.
-  bool windows = false;
+  bool limits_in_flight = false;
   /// Calls claim a place when their server is full.
   bool claims = false;
   /// Every third server is slow, and each server is still slower for a seventh of the time.
-  bool unequal = false;
+  bool unequal_speeds = false;
   bool learns_speed = false;
   /// Delay of the loads and speeds that hosts report.
-  duration view_age{};
+  duration report_delay{};
   /// Programs get these priorities in turn.
   std::vector<std::uint32_t> priorities{0};
   std::vector<account_plan> accounts{{}};
@@ -85,7 +85,7 @@
   int began_after = 0;
   int in_time_after = 0;
   double read = 0;
-  double unavoidable = 0;
+  double required_read = 0;
   /// Results of programs that began in the burst.
   std::map<std::uint32_t, caller_result> by_priority;
   std::map<client_account, caller_result> by_account;
@@ -93,21 +93,21 @@
   std::map<std::uint32_t, caller_result> by_priority_after;
   int refused = 0;
   /// Sums over the steps of the burst: calls that engines worked on, and their slots.
-  double worked_on = 0;
-  double workable = 0;
+  double busy_slot_steps = 0;
+  double slot_steps = 0;
 };
 
 /// One session: a sequence of turns of a program or of one of its sub-agents.
 struct line {
   int program = 0;
-  bool is_helper = false;
+  bool is_sub_agent = false;
   int left = 0;
   std::vector<prompt_piece> prompt;
 };
 
 struct program {
   duration began{};
-  int open_lines = 1;
+  int open_sessions = 1;
   std::uint32_t priority = 0;
   client_account account;
 };
@@ -117,7 +117,7 @@
   line from;
   int host = 0;
   double to_read = 0;
-  double to_make = turn_tokens;
+  double to_generate = turn_tokens;
   bool first_event = false;
   placement_request request;
 };
@@ -132,14 +132,14 @@
   backend_entry entry;
   /// Slowdown factor, and time offset of its temporary slowdowns.
   double factor = 1;
-  duration spell_phase{};
+  duration slow_period_offset{};
   std::vector<placement_id> running;
   std::deque<placement_id> queue;
   prefix_cache_view cache;
 };
 
 /// A host's directory update in transit.
-struct told_update {
+struct sent_update {
   duration arrives{};
   int host = 0;
   directory_update update;
