--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -110,7 +110,7 @@
   /// server knows all counts after it.
   static constexpr duration warm_up_time = std::chrono::milliseconds(1000);
   /// All hosts agree within this time on a host's start or end, and so on the host responsible for
-  /// a server. If the first message about a server arrives later than this plus `learning_time`
+  /// a server. If the first message about a server arrives later than this plus `warm_up_time`
   /// after a change, this host was responsible for it all along, and the server was idle or did not
   /// exist: its counts are known.
   static constexpr duration convergence_time = std::chrono::milliseconds(1000);
--- a/libs/placement/include/hawthornlane/placement/placement_directory.h
+++ b/libs/placement/include/hawthornlane/placement/placement_directory.h
@@ -99,12 +99,12 @@
   void set_location(const part_location& location);
   /// Sets the estimate that `host` reports, replacing its previous one.
   void set_speed(const host_id& host, const speed_report& speed, timestamp now);
-  /// Weighted mean of the estimates of all hosts but `asker`. Empty if no other host has reported
-  /// one that still has weight.
+  /// Weighted mean of the estimates of all hosts but `requester`. Empty if no other host has
+  /// reported one that still has weight.
   [[nodiscard]] std::optional<speed_report> speed_of_others(server_key server,
                                                             const host_id& requester,
                                                             timestamp now) const;
-  /// Number of calls that all hosts but `asker` have at the server.
+  /// Number of calls that all hosts but `requester` have at the server.
   [[nodiscard]] std::uint32_t load_of_others(server_key server, const host_id& requester,
                                              timestamp now) const;
   /// Number of calls that all hosts have at the server.
--- a/libs/placement/include/hawthornlane/placement/server_choice.h
+++ b/libs/placement/include/hawthornlane/placement/server_choice.h
@@ -41,7 +41,7 @@
   /// for. The prompt of a turn has about 6 KB.
   double cross_zone_cost = 0.05;
   /// Numbers of candidates besides the servers that have cached the session: `choices` of all
-  /// servers and `near_choices` of this zone, chosen by hash. The best of two random choices
+  /// servers and `zone_choices` of this zone, chosen by hash. The best of two random choices
   /// balances load nearly as well as the best of all.
   std::size_t choices = 2;
   std::size_t zone_choices = 2;
--- a/libs/placement/include/hawthornlane/placement/server_health.h
+++ b/libs/placement/include/hawthornlane/placement/server_health.h
@@ -58,8 +58,8 @@
 class baseline_times {
 public:
   /// Compares `took` with the time that such a call takes at present, and updates that time. If
-  /// `lower_bound` is set, the call has not ended yet: a short time then says nothing (pace 0), and
-  /// the typical time is not updated.
+  /// `lower_bound` is set, the call has not ended yet: a short time then says nothing (log_ratio
+  /// 0), and the typical time is not updated.
   time_sample compare(std::uint64_t kind, duration took, bool lower_bound);
 
 private:
@@ -82,7 +82,7 @@
   /// Records the time of a call.
   void record_time(const time_sample& sample, const health_rules& rules, timestamp now);
   /// Records the time so far of a call that has not been answered yet. This can only raise the
-  /// estimated slowness: the server is at least that slow while the call is pending.
+  /// estimated slowdown: the server is at least that slow while the call is pending.
   void record_pending_time(const time_sample& sample, const health_rules& rules, timestamp now);
 
   /// True while the server must not get any calls.
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -131,7 +131,7 @@
   /// Calls of this host at each server that has any.
   [[nodiscard]] std::vector<server_load> own_loads() const;
   /// Sets the utilization of the servers: calls of all hosts per place, by the latest counts
-  /// received. Calls without a prompt are reported and queried only when it is high.
+  /// received. Loads are exchanged for calls without a prompt only when it is high.
   void set_utilization(double calls_per_place) { this->utilization = calls_per_place; }
   /// Ends of calls without a prompt are reported in batches. Moves a batch that is due by `now`
   /// into the next `take_update`. Returns false if none is due.
@@ -190,19 +190,19 @@
   /// Version of this pool's state for a server; a new one begins when the server is first listed
   /// and when it restarts. The `start` of an entry can't be used for this: it may repeat when the
   /// store lists an older entry.
-  using server_state_version = strong_value<struct server_life_tag, std::uint64_t>;
+  using server_state_version = strong_value<struct server_state_version_tag, std::uint64_t>;
   struct server_state {
     backend_entry entry;
     server_state_version state_version;
     /// Key of the server in messages between hosts.
     server_key key;
     /// Number of this host's calls at the server. Invariant: equals the number of entries of
-    /// `running` with this server's `life`.
+    /// `running` with this server's `state_version`.
     std::uint32_t in_flight = 0;
     /// Number of other hosts' calls, and when it was received.
     double remote_calls = 0;
     timestamp remote_calls_at{};
-    /// Those of `inside` that are reported to other hosts.
+    /// Those of `in_flight` that are reported to other hosts.
     std::uint32_t shared = 0;
     server_health health;
     server_speed speed;
@@ -217,8 +217,8 @@
   /// A call at a server.
   struct running_call {
     backend_server_id server;
-    /// The server's `life` when the call was sent. If the server has another one now, the call says
-    /// nothing about it.
+    /// The server's `state_version` when the call was sent. If the server has another one now, the
+    /// call says nothing about it.
     server_state_version state_version;
     std::uint64_t kind = 0;
     /// True if the call is reported to other hosts: it has a prompt, or utilization is high.
@@ -349,7 +349,7 @@
   /// Limit of this host's calls at the listed servers, and the number that it has.
   std::size_t places = 0;
   std::size_t calls_at_listed_servers = 0;
-  /// Invariant: the sum of `inside`. Calls at former incarnations are not included.
+  /// Invariant: the sum of `in_flight`. Calls at former incarnations are not included.
   std::size_t calls_in_flight = 0;
   std::map<placement_id, running_call> running;
   server_state_version last_state_version;
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -68,8 +68,8 @@
 
   void add(double sample, double sample_weight, duration decay_time, timestamp now);
   [[nodiscard]] double mean() const { return this->value; }
-  /// The weight at `now`. It is capped at `most` before it decays, so that a mean of many samples
-  /// is forgotten as soon as one of few.
+  /// The weight at `now`. It is capped at `upper_bound` before it decays, so that a mean of many
+  /// samples is forgotten as soon as one of few.
   [[nodiscard]] double weight_at(double upper_bound, duration decay_time, timestamp now) const;
 
 private:
@@ -118,8 +118,9 @@
     double decayed = 0;
     double whole = 0;
 
-    void add(double log_ratio, double weight, double decay_time);
-    /// The decayed weight of the mean; the reported weight is capped at `most` before it decays.
+    void add(double log_ratio, double weight, double decay);
+    /// The decayed weight of the mean; the reported weight is capped at `upper_bound` before it
+    /// decays.
     [[nodiscard]] double weight(double upper_bound) const;
   };
 
--- a/libs/placement/src/server_health.cc
+++ b/libs/placement/src/server_health.cc
@@ -16,7 +16,7 @@
 /// Lower bound of call times, so that the logarithm is finite; no measured call is faster.
 constexpr double min_seconds = 0.001;
 
-/// Weight of one sample in the estimate of a server's slowness.
+/// Weight of one sample in the estimate of a server's slowdown.
 double weight_of(const time_sample& sample, const health_rules& rules) {
   return rules.server_variance / (rules.server_variance + sample.variance);
 }
--- a/libs/placement/src/server_pool_choice.cc
+++ b/libs/placement/src/server_pool_choice.cc
@@ -15,7 +15,7 @@
 /// The reported load of a server decays by a factor of e in this time towards the mean of all
 /// servers. A turn takes about as long, so the reported calls have ended after it.
 constexpr double load_decay_seconds = 0.3;
-/// A load that was received less than this long ago is not queried again: more frequent queries
+/// A load that was received less than this long ago is not requested again: more frequent requests
 /// only return the same calls.
 constexpr duration fresh_load = std::chrono::milliseconds(20);
 
--- a/libs/placement/src/server_pool_speed.cc
+++ b/libs/placement/src/server_pool_speed.cc
@@ -12,32 +12,32 @@
 /// Utilization (calls per place) from which hosts report the ends of calls without a prompt, and
 /// with them speed estimates. Below it a call finds a free place at nearly every server.
 constexpr double report_ends_from = 0.25;
-/// Utilization from which hosts also report the starts of such calls. It is below `ask_from`, so
-/// that counts are known when hosts start to query them.
+/// Utilization from which hosts also report the starts of such calls. It is below
+/// `request_loads_from`, so that counts are known when hosts start to request them.
 constexpr double report_starts_from = 0.45;
-/// Utilization from which hosts query loads before they place such a call: a server chosen by hash
-/// is then full for one call in ten.
+/// Utilization from which hosts request loads before they place such a call: a server chosen by
+/// hash is then full for one call in ten.
 constexpr double request_loads_from = 0.5;
 /// The reported load of such calls decays by a factor of e in this time towards the mean of all
 /// servers. Hosts that use counts from before the current calls all choose the same servers.
 constexpr double promptless_decay_seconds = 0.1;
-/// A load that was received less than this long ago is not queried again for calls without a
+/// A load that was received less than this long ago is not requested again for calls without a
 /// prompt: they take 50 to 200 ms.
 constexpr duration fresh_promptless_load = std::chrono::milliseconds(100);
 /// Ends are collected into a batch for this long, a fraction of the time of even short calls.
 constexpr duration batch_time = std::chrono::milliseconds(50);
-/// Exponent of a server's slowness in the cost of a call. It is below 1 because slow servers are
+/// Exponent of a server's slowdown in the cost of a call. It is below 1 because slow servers are
 /// also chosen as candidates less often.
 constexpr double slowdown_exponent = 0.5;
 /// Number of candidates for a call without a prompt.
 constexpr std::size_t promptless_choices = 3;
 /// Calls with fewer tokens to read than this are of one kind; each doubling is a further kind.
-constexpr std::uint64_t min_read_tokens = 128;
-constexpr duration renewal_pause = std::chrono::seconds(1);
+constexpr std::uint64_t read_unit_tokens = 128;
+constexpr duration factor_update_interval = std::chrono::seconds(1);
 /// Estimates of less weight are not shown to operators: they are mostly the prior.
 constexpr double min_shown_weight = 1;
 
-/// Weighted rendezvous hashing: selects the server with the lowest -log(u) * slowness, where u in
+/// Weighted rendezvous hashing: selects the server with the lowest -log(u) * slowdown, where u in
 /// (0, 1] is a hash of its name and `key`. Each server is selected in proportion to its speed.
 template <class Server>
 class speed_weighted_choice {
@@ -176,7 +176,7 @@
     return;
   }
   const server_estimate estimated = this->estimate_server(server, request, now);
-  const auto read_units = static_cast<std::uint64_t>(estimated.missing_tokens) / min_read_tokens;
+  const auto read_units = static_cast<std::uint64_t>(estimated.missing_tokens) / read_unit_tokens;
   call.timed_kind = rendezvous_weight(call.kind, std::bit_width(read_units));
   call.load = relative_time(estimated, this->rules.choice);
   call.is_queued = estimated.calls + 1 > estimated.slots;
@@ -186,8 +186,8 @@
   server_state* server = this->server_of(call);
   // The modeled wait is in units of whole calls, so it can't be compared with the time to the first
   // event.
-  const bool tells_nothing = part == timed_part::first_event && call.is_queued;
-  if (!this->rules.learns_speed || server == nullptr || tells_nothing) {
+  const bool is_uninformative = part == timed_part::first_event && call.is_queued;
+  if (!this->rules.learns_speed || server == nullptr || is_uninformative) {
     return;
   }
   const duration took = std::chrono::duration_cast<duration>(now - call.sent_at);
@@ -219,7 +219,7 @@
   if (!this->rules.learns_speed || now < this->next_factor_update) {
     return;
   }
-  this->next_factor_update = now + renewal_pause;
+  this->next_factor_update = now + factor_update_interval;
   double speeds = 0;
   for (auto& [id, server] : this->servers) {
     this->update_slow_factor(server, now);
--- a/libs/placement/src/server_speed.cc
+++ b/libs/placement/src/server_speed.cc
@@ -21,7 +21,7 @@
 constexpr double max_log_ratio = 3;
 /// Lower bound of the variance of a kind: its calls differ by at least 20%.
 constexpr double min_variance = 0.04;
-/// Units of `speed_word`.
+/// Units of the fields of `speed_estimate`.
 constexpr double units_per_log_ratio = 1000;
 constexpr double units_per_weight = 8;
 
@@ -113,9 +113,9 @@
                  decay_factor(age, rules.fast_decay_time));
 }
 
-void speed_mean::decayed_sum::add(double log_ratio, double weight, double decay_time) {
-  this->log_ratios += weight * decay_time * log_ratio;
-  this->decayed += weight * decay_time;
+void speed_mean::decayed_sum::add(double log_ratio, double weight, double decay) {
+  this->log_ratios += weight * decay * log_ratio;
+  this->decayed += weight * decay;
   this->whole += weight;
 }
 
--- a/libs/placement/test/played_events.h
+++ b/libs/placement/test/event_queue.h
@@ -10,7 +10,7 @@
 
 #include "hawthornlane/units/quantities.h"
 
-namespace hawthornlane::play {
+namespace hawthornlane::simulate {
 
 /// Runs events in order of time. Events at the same time run in the order in which they were added.
 class event_queue {
@@ -45,4 +45,4 @@
   std::priority_queue<event> events;
 };
 
-}  // namespace hawthornlane::play
+}  // namespace hawthornlane::simulate
--- a/libs/placement/test/place_load_test.cc
+++ b/libs/placement/test/place_load_test.cc
@@ -2,10 +2,10 @@
 // how many programs of each priority and account are done in time.
 #include <catch2/catch.hpp>
 
-#include "played_turns.h"
+#include "turn_simulation.h"
 
 using namespace hawthornlane;
-using namespace hawthornlane::play;
+using namespace hawthornlane::simulate;
 
 namespace {
 
@@ -78,9 +78,9 @@
   };
   for (row item : rows) {
     item.plan.claims = false;
-    const load_result without = turn_simulation(item.plan).play();
+    const load_result without = turn_simulation(item.plan).simulate();
     item.plan.claims = true;
-    const load_result with = turn_simulation(item.plan).play();
+    const load_result with = turn_simulation(item.plan).simulate();
     INFO(item.what << "\nwithout claims: " << text_of(without) << "\nwith: " << text_of(with));
     CHECK(with.in_time > without.in_time);
     for (const auto& [priority, got] : with.by_priority) {
--- a/libs/placement/test/server_pool_speed_test.cc
+++ b/libs/placement/test/server_pool_speed_test.cc
@@ -93,7 +93,7 @@
   CHECK(host.call_times(600) < 70);
 }
 
-TEST_CASE("without learns_speed no speed is estimated, reported, queried or accepted") {
+TEST_CASE("without learns_speed no speed is estimated, reported, requested or accepted") {
   single_host host(false);
   host.call_times(200);
   host.pool.set_utilization(1);
@@ -222,7 +222,7 @@
   CHECK(host.pool.take_update().loads == std::vector<server_load>{{reported_key, 0}});
 }
 
-TEST_CASE("loads are queried for calls without a prompt only at half utilization and if outdated") {
+TEST_CASE("outdated loads are requested for calls without a prompt only at high utilization") {
   struct row {
     const char* what;
     double utilization;
@@ -231,7 +231,7 @@
   };
   const row rows[] = {
       {"low utilization", 0.2, 10s, 0},
-      {"utilization for reports but not for queries", 0.4, 10s, 0},
+      {"utilization for reports but not for requests", 0.4, 10s, 0},
       {"more than half", 0.6, 10s, 3},
       {"more than half, recent loads", 0.6, 50ms, 0},
   };
--- a/libs/placement/test/server_pool_test.cc
+++ b/libs/placement/test/server_pool_test.cc
@@ -8,54 +8,53 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("calls go to the least busy server, and among equals to one in the same zone") {
-  pool_fixture fixture({server("far", "there"), server("near")});
-  fixture.submit(call(1));
-  CHECK(fixture.last_server() == "near");
-  fixture.submit(call(2));
-  CHECK(fixture.last_server() == "far");
-  fixture.submit(call(3));
-  CHECK(fixture.last_server() == "near");
+  pool_fixture pool({server("far", "there"), server("near")});
+  pool.submit(call(1));
+  CHECK(pool.last_server() == "near");
+  pool.submit(call(2));
+  CHECK(pool.last_server() == "far");
+  pool.submit(call(3));
+  CHECK(pool.last_server() == "near");
 }
 
 TEST_CASE("calls with one affinity key share a server unless it is much busier than others") {
-  pool_fixture fixture({server("a"), server("b"), server("c")});
+  pool_fixture pool({server("a"), server("b"), server("c")});
   placement_request first = call(1);
   first.affinity = 77;
-  fixture.submit(first);
-  const std::string affinity_server = fixture.last_server();
+  pool.submit(first);
+  const std::string affinity_server = pool.last_server();
   placement_request second = call(2);
   second.affinity = 77;
-  fixture.submit(second);
-  CHECK(fixture.last_server() == affinity_server);
+  pool.submit(second);
+  CHECK(pool.last_server() == affinity_server);
   placement_request third = call(3);
   third.affinity = 77;
-  fixture.submit(third);
-  CHECK(fixture.last_server() != affinity_server);
+  pool.submit(third);
+  CHECK(pool.last_server() != affinity_server);
 }
 
 TEST_CASE("the server of an affinity key is in this zone") {
-  pool_fixture fixture({server("far-1", "there"), server("far-2", "there"), server("near")});
+  pool_fixture pool({server("far-1", "there"), server("far-2", "there"), server("near")});
   for (std::uint64_t object = 1; object < 20; ++object) {
     placement_request request = call(object);
     request.affinity = object * 7919;
-    fixture.submit(request);
-    CHECK(fixture.last_server() == "near");
-    fixture.fixture.finished(request.id, server_outcome::answered, at(1s));
+    pool.submit(request);
+    CHECK(pool.last_server() == "near");
+    pool.pool.finished(request.id, server_outcome::answered, at(1s));
   }
 }
 
 TEST_CASE("queued calls are ordered by priority, then by soft deadline") {
-  pool_fixture fixture({server("a")});
-  fixture.submit(call(1));
-  fixture.submit(call(2));
-  CHECK(fixture.submit(call(3, 1, 3s)) == submit_outcome::queued);
-  CHECK(fixture.submit(call(4, 0, 9s)) == submit_outcome::queued);
-  CHECK(fixture.submit(call(5, 0, 5s)) == submit_outcome::queued);
+  pool_fixture pool({server("a")});
+  pool.submit(call(1));
+  pool.submit(call(2));
+  CHECK(pool.submit(call(3, 1, 3s)) == submit_outcome::queued);
+  CHECK(pool.submit(call(4, 0, 9s)) == submit_outcome::queued);
+  CHECK(pool.submit(call(5, 0, 5s)) == submit_outcome::queued);
   const int order[] = {5, 4, 3};
   std::uint64_t leaving = 1;
   for (const int expected : order) {
-    const auto placed =
-        fixture.fixture.finished(placement_id(leaving), server_outcome::answered, at(2s));
+    const auto placed = pool.pool.finished(placement_id(leaving), server_outcome::answered, at(2s));
     REQUIRE(placed.size() == 1);
     CHECK(placed.front().id == placement_id(static_cast<std::uint64_t>(expected)));
     leaving = static_cast<std::uint64_t>(expected);
@@ -64,44 +63,44 @@
 
 TEST_CASE("a call that cannot be served is refused at once") {
   SECTION("there is no server") {
-    pool_fixture fixture({});
-    CHECK(fixture.submit(call(1)) == submit_outcome::refused);
+    pool_fixture pool({});
+    CHECK(pool.submit(call(1)) == submit_outcome::refused);
   }
   SECTION("every server has refused it") {
-    pool_fixture fixture({server("a")});
+    pool_fixture pool({server("a")});
     placement_request request = call(1);
     request.tried = {backend_server_id("a")};
-    CHECK(fixture.submit(request) == submit_outcome::refused);
+    CHECK(pool.submit(request) == submit_outcome::refused);
   }
   SECTION("its deadline has passed") {
-    pool_fixture fixture({server("a")});
-    fixture.submit(call(1));
-    fixture.submit(call(2));
-    CHECK(fixture.submit(call(3), 21s) == submit_outcome::refused);
+    pool_fixture pool({server("a")});
+    pool.submit(call(1));
+    pool.submit(call(2));
+    CHECK(pool.submit(call(3), 21s) == submit_outcome::refused);
   }
   SECTION("the queue is full") {
-    pool_fixture fixture({server("a")});
-    fixture.submit(call(1));
-    fixture.submit(call(2));
+    pool_fixture pool({server("a")});
+    pool.submit(call(1));
+    pool.submit(call(2));
     for (std::uint64_t id = 3; id < 7; ++id) {
-      CHECK(fixture.submit(call(id)) == submit_outcome::queued);
+      CHECK(pool.submit(call(id)) == submit_outcome::queued);
     }
-    CHECK(fixture.submit(call(7)) == submit_outcome::refused);
+    CHECK(pool.submit(call(7)) == submit_outcome::refused);
   }
 }
 
 TEST_CASE("calls are removed from the queue when their deadline passes") {
-  pool_fixture fixture({server("a")});
-  fixture.submit(call(1));
-  fixture.submit(call(2));
+  pool_fixture pool({server("a")});
+  pool.submit(call(1));
+  pool.submit(call(2));
   placement_request request = call(3);
   request.give_up_at = at(2s);
-  fixture.submit(request);
-  CHECK(fixture.fixture.expire(at(1500ms)).empty());
-  const auto expired = fixture.fixture.expire(at(2s));
+  pool.submit(request);
+  CHECK(pool.pool.expire(at(1500ms)).empty());
+  const auto expired = pool.pool.expire(at(2s));
   REQUIRE(expired.size() == 1);
   CHECK(expired.front() == placement_id(3));
-  CHECK(fixture.fixture.waiting() == 0);
+  CHECK(pool.pool.waiting() == 0);
 }
 
 TEST_CASE("a server is excluded after failures, for a bounded time") {
@@ -120,37 +119,37 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    pool_fixture fixture({server("a"), server("b")});
+    pool_fixture pool({server("a"), server("b")});
     const duration last = 1h;
     for (int time = 0; time < item.times; ++time) {
       placement_request request = call(static_cast<std::uint64_t>(time) + 1);
       request.tried = {backend_server_id("b")};
       // The calls are far apart, so that the server is not excluded when a call is submitted.
       const duration when = 10s * time;
-      fixture.fixture.submit(request, at(when), fixture.placed);
+      pool.pool.submit(request, at(when), pool.placed);
       const duration ended = time + 1 == item.times ? last : when;
-      fixture.fixture.finished(request.id, item.outcome, at(ended));
+      pool.pool.finished(request.id, item.outcome, at(ended));
     }
-    CHECK(fixture.fixture.excluded(at(last + 1ms)).empty() == (item.excluded_for == 0ms));
-    CHECK(fixture.fixture.excluded(at(last + item.excluded_for)).empty());
+    CHECK(pool.pool.excluded(at(last + 1ms)).empty() == (item.excluded_for == 0ms));
+    CHECK(pool.pool.excluded(at(last + item.excluded_for)).empty());
     CHECK((item.excluded_for == 0ms ||
-           fixture.fixture.excluded(at(last + item.excluded_for - 1ms)).size() == 1));
+           pool.pool.excluded(at(last + item.excluded_for - 1ms)).size() == 1));
   }
 }
 
 TEST_CASE("a server that is no longer listed gets no new calls, and its calls can end") {
-  pool_fixture fixture({server("a"), server("b")});
+  pool_fixture pool({server("a"), server("b")});
   placement_request request = call(1);
   request.tried = {backend_server_id("b")};
-  fixture.submit(request);
-  fixture.fixture.set_servers({server("b")}, at(2s));
+  pool.submit(request);
+  pool.pool.set_servers({server("b")}, at(2s));
   for (std::uint64_t id = 2; id < 4; ++id) {
-    fixture.submit(call(id), 2s);
-    CHECK(fixture.last_server() == "b");
+    pool.submit(call(id), 2s);
+    CHECK(pool.last_server() == "b");
   }
-  CHECK(fixture.submit(call(4), 2s) == submit_outcome::queued);
-  fixture.fixture.finished(placement_id(1), server_outcome::answered, at(3s));
-  CHECK(fixture.fixture.listed().size() == 1);
+  CHECK(pool.submit(call(4), 2s) == submit_outcome::queued);
+  pool.pool.finished(placement_id(1), server_outcome::answered, at(3s));
+  CHECK(pool.pool.listed().size() == 1);
 }
 
 namespace {
@@ -178,62 +177,62 @@
 }  // namespace
 
 TEST_CASE("a turn goes to the server that has cached its session") {
-  pool_fixture fixture(ten_servers());
-  fixture.submit(turn(1, {piece(1, 500), piece(2, 400)}));
-  const std::string first = fixture.last_server();
-  fixture.fixture.finished(placement_id(1), server_outcome::answered, at(1s));
+  pool_fixture pool(ten_servers());
+  pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
+  const std::string first = pool.last_server();
+  pool.pool.finished(placement_id(1), server_outcome::answered, at(1s));
   SECTION("the next turn of the session") {
-    fixture.submit(turn(2, {piece(1, 500), piece(2, 900)}));
-    CHECK(fixture.last_server() == first);
+    pool.submit(turn(2, {piece(1, 500), piece(2, 900)}));
+    CHECK(pool.last_server() == first);
   }
   SECTION("a sub-agent's turn, whose prompt starts with that of its parent") {
-    fixture.submit(turn(2, {piece(1, 500), piece(2, 400), piece(3, 300)}));
-    CHECK(fixture.last_server() == first);
+    pool.submit(turn(2, {piece(1, 500), piece(2, 400), piece(3, 300)}));
+    CHECK(pool.last_server() == first);
   }
   SECTION("another host reports a server that has cached more of the session") {
     const std::string other = first == "s9" ? "s8" : "s9";
     const server_key there = server_key_of(backend_server_id(other));
-    fixture.fixture.add_prompt_location({prompt_part_key(2), there, token_count(2000)});
-    fixture.submit(turn(2, {piece(1, 500), piece(2, 2400)}));
-    CHECK(fixture.last_server() == other);
+    pool.pool.add_prompt_location({prompt_part_key(2), there, token_count(2000)});
+    pool.submit(turn(2, {piece(1, 500), piece(2, 2400)}));
+    CHECK(pool.last_server() == other);
   }
 }
 
 TEST_CASE("reports about unknown or removed servers are ignored") {
-  pool_fixture fixture(ten_servers());
+  pool_fixture pool(ten_servers());
   const server_key unknown = server_key_of(backend_server_id("nobody"));
-  fixture.fixture.add_prompt_location({prompt_part_key(2), unknown, token_count(5000)});
-  fixture.fixture.set_remote_load({unknown, 1000}, at(1s));
-  CHECK(fixture.submit(turn(1, {piece(1, 500), piece(2, 400)})) == submit_outcome::placed);
-  const std::string holder = fixture.last_server();
-  fixture.fixture.finished(placement_id(1), server_outcome::answered, at(1s));
+  pool.pool.add_prompt_location({prompt_part_key(2), unknown, token_count(5000)});
+  pool.pool.set_remote_load({unknown, 1000}, at(1s));
+  CHECK(pool.submit(turn(1, {piece(1, 500), piece(2, 400)})) == submit_outcome::placed);
+  const std::string holder = pool.last_server();
+  pool.pool.finished(placement_id(1), server_outcome::answered, at(1s));
   std::vector<backend_entry> left = ten_servers();
   std::erase_if(left, [&](const backend_entry& entry) { return entry.id.get() == holder; });
-  fixture.fixture.set_servers(left, at(2s));
-  CHECK(fixture.submit(turn(2, {piece(1, 500), piece(2, 900)}), 2s) == submit_outcome::placed);
-  CHECK(fixture.last_server() != holder);
+  pool.pool.set_servers(left, at(2s));
+  CHECK(pool.submit(turn(2, {piece(1, 500), piece(2, 900)}), 2s) == submit_outcome::placed);
+  CHECK(pool.last_server() != holder);
 }
 
 TEST_CASE("a new program avoids a server that is full with other hosts' calls") {
-  pool_fixture fixture(ten_servers());
-  fixture.submit(turn(1, {piece(1, 500), piece(2, 400)}));
-  const std::string usual = fixture.last_server();
+  pool_fixture pool(ten_servers());
+  pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
+  const std::string usual = pool.last_server();
   pool_fixture fresh(ten_servers());
-  fresh.fixture.set_remote_load({server_key_of(backend_server_id(usual)), 12}, at(1s));
+  fresh.pool.set_remote_load({server_key_of(backend_server_id(usual)), 12}, at(1s));
   fresh.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   CHECK(fresh.last_server() != usual);
 }
 
 TEST_CASE("calls of programs in progress are placed before those of new programs") {
-  pool_fixture fixture({server("a")});
-  fixture.submit(call(1));
-  fixture.submit(call(2));
+  pool_fixture pool({server("a")});
+  pool.submit(call(1));
+  pool.submit(call(2));
   placement_request fresh = call(3, 0, 3s);
   placement_request begun = call(4, 0, 9s);
   begun.begun = true;
-  CHECK(fixture.submit(fresh) == submit_outcome::queued);
-  CHECK(fixture.submit(begun) == submit_outcome::queued);
-  const auto placed = fixture.fixture.finished(placement_id(1), server_outcome::answered, at(2s));
+  CHECK(pool.submit(fresh) == submit_outcome::queued);
+  CHECK(pool.submit(begun) == submit_outcome::queued);
+  const auto placed = pool.pool.finished(placement_id(1), server_outcome::answered, at(2s));
   REQUIRE(placed.size() == 1);
   CHECK(placed.front().id == begun.id);
 }
@@ -265,93 +264,93 @@
   const auto source = GENERATE("this host's own calls", "another host's");
   for (const row& item : rows) {
     INFO(source << ": " << item.what);
-    pool_fixture fixture(started(item.reported_start));
+    pool_fixture pool(started(item.reported_start));
     if (std::string(source) == "this host's own calls") {
-      fixture.submit(turn(1, {piece(1, 500), piece(2, 400)}));
-      fixture.fixture.finished(placement_id(1), server_outcome::answered, at(1s));
-      fixture.fixture.set_servers(started(item.listed), at(1s));
+      pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
+      pool.pool.finished(placement_id(1), server_outcome::answered, at(1s));
+      pool.pool.set_servers(started(item.listed), at(1s));
     } else {
-      fixture.fixture.set_servers(started(item.listed), at(1s));
+      pool.pool.set_servers(started(item.listed), at(1s));
       const server_key key =
           server_key_of(backend_server_id("a"), incarnation(item.reported_start));
-      fixture.fixture.add_prompt_location({prompt_part_key(2), key, token_count(400)});
-      fixture.fixture.set_remote_load({key, 7}, at(1s));
+      pool.pool.add_prompt_location({prompt_part_key(2), key, token_count(400)});
+      pool.pool.set_remote_load({key, 7}, at(1s));
     }
-    fixture.submit(turn(2, {piece(1, 500), piece(2, 400)}));
-    REQUIRE(fixture.placed.size() == 1);
-    CHECK(fixture.placed.front().basis->holds_line == item.applied);
-    CHECK(fixture.placed.front().basis->missing_tokens == token_count(item.applied ? 0 : 900));
+    pool.submit(turn(2, {piece(1, 500), piece(2, 400)}));
+    REQUIRE(pool.placed.size() == 1);
+    CHECK(pool.placed.front().basis->holds_line == item.applied);
+    CHECK(pool.placed.front().basis->missing_tokens == token_count(item.applied ? 0 : 900));
     if (std::string(source) == "another host's") {
-      CHECK(fixture.placed.front().basis->calls == (item.applied ? 7 : 0));
+      CHECK(pool.placed.front().basis->calls == (item.applied ? 7 : 0));
     }
   }
 }
 
 TEST_CASE("a restarted server is healthy whatever its former process did") {
   const auto outcome = GENERATE(server_outcome::failed, server_outcome::unreachable);
-  pool_fixture fixture(started(100));
+  pool_fixture pool(started(100));
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    fixture.submit(call(id));
+    pool.submit(call(id));
   }
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    fixture.fixture.finished(placement_id(id), outcome, at(1s));
+    pool.pool.finished(placement_id(id), outcome, at(1s));
   }
-  REQUIRE(fixture.fixture.unhealthy(at(1s)).size() == 1);
-  fixture.fixture.set_servers(started(200), at(1s));
-  CHECK(fixture.fixture.unhealthy(at(1s)).empty());
-  CHECK(fixture.submit(call(3)) == submit_outcome::placed);
+  REQUIRE(pool.pool.unhealthy(at(1s)).size() == 1);
+  pool.pool.set_servers(started(200), at(1s));
+  CHECK(pool.pool.unhealthy(at(1s)).empty());
+  CHECK(pool.submit(call(3)) == submit_outcome::placed);
 }
 
 TEST_CASE("a call at a former incarnation of a server does not affect the new one") {
-  pool_fixture fixture(started(100));
-  fixture.submit(call(1));
-  fixture.submit(call(2));
-  REQUIRE(fixture.submit(call(3)) == submit_outcome::queued);
-  const auto placed = fixture.fixture.set_servers(started(200), at(1s));
+  pool_fixture pool(started(100));
+  pool.submit(call(1));
+  pool.submit(call(2));
+  REQUIRE(pool.submit(call(3)) == submit_outcome::queued);
+  const auto placed = pool.pool.set_servers(started(200), at(1s));
   REQUIRE(placed.size() == 1);
   CHECK(placed.front().server.start == incarnation(200));
-  CHECK(fixture.fixture.demand() == 1);
+  CHECK(pool.pool.demand() == 1);
 
   SECTION("its failure does not exclude the new one or free a place there twice") {
-    fixture.fixture.finished(placement_id(1), server_outcome::unreachable, at(1s));
-    fixture.fixture.finished(placement_id(2), server_outcome::failed, at(1s));
-    CHECK(fixture.fixture.unhealthy(at(1s)).empty());
-    CHECK(fixture.submit(call(4)) == submit_outcome::placed);
-    CHECK(fixture.submit(call(5)) == submit_outcome::queued);
+    pool.pool.finished(placement_id(1), server_outcome::unreachable, at(1s));
+    pool.pool.finished(placement_id(2), server_outcome::failed, at(1s));
+    CHECK(pool.pool.unhealthy(at(1s)).empty());
+    CHECK(pool.submit(call(4)) == submit_outcome::placed);
+    CHECK(pool.submit(call(5)) == submit_outcome::queued);
   }
   SECTION("its late answer does not make the new one slow") {
-    fixture.fixture.finished(placement_id(3), server_outcome::answered, at(1100ms));
-    fixture.fixture.started(placement_id(1), at(9s));
-    fixture.fixture.finished(placement_id(1), server_outcome::answered, at(9s));
-    CHECK(fixture.fixture.unhealthy(at(9s)).empty());
+    pool.pool.finished(placement_id(3), server_outcome::answered, at(1100ms));
+    pool.pool.started(placement_id(1), at(9s));
+    pool.pool.finished(placement_id(1), server_outcome::answered, at(9s));
+    CHECK(pool.pool.unhealthy(at(9s)).empty());
   }
   SECTION("it can end after the server has been removed") {
-    fixture.fixture.finished(placement_id(3), server_outcome::answered, at(1s));
-    fixture.fixture.set_servers({}, at(1s));
-    CHECK(fixture.fixture.finished(placement_id(1), server_outcome::failed, at(1s)).empty());
-    CHECK(fixture.fixture.demand() == 0);
+    pool.pool.finished(placement_id(3), server_outcome::answered, at(1s));
+    pool.pool.set_servers({}, at(1s));
+    CHECK(pool.pool.finished(placement_id(1), server_outcome::failed, at(1s)).empty());
+    CHECK(pool.pool.demand() == 0);
   }
   SECTION("it does not count towards the limit of calls in flight") {
-    fixture.fixture.set_in_flight_limit(2, at(1s));
-    CHECK(fixture.submit(call(4)) == submit_outcome::placed);
+    pool.pool.set_in_flight_limit(2, at(1s));
+    CHECK(pool.submit(call(4)) == submit_outcome::placed);
   }
 }
 
 TEST_CASE("a count of 0 is reported for a former incarnation of a server") {
-  pool_fixture fixture(started(100));
-  fixture.submit(turn(1, {piece(1, 500), piece(2, 400)}));
+  pool_fixture pool(started(100));
+  pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   const server_key former = server_key_of(backend_server_id("a"), incarnation(100));
-  CHECK(fixture.fixture.take_update().loads == std::vector<server_load>{{former, 1}});
-  fixture.fixture.set_servers(started(200), at(1s));
-  CHECK(fixture.fixture.own_loads().empty());
-  CHECK(fixture.fixture.take_update().loads == std::vector<server_load>{{former, 0}});
+  CHECK(pool.pool.take_update().loads == std::vector<server_load>{{former, 1}});
+  pool.pool.set_servers(started(200), at(1s));
+  CHECK(pool.pool.own_loads().empty());
+  CHECK(pool.pool.take_update().loads == std::vector<server_load>{{former, 0}});
 }
 
 TEST_CASE("a changed entry of a server that has not restarted keeps the server's state") {
-  pool_fixture fixture(started(100));
-  fixture.submit(call(1));
+  pool_fixture pool(started(100));
+  pool.submit(call(1));
   std::vector<backend_entry> changed = started(100);
   changed.front().slots = 1;
-  fixture.fixture.set_servers(changed, at(1s));
-  CHECK(fixture.fixture.demand() == 1);
+  pool.pool.set_servers(changed, at(1s));
+  CHECK(pool.pool.demand() == 1);
 }
--- a/libs/placement/test/server_speed_test.cc
+++ b/libs/placement/test/server_speed_test.cc
@@ -178,7 +178,7 @@
       }
     }
   };
-  for (int spell = 0; spell < 10; ++spell) {
+  for (int repetition = 0; repetition < 10; ++repetition) {
     call_for(3400ms);
     servers.factors[0] = 0.7 * 2.5;
     call_for(600ms);
--- a/libs/placement/test/shared_load_test.cc
+++ b/libs/placement/test/shared_load_test.cc
@@ -4,9 +4,9 @@
 #include <deque>
 #include <random>
 
+#include "event_queue.h"
 #include "hawthornlane/placement/in_flight_limit.h"
 #include "hawthornlane/placement/server_pool.h"
-#include "played_events.h"
 
 using namespace hawthornlane;
 using namespace std::chrono_literals;
@@ -70,7 +70,7 @@
     }
   }
 
-  std::map<std::uint32_t, class_result> play() {
+  std::map<std::uint32_t, class_result> simulate() {
     this->at(0ms, [this] { this->arrive(); });
     this->at(0ms, [this] { this->publish_demand(); });
     this->at(0ms, [this] { this->share(); });
@@ -206,7 +206,7 @@
   std::vector<double> known_demand;
   double known_total_demand = 0;
   std::set<std::string> slow;
-  play::event_queue events;
+  simulate::event_queue events;
   std::map<std::uint32_t, class_result> results;
   std::mt19937_64 random{7};
   std::uint64_t calls_made = 0;
@@ -217,9 +217,9 @@
 TEST_CASE("limits of calls in flight serve urgent calls in a burst at little cost to others") {
   load_plan plan;
   plan.limit_calls = false;
-  const auto before = load_simulation(plan).play();
+  const auto before = load_simulation(plan).simulate();
   plan.limit_calls = true;
-  const auto after = load_simulation(plan).play();
+  const auto after = load_simulation(plan).simulate();
   INFO("urgent in time " << before.at(0).share() << " -> " << after.at(0).share() << ", others "
                          << before.at(1).share() << " -> " << after.at(1).share());
   CHECK(after.at(0).share() > 0.5);
@@ -235,9 +235,9 @@
   load_plan plan;
   plan.burst_load = plan.usual_load;
   plan.limit_calls = false;
-  const auto before = load_simulation(plan).play();
+  const auto before = load_simulation(plan).simulate();
   plan.limit_calls = true;
-  const auto after = load_simulation(plan).play();
+  const auto after = load_simulation(plan).simulate();
   for (const std::uint32_t priority : {0U, 1U}) {
     INFO(before.at(priority).share() << " -> " << after.at(priority).share());
     CHECK(after.at(priority).share() > before.at(priority).share() - 0.01);
@@ -249,9 +249,9 @@
   plan.burst_load = plan.usual_load;
   plan.slowdown = slow_factor;
   plan.same_kind = false;
-  const auto without_times = load_simulation(plan).play();
+  const auto without_times = load_simulation(plan).simulate();
   plan.same_kind = true;
-  const auto with_times = load_simulation(plan).play();
+  const auto with_times = load_simulation(plan).simulate();
   INFO("urgent in time " << without_times.at(0).share() << " -> " << with_times.at(0).share());
   CHECK(with_times.at(0).share() > without_times.at(0).share() + 0.03);
 }
--- a/libs/placement/test/speed_load_test.cc
+++ b/libs/placement/test/speed_load_test.cc
@@ -5,9 +5,9 @@
 #include <deque>
 #include <random>
 
+#include "event_queue.h"
 #include "hawthornlane/placement/placement_directory.h"
 #include "hawthornlane/placement/server_pool.h"
-#include "played_events.h"
 
 using namespace hawthornlane;
 using namespace std::chrono_literals;
@@ -40,7 +40,7 @@
   duration report_delay{};
   /// If set, hosts know the age of the loads that they receive.
   bool age_known = true;
-  /// If set, servers have temporary slowdowns.
+  /// If set, servers have slow periods.
   bool slow_periods = true;
   /// If set, all entries of the directory are lost at once during the run.
   bool lose_directory = false;
@@ -89,7 +89,7 @@
     this->states.resize(servers);
   }
 
-  load_result play() {
+  load_result simulate() {
     this->at(0ms, [this] { this->arrive(); });
     this->at(0ms, [this] { this->update_utilization(); });
     this->at(0ms, [this] { this->repeat_reports(); });
@@ -308,7 +308,7 @@
   placement_directory directory;
   std::vector<server_state> states;
   std::map<placement_id, known_call> known;
-  play::event_queue events;
+  simulate::event_queue events;
   load_result result;
   std::mt19937_64 random{7};
   std::uint64_t calls_made = 0;
@@ -340,9 +340,9 @@
     plan.age_known = item.age_known;
     plan.with_affinity = item.with_affinity;
     plan.learns = false;
-    const load_result before = speed_simulation(plan).play();
+    const load_result before = speed_simulation(plan).simulate();
     plan.learns = true;
-    const load_result after = speed_simulation(plan).play();
+    const load_result after = speed_simulation(plan).simulate();
     INFO(item.what << ": in time " << before.share() << " -> " << after.share() << ", mean "
                    << before.mean_ms() << " -> " << after.mean_ms() << " ms, busiest by rate "
                    << before.busiest << " -> " << after.busiest << ", messages a call "
@@ -362,12 +362,12 @@
   const row rows[] = {
       {"low load: no messages", 0.15, 0.01},
       {"less than half full: one per call, and the repeated counts each second", 0.35, 1.25},
-      {"more than half full: also three queries", 0.7, 5},
+      {"more than half full: also three requests", 0.7, 5},
   };
   for (const row& item : rows) {
     load_plan plan;
     plan.load = item.load;
-    const load_result result = speed_simulation(plan).play();
+    const load_result result = speed_simulation(plan).simulate();
     INFO(item.what << ": " << result.messages_per_call() << " messages a call");
     CHECK(result.messages_per_call() <= item.max_messages);
   }
@@ -375,9 +375,9 @@
 
 TEST_CASE("hosts keep their speed estimates when the directory is lost") {
   load_plan plan;
-  const load_result kept = speed_simulation(plan).play();
+  const load_result kept = speed_simulation(plan).simulate();
   plan.lose_directory = true;
-  const load_result lost = speed_simulation(plan).play();
+  const load_result lost = speed_simulation(plan).simulate();
   INFO("in time " << kept.share() << " -> " << lost.share() << ", busiest by rate " << kept.busiest
                   << " -> " << lost.busiest);
   CHECK(lost.share() > kept.share() - 0.01);
--- a/libs/placement/test/turn_load_test.cc
+++ b/libs/placement/test/turn_load_test.cc
@@ -3,10 +3,10 @@
 // again.
 #include <catch2/catch.hpp>
 
-#include "played_turns.h"
+#include "turn_simulation.h"
 
 using namespace hawthornlane;
-using namespace hawthornlane::play;
+using namespace hawthornlane::simulate;
 
 namespace {
 
@@ -33,7 +33,7 @@
       {"24 hosts, 20 servers with 6 slots", small_servers, 0.75, 1.45},
   };
   for (const row& item : rows) {
-    const load_result result = turn_simulation(item.plan).play();
+    const load_result result = turn_simulation(item.plan).simulate();
     const double again = share(result.in_time_after, result.began_after);
     INFO(item.what << ": in time " << share(result.in_time, result.began) << ", after the burst "
                    << again << ", read " << result.read / result.required_read);
@@ -48,9 +48,9 @@
   plan.hosts = 24;
   plan.servers = 20;
   plan.slots = 6;
-  const load_result shared = turn_simulation(plan).play();
+  const load_result shared = turn_simulation(plan).simulate();
   plan.share = false;
-  const load_result alone = turn_simulation(plan).play();
+  const load_result alone = turn_simulation(plan).simulate();
   INFO("in time " << share(alone.in_time, alone.began) << " -> "
                   << share(shared.in_time, shared.began) << ", read "
                   << alone.read / alone.required_read << " -> "
@@ -82,9 +82,9 @@
   for (const row& item : rows) {
     plan.report_delay = item.report_delay;
     plan.learns_speed = false;
-    const load_result before = turn_simulation(plan).play();
+    const load_result before = turn_simulation(plan).simulate();
     plan.learns_speed = true;
-    const load_result after = turn_simulation(plan).play();
+    const load_result after = turn_simulation(plan).simulate();
     const double in_time_before = share(before.in_time, before.began);
     const double in_time = share(after.in_time, after.began);
     INFO(item.what << ": in time " << in_time_before << " -> " << in_time << ", read "
--- a/libs/placement/test/played_turns.h
+++ b/libs/placement/test/turn_simulation.h
@@ -11,9 +11,9 @@
 #include "hawthornlane/placement/place_queue.h"
 #include "hawthornlane/placement/placement_directory.h"
 #include "hawthornlane/placement/server_pool.h"
-#include "turn_plan.h"
+#include "turn_simulation_plan.h"
 
-namespace hawthornlane::play {
+namespace hawthornlane::simulate {
 
 /// Simulates hosts, engines and callers in virtual time. Messages between hosts take no time,
 /// except for grants, which arrive one step later.
@@ -43,7 +43,7 @@
     }
   }
 
-  load_result play() {
+  load_result simulate() {
     constexpr duration drain_time = 20s;
     while (this->now < arrivals_end + drain_time) {
       this->set_limits();
@@ -472,4 +472,4 @@
   load_result result;
 };
 
-}  // namespace hawthornlane::play
+}  // namespace hawthornlane::simulate
--- a/libs/placement/test/turn_plan.h
+++ b/libs/placement/test/turn_simulation_plan.h
@@ -8,7 +8,7 @@
 #include "hawthornlane/placement/prefix_cache_view.h"
 #include "hawthornlane/placement/server_pool.h"
 
-namespace hawthornlane::play {
+namespace hawthornlane::simulate {
 using namespace std::chrono_literals;
 
 constexpr duration step = 5ms;
@@ -27,7 +27,7 @@
 /// Time of one turn at an idle engine: reading, generating, and the pause.
 constexpr double idle_turn_ms = 1000 / read_tokens_per_ms + turn_tokens * token_ms + 120;
 constexpr duration arrivals_end = 24s;
-/// Slowdown factors of fast servers, slow servers, and temporary slowdowns ("spells").
+/// Slowdown factors of fast servers and of slow servers, and the further factor of slow periods.
 constexpr double fast_factor = 0.7;
 constexpr double slow_factor = 1.7;
 constexpr double slow_period_factor = 2.5;
@@ -130,7 +130,7 @@
 
 struct engine {
   backend_entry entry;
-  /// Slowdown factor, and time offset of its temporary slowdowns.
+  /// Slowdown factor, and time offset of its slow periods.
   double factor = 1;
   duration slow_period_offset{};
   std::vector<placement_id> running;
@@ -145,4 +145,4 @@
   directory_update update;
 };
 
-}  // namespace hawthornlane::play
+}  // namespace hawthornlane::simulate
