--- a/libs/placement/test/played_events.h
+++ b/libs/placement/test/event_queue.h
@@ -1,4 +1,4 @@
-// Virtual time of played loads: what is to happen, in its order.
+// Event queue with virtual time for simulated loads.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,16 @@
 
 #include "hawthornlane/units/quantities.h"
 
-namespace hawthornlane::play {
+namespace hawthornlane::simulate {
 
-/// Events at the same moment happen in the order in which they were planned.
-class played_events {
+/// Runs events in order of time. Events at the same time run in the order in which they were added.
+class event_queue {
 public:
+  /// Schedules `act` to run `after` from now.
   void at(duration after, std::function<void()> act) {
-    this->events.push({this->time + after, ++this->planned, std::move(act)});
+    this->events.push({this->time + after, ++this->last_order, std::move(act)});
   }
-  /// Until nothing is left to happen.
+  /// Runs until no events are left.
   void run() {
     while (!this->events.empty()) {
       const event next = this->events.top();
@@ -40,8 +41,8 @@
   };
 
   duration time{};
-  std::uint64_t planned = 0;
+  std::uint64_t last_order = 0;
   std::priority_queue<event> events;
 };
 
-}  // namespace hawthornlane::play
+}  // namespace hawthornlane::simulate
--- a/libs/placement/test/server_health_test.cc
+++ b/libs/placement/test/server_health_test.cc
@@ -1,4 +1,4 @@
-// Tables over what calls say about a server.
+// Tests how the outcomes and times of calls affect a server's health.
 #include "hawthornlane/placement/server_health.h"
 
 #include <catch2/catch.hpp>
@@ -13,22 +13,24 @@
 
 }  // namespace
 
-TEST_CASE("a server that fails often is doubted, and is tried again after a while") {
+TEST_CASE("a server that fails often is degraded, and is used again after a while") {
   using enum server_outcome;
   struct row {
     const char* what;
     std::vector<server_outcome> outcomes;
-    bool doubted;
+    bool degraded;
   };
   const row rows[] = {
-      {"nothing is known", {}, false},
-      {"it answers", {answered, answered, answered}, false},
+      {"no calls", {}, false},
+      {"answers only", {answered, answered, answered}, false},
       {"one failure", {answered, failed}, false},
-      {"two in a row", {failed, error_answer}, true},
-      {"two in three", {error_answer, answered, error_answer}, true},
-      {"two in six", {failed, answered, answered, answered, answered, failed}, false},
-      {"full, not faulty", {refused, refused, refused}, false},
-      {"callers that left", {caller_left, caller_left, caller_left}, false},
+      {"two failures in a row", {failed, error_answer}, true},
+      {"two failures in three calls", {error_answer, answered, error_answer}, true},
+      {"two failures in six calls",
+       {failed, answered, answered, answered, answered, failed},
+       false},
+      {"refusals of a full server", {refused, refused, refused}, false},
+      {"callers that disconnect", {caller_left, caller_left, caller_left}, false},
   };
   const health_rules rules;
   for (const row& item : rows) {
@@ -37,41 +39,41 @@
     duration now = 0s;
     for (const server_outcome outcome : item.outcomes) {
       now += 50ms;
-      health.note(outcome, rules, at(now));
+      health.record_outcome(outcome, rules, at(now));
     }
-    CHECK(health.doubted(rules, at(now)) == item.doubted);
-    CHECK_FALSE(health.doubted(rules, at(now + 8s)));
+    CHECK(health.degraded(rules, at(now)) == item.degraded);
+    CHECK_FALSE(health.degraded(rules, at(now + 8s)));
   }
 }
 
-TEST_CASE("a server is doubted when its times stand out from the others'") {
+TEST_CASE("a server is degraded if its calls are much slower than those of other servers") {
   struct row {
     const char* what;
-    /// Of the server in question, and of all others, in parts of the usual time.
+    /// Call times of this server and of all others, as multiples of the usual time.
     double own;
     double others;
-    /// Calls of one kind differ by this factor, up and down by turns.
+    /// Calls are alternately longer and shorter by this factor.
     double spread;
     int calls;
-    bool doubted;
+    bool degraded;
   };
   const row rows[] = {
-      {"as quick as the others", 1, 1, 1.3, 20, false},
-      {"half as slow again", 1.5, 1, 1.3, 20, false},
-      {"four times slower, first call of an even kind", 4, 1, 1.3, 1, false},
-      {"four times slower, second call of an even kind", 4, 1, 1.3, 2, true},
-      {"eight times slower, first call of an even kind", 8, 1, 1.3, 1, true},
-      {"four times slower, first call of an uneven kind", 4, 1, 2.7, 1, false},
-      {"four times slower, tenth call of an uneven kind", 4, 1, 2.7, 10, true},
-      {"all are slow: overload", 4, 4, 1.3, 20, false},
-      {"slow among slow ones", 16, 4, 1.3, 6, true},
+      {"as fast as the others", 1, 1, 1.3, 20, false},
+      {"1.5 times slower", 1.5, 1, 1.3, 20, false},
+      {"4 times slower, first call, low variance", 4, 1, 1.3, 1, false},
+      {"4 times slower, second call, low variance", 4, 1, 1.3, 2, true},
+      {"8 times slower, first call, low variance", 8, 1, 1.3, 1, true},
+      {"4 times slower, first call, high variance", 4, 1, 2.7, 1, false},
+      {"4 times slower, tenth call, high variance", 4, 1, 2.7, 10, true},
+      {"all servers are slow: overload", 4, 4, 1.3, 20, false},
+      {"slower than others under overload", 16, 4, 1.3, 6, true},
   };
   constexpr std::uint64_t kind = 7;
   constexpr duration usual = 50ms;
   const health_rules rules;
   for (const row& item : rows) {
     INFO(item.what);
-    usual_times times;
+    baseline_times times;
     server_health health;
     int made = 0;
     const auto took = [&](double factor) {
@@ -89,16 +91,16 @@
         times.compare(kind, took(item.others), false);
       }
       now += 50ms;
-      health.note_pace(times.compare(kind, took(item.own), false), rules, at(now));
+      health.record_time(times.compare(kind, took(item.own), false), rules, at(now));
     }
-    CHECK(health.doubted(rules, at(now)) == item.doubted);
+    CHECK(health.degraded(rules, at(now)) == item.degraded);
   }
 }
 
-TEST_CASE("a call that is still waiting says that a server is slow, never that it is quick") {
-  usual_times times;
-  CHECK(times.compare(1, 5s, true).pace == 0);
+TEST_CASE("the time so far of a pending call can make a server slower but never faster") {
+  baseline_times times;
+  CHECK(times.compare(1, 5s, true).log_ratio == 0);
   times.compare(1, 100ms, false);
-  CHECK(times.compare(1, 1ms, true).pace == 0);
-  CHECK(times.compare(1, 1s, true).pace == Approx(2.3).margin(0.01));
+  CHECK(times.compare(1, 1ms, true).log_ratio == 0);
+  CHECK(times.compare(1, 1s, true).log_ratio == Approx(2.3).margin(0.01));
 }
--- a/libs/placement/test/server_pool_speed_test.cc
+++ b/libs/placement/test/server_pool_speed_test.cc
@@ -1,5 +1,5 @@
-// A pool that learns speeds, and its words in the directory, when servers start again, tellers
-// die and hosts are alone.
+// Tests speed estimates in a server pool and in the directory: with a single host, after restarts
+// of servers and after deaths of hosts.
 #include <catch2/catch.hpp>
 #include <cmath>
 
@@ -27,10 +27,10 @@
   return all;
 }
 
-/// One host's calls, one at a time; `s0` takes `factor` times as long as the others.
-class lone_host {
+/// One host that makes one call at a time; `s0` takes `factor` times as long as the other servers.
+class single_host {
 public:
-  explicit lone_host(bool learns = true)
+  explicit single_host(bool learns = true)
       : pool(rules(learns), host_id("h"), availability_zone("z")) {
     this->pool.set_servers(entries(), timestamp{});
   }
@@ -42,7 +42,7 @@
   }
   [[nodiscard]] timestamp moment() const { return timestamp(this->now); }
 
-  /// The server that it went to.
+  /// Makes one call and returns its server.
   backend_server_id call(std::uint64_t affinity = 0) {
     placement_request request;
     request.id = placement_id(++this->calls);
@@ -58,7 +58,7 @@
     this->pool.tick(this->moment());
     return to;
   }
-  /// Calls at the slow server.
+  /// Makes `times` calls and returns the number of those at the slow server.
   int call_times(int times) {
     int at_slow = 0;
     for (int number = 0; number < times; ++number) {
@@ -66,10 +66,10 @@
     }
     return at_slow;
   }
-  double pace_of_slow() const {
-    for (const server_slowdown& pace : this->pool.slowdowns(this->moment())) {
-      if (pace.id == slow_server) {
-        return pace.factor;
+  double slowdown_of_slow_server() const {
+    for (const server_slowdown& slowdown : this->pool.slowdowns(this->moment())) {
+      if (slowdown.id == slow_server) {
+        return slowdown.factor;
       }
     }
     return 1;
@@ -85,16 +85,16 @@
 
 }  // namespace
 
-TEST_CASE("a host alone learns by its own calls and sends a slow server fewer") {
-  lone_host host;
+TEST_CASE("a single host detects a slow server by its own calls and sends it fewer calls") {
+  single_host host;
   host.call_times(200);
-  CHECK(host.pace_of_slow() > 1.8);
-  // By its speed it is due one in thirteen; without that, one in six.
+  CHECK(host.slowdown_of_slow_server() > 1.8);
+  // In proportion to its speed it gets 1 of 13 calls, without speed estimates 1 of 6.
   CHECK(host.call_times(600) < 70);
 }
 
-TEST_CASE("what is not to be learnt is not learnt, told or heard") {
-  lone_host host(false);
+TEST_CASE("without learns_speed no speed is estimated, reported, requested or accepted") {
+  single_host host(false);
   host.call_times(200);
   host.pool.set_utilization(1);
   host.pool.set_remote_speed({key, {900, 400, 0, 0}}, host.moment());
@@ -107,43 +107,43 @@
   CHECK(host.pool.directory_request_for(request, host.moment()).empty());
 }
 
-TEST_CASE("a new host goes by what others tell") {
-  lone_host host;
+TEST_CASE("a new host uses the speeds that other hosts report") {
+  single_host host;
   host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
-  CHECK(host.pace_of_slow() == Approx(2.4).margin(0.1));
+  CHECK(host.slowdown_of_slow_server() == Approx(2.4).margin(0.1));
   CHECK(host.call_times(130) < 20);
 }
 
-TEST_CASE("nothing is known of a server that has started again under its id") {
-  lone_host host;
+TEST_CASE("a restarted server does not keep the speed estimate of its former process") {
+  single_host host;
   host.call_times(200);
   host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
-  REQUIRE(host.pace_of_slow() > 2);
+  REQUIRE(host.slowdown_of_slow_server() > 2);
   host.pool.set_servers(entries(200), host.moment());
   CHECK(host.pool.slowdowns(host.moment()).empty());
 
-  SECTION("what is still told of the former one does not count") {
+  SECTION("reports about the former process are ignored") {
     host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
     CHECK(host.pool.slowdowns(host.moment()).empty());
   }
-  SECTION("it is used as others are when it is as fast") {
+  SECTION("it is used like the others if it is as fast now") {
     host.factor = 1;
     host.call_times(100);
-    CHECK(host.pace_of_slow() < 1.2);
+    CHECK(host.slowdown_of_slow_server() < 1.2);
   }
 }
 
-TEST_CASE("what other hosts told of a server's speed fades after they died") {
+TEST_CASE("speed reports of dead hosts decay and expire") {
   struct row {
     const char* what;
     duration since;
-    std::uint16_t least_weight;
-    std::uint16_t most_weight;
+    std::uint16_t min_weight;
+    std::uint16_t max_weight;
   };
-  // In eighths; each of two hosts had told a weight of 10.
+  // Weights are in eighths; each of two hosts has reported a weight of 10.
   const row rows[] = {
       {"at once", 0s, 160, 160},
-      {"after the fading time", 15s, 55, 62},
+      {"after the decay time", 15s, 55, 62},
       {"after a minute", 60s, 1, 4},
       {"after its lifetime", 120s, 0, 0},
   };
@@ -153,16 +153,16 @@
     directory.set_speed(host_id("a"), {key, {800, 80, 0, 0}}, timestamp{});
     directory.set_speed(host_id("b"), {key, {800, 80, 0, 0}}, timestamp{});
     const timestamp later(item.since);
-    // Another server's word has old ones dropped.
+    // A report about another server causes expired reports to be dropped.
     directory.set_speed(host_id("c"), {server_key(1), {}}, later);
-    const auto heard = directory.speed_of_others(key, host_id("asker"), later);
-    const std::uint16_t weight = heard ? heard->word.slow_weight : 0;
-    CHECK(weight >= item.least_weight);
-    CHECK(weight <= item.most_weight);
+    const auto received = directory.speed_of_others(key, host_id("asker"), later);
+    const std::uint16_t weight = received ? received->word.slow_weight : 0;
+    CHECK(weight >= item.min_weight);
+    CHECK(weight <= item.max_weight);
   }
 }
 
-TEST_CASE("a host hears the newest word of each other host, never its own") {
+TEST_CASE("a host gets the latest speed reports of other hosts but not its own") {
   placement_directory directory;
   const timestamp now{};
   directory.set_speed(host_id("a"), {key, {800, 80, 0, 0}}, now);
@@ -170,29 +170,29 @@
   CHECK_FALSE(directory.speed_of_others(server_key(1), host_id("b"), now));
   directory.set_speed(host_id("a"), {key, {100, 80, 0, 0}}, now);
   directory.set_speed(host_id("b"), {key, {500, 240, 0, 0}}, now);
-  const auto heard = directory.speed_of_others(key, host_id("c"), now);
-  REQUIRE(heard);
-  CHECK(heard->word.slow == 400);
-  CHECK(heard->word.slow_weight == 320);
+  const auto received = directory.speed_of_others(key, host_id("c"), now);
+  REQUIRE(received);
+  CHECK(received->word.slow == 400);
+  CHECK(received->word.slow_weight == 320);
   CHECK(directory.speed_of_others(key, host_id("b"), now)->word.slow == 100);
 }
 
-TEST_CASE("calls without a prompt are told at their beginning and end as the load wants") {
+TEST_CASE("starts and ends of calls without a prompt are reported only at high utilization") {
   struct row {
     const char* what;
-    double fill;
+    double utilization;
     std::size_t at_begin;
     std::size_t at_end;
   };
   const row rows[] = {
-      {"little load", 0.2, 0, 0},
-      {"below half full, only what the end says of speed", 0.3, 0, 1},
-      {"nearly half full", 0.48, 1, 1},
+      {"low utilization: nothing", 0.2, 0, 0},
+      {"below 0.45: only the end, for its speed sample", 0.3, 0, 1},
+      {"above 0.45: start and end", 0.48, 1, 1},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    lone_host host;
-    host.pool.set_utilization(item.fill);
+    single_host host;
+    host.pool.set_utilization(item.utilization);
     placement_request request;
     request.id = placement_id(1);
     request.give_up_at = timestamp(10s);
@@ -205,58 +205,58 @@
   }
 }
 
-TEST_CASE("ends of calls without a prompt wait for others, though not long") {
-  lone_host host;
+TEST_CASE("ends of calls without a prompt are reported in batches after 50 ms") {
+  single_host host;
   host.pool.set_utilization(0.48);
   placement_request request;
   request.id = placement_id(1);
   request.give_up_at = timestamp(10s);
   std::vector<placement> placed;
   host.pool.submit(request, timestamp{}, placed);
-  const server_key told = server_key_of(placed.front().server.id, incarnation(100));
-  CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 1}});
+  const server_key reported_key = server_key_of(placed.front().server.id, incarnation(100));
+  CHECK(host.pool.take_update().loads == std::vector<server_load>{{reported_key, 1}});
   host.pool.finished(request.id, server_outcome::answered, timestamp(100ms));
   CHECK(host.pool.take_update().empty());
   CHECK_FALSE(host.pool.flush_ended_calls(timestamp(120ms)));
   CHECK(host.pool.flush_ended_calls(timestamp(150ms)));
-  CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 0}});
+  CHECK(host.pool.take_update().loads == std::vector<server_load>{{reported_key, 0}});
 }
 
-TEST_CASE("other hosts are asked about plain calls only when servers are half full") {
+TEST_CASE("outdated loads are requested for calls without a prompt only at high utilization") {
   struct row {
     const char* what;
-    double fill;
-    duration heard_ago;
-    std::size_t asked;
+    double utilization;
+    duration load_age;
+    std::size_t requested;
   };
   const row rows[] = {
-      {"little load", 0.2, 10s, 0},
-      {"told, not asked", 0.4, 10s, 0},
+      {"low utilization", 0.2, 10s, 0},
+      {"utilization for reports but not for requests", 0.4, 10s, 0},
       {"more than half", 0.6, 10s, 3},
-      {"more than half, just heard", 0.6, 50ms, 0},
+      {"more than half, recent loads", 0.6, 50ms, 0},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    lone_host host;
+    single_host host;
     host.now = 20s;
-    host.pool.set_utilization(item.fill);
+    host.pool.set_utilization(item.utilization);
     for (const backend_entry& entry : entries()) {
       const server_key server = server_key_of(entry.id, entry.start);
-      host.pool.set_remote_load({server, 1}, host.moment() - item.heard_ago);
+      host.pool.set_remote_load({server, 1}, host.moment() - item.load_age);
     }
     placement_request request;
     request.id = placement_id(1);
-    CHECK(host.pool.directory_request_for(request, host.moment()).servers.size() == item.asked);
+    CHECK(host.pool.directory_request_for(request, host.moment()).servers.size() == item.requested);
   }
 }
 
-TEST_CASE("a plain call goes to the server with least work of all hosts") {
-  lone_host host;
+TEST_CASE("a call without a prompt goes to the server with the least work of all hosts") {
+  single_host host;
   for (const backend_entry& entry : entries()) {
     const server_key server = server_key_of(entry.id, entry.start);
     host.pool.set_remote_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
   }
-  // Three servers are weighed for each call, so that some do not see the free one.
+  // Each call has only three candidates, so some calls don't consider the free server.
   int at_free = 0;
   for (std::uint64_t number = 1; number <= 100; ++number) {
     placement_request request;
--- a/libs/placement/test/server_speed_test.cc
+++ b/libs/placement/test/server_speed_test.cc
@@ -1,4 +1,4 @@
-// Tables over how fast servers are believed to be.
+// Tests the speed estimates of servers.
 #include "hawthornlane/placement/server_speed.h"
 
 #include <array>
@@ -13,19 +13,20 @@
 
 timestamp at(duration since) { return timestamp(since); }
 
-/// One host's calls at some servers, one after the other.
-class played_servers {
+/// Simulates the calls of one host at some servers, one after the other.
+class server_simulation {
 public:
-  explicit played_servers(std::vector<double> with) : factors(std::move(with)) {
+  explicit server_simulation(std::vector<double> with) : factors(std::move(with)) {
     this->speeds.resize(this->factors.size());
   }
 
-  /// A call of 140 ms at an idle server of factor 1.
+  /// Makes a call that takes 140 ms at an idle server with factor 1.
   void call(std::size_t server, double load = 1, std::uint64_t kind = 1) {
     std::lognormal_distribution<double> spread(0, this->noise);
     const double usual = 0.14 * static_cast<double>(kind);
-    const double took = usual * this->factors[server] * this->common * load * spread(this->random);
-    this->note(server, from_seconds(took), load, kind);
+    const double took =
+        usual * this->factors[server] * this->common_slowdown * load * spread(this->random);
+    this->add_sample(server, from_seconds(took), load, kind);
   }
   void call_each(int times) {
     for (int number = 0; number < times; ++number) {
@@ -46,18 +47,18 @@
   std::vector<server_speed> speeds;
   speed_rules rules;
   double noise = 0.3;
-  /// All calls take so many times longer.
-  double common = 1;
+  /// Slowdown factor of all calls.
+  double common_slowdown = 1;
   duration now{};
 
 private:
-  void note(std::size_t server, duration took, double load, std::uint64_t kind) {
+  void add_sample(std::size_t server, duration took, double load, std::uint64_t kind) {
     server_speed& speed = this->speeds[server];
     const double expected = speed.expected(this->rules, at(this->now));
     const auto sample =
         this->times.compare(kind, timed_part::whole, took, load, expected, this->rules);
     if (sample) {
-      speed.note(*sample, this->rules, at(this->now));
+      speed.add_sample(*sample, this->rules, at(this->now));
     }
   }
 
@@ -67,7 +68,7 @@
 
 }  // namespace
 
-TEST_CASE("servers that differ are told apart after some calls") {
+TEST_CASE("the ratio of two servers' speeds is estimated after some calls") {
   struct row {
     const char* what;
     std::array<double, 3> factors;
@@ -77,13 +78,13 @@
     double margin;
   };
   const row rows[] = {
-      {"all the same", {1, 1, 1}, 0.3, 60, 1, 0.2},
-      {"the slow one at 2.4 times the others", {0.7, 0.7, 1.7}, 0.3, 60, 2.43, 0.4},
-      {"calls that differ by two times", {0.7, 0.7, 1.7}, 0.7, 150, 2.43, 0.6},
-      {"the fast one at half of the others", {1, 1, 0.5}, 0.3, 60, 0.5, 0.1},
+      {"equal servers", {1, 1, 1}, 0.3, 60, 1, 0.2},
+      {"one server is 2.4 times slower", {0.7, 0.7, 1.7}, 0.3, 60, 2.43, 0.4},
+      {"call times vary by a factor of 2", {0.7, 0.7, 1.7}, 0.7, 150, 2.43, 0.6},
+      {"one server is 2 times faster", {1, 1, 0.5}, 0.3, 60, 0.5, 0.1},
   };
   for (const row& item : rows) {
-    played_servers servers({item.factors.begin(), item.factors.end()});
+    server_simulation servers({item.factors.begin(), item.factors.end()});
     servers.noise = item.noise;
     servers.call_each(item.calls);
     INFO(item.what << ": " << servers.slow(0) << ", " << servers.slow(1) << ", "
@@ -93,20 +94,20 @@
   }
 }
 
-TEST_CASE("a few calls say little, and nothing is known of a server without any") {
-  played_servers servers({1, 1, 1});
+TEST_CASE("a single sample has limited weight against the prior") {
+  server_simulation servers({1, 1, 1});
   servers.call_each(30);
   CHECK(server_speed().slow(servers.rules, at(0s)) == 0);
   server_speed unknown;
-  unknown.note({std::log(2.4), 1}, servers.rules, at(servers.now));
+  unknown.add_sample({std::log(2.4), 1}, servers.rules, at(servers.now));
   CHECK(std::exp(unknown.slow(servers.rules, at(servers.now))) < 1.6);
 }
 
-TEST_CASE("without calls half of a belief is forgotten in 70 s, and nearly all in 4 minutes") {
-  played_servers servers({0.7, 0.7, 1.7});
+TEST_CASE("without calls an estimate halves in 70 s and is nearly gone after 4 minutes") {
+  server_simulation servers({0.7, 0.7, 1.7});
   servers.call_each(1000);
   for (server_speed& speed : servers.speeds) {
-    speed.hear({530, 4000, 0, 0}, at(servers.now));
+    speed.set_remote_estimate({530, 4000, 0, 0}, at(servers.now));
   }
   const double known = std::log(servers.slow(2));
   REQUIRE(known > 0.4);
@@ -116,8 +117,8 @@
   CHECK(std::log(servers.slow(2)) < 0.01 * known);
 }
 
-TEST_CASE("a server that has become fast is believed to be within 40 s") {
-  played_servers servers({0.7, 0.7, 1.7});
+TEST_CASE("a server that has become fast is recognized within 40 s") {
+  server_simulation servers({0.7, 0.7, 1.7});
   servers.call_each(300);
   REQUIRE(servers.slow(2) > 1.5 * servers.slow(0));
   servers.factors[2] = 0.7;
@@ -125,15 +126,15 @@
   CHECK(servers.slow(2) < 1.15 * servers.slow(0));
 }
 
-TEST_CASE("a full server is not a slow one") {
+TEST_CASE("a server is not estimated as slow because it is full") {
   struct row {
     const char* what;
     double load;
   };
-  const row rows[] = {{"nearly full", 1.35}, {"one place short", 1.6}, {"a second round", 2.4}};
+  const row rows[] = {{"nearly full", 1.35}, {"slightly overfull", 1.6}, {"calls wait", 2.4}};
   for (const row& item : rows) {
     INFO(item.what);
-    played_servers servers({1, 1, 1});
+    server_simulation servers({1, 1, 1});
     for (int number = 0; number < 100; ++number) {
       servers.call(0);
       servers.call(1);
@@ -144,19 +145,19 @@
   }
 }
 
-TEST_CASE("when all servers take longer, none of them is slow") {
-  played_servers servers({0.7, 0.7, 1.7});
+TEST_CASE("a slowdown of all servers is not attributed to a single server") {
+  server_simulation servers({0.7, 0.7, 1.7});
   servers.noise = 0.15;
   servers.call_each(200);
   const double before = servers.slow(2) / servers.slow(0);
-  servers.common = 4;
+  servers.common_slowdown = 4;
   servers.call_each(60);
   CHECK(servers.slow(2) / servers.slow(0) == Approx(before).margin(0.4));
   CHECK(servers.slow(0) < 1.3);
 }
 
-TEST_CASE("what a server got of long and short calls does not bear on its speed") {
-  played_servers servers({1, 1, 1});
+TEST_CASE("the mix of long and short calls does not affect a server's speed estimate") {
+  server_simulation servers({1, 1, 1});
   for (int number = 0; number < 200; ++number) {
     servers.call(0, 1, 1);
     servers.call(1, 1, 1 + number % 2 * 7);
@@ -166,10 +167,10 @@
   CHECK(servers.slow(2) / servers.slow(0) == Approx(1).margin(0.15));
 }
 
-TEST_CASE("a short slowness is seen within 0.4 s and over 0.6 s after its end") {
-  // All calls of a server, 28 a second, as its keeper hears of them; in a spell it is 2.5 times
-  // slower, which is so for a seventh of the time.
-  played_servers servers({0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 1.7, 1.7, 1.7, 1.7});
+TEST_CASE("a temporary slowdown is detected within 0.4 s and gone 0.6 s after its end") {
+  // Each server gets 28 calls per second, the calls of all hosts together. Server 0 is 2.5 times
+  // slower for a seventh of the time.
+  server_simulation servers({0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 0.7, 1.7, 1.7, 1.7, 1.7});
   const auto call_for = [&](duration span) {
     for (const duration end = servers.now + span; servers.now < end; servers.now += 36ms) {
       for (std::size_t server = 0; server < servers.factors.size(); ++server) {
@@ -177,7 +178,7 @@
       }
     }
   };
-  for (int spell = 0; spell < 10; ++spell) {
+  for (int repetition = 0; repetition < 10; ++repetition) {
     call_for(3400ms);
     servers.factors[0] = 0.7 * 2.5;
     call_for(600ms);
@@ -189,7 +190,7 @@
   servers.factors[0] = 0.7 * 2.5;
   call_for(400ms);
   CHECK(servers.expected(0) > 1.7 * before);
-  // What the server is does not change by it.
+  // The lasting slowdown does not change.
   CHECK(servers.slow(0) < 1.15 * slow_before);
   call_for(200ms);
   servers.factors[0] = 0.7;
@@ -197,50 +198,50 @@
   CHECK(servers.expected(0) < 1.3 * before);
 }
 
-TEST_CASE("what is heard is weighed by its calls, and never told on nor counted twice") {
+TEST_CASE("a received estimate is weighted, not counted twice, and not reported again") {
   struct row {
     const char* what;
-    speed_word heard;
+    speed_estimate received;
     double slow;
   };
-  // The own word is twice as slow, by a weight of 4.
+  // The host's own estimate is twice as slow, with a weight of 4.
   const double own = std::log(2.0);
   const row rows[] = {
-      {"nothing", {}, own * 4 / 5},
-      {"a light word", {0, 8, 0, 0}, own * 4 / 6},
-      {"a heavy word", {0, 320, 0, 0}, own * 4 / 45},
-      {"the same word", {693, 320, 0, 0}, own * 44 / 45},
+      {"none", {}, own * 4 / 5},
+      {"low weight", {0, 8, 0, 0}, own * 4 / 6},
+      {"high weight", {0, 320, 0, 0}, own * 4 / 45},
+      {"equal to the own estimate", {693, 320, 0, 0}, own * 44 / 45},
   };
   const speed_rules rules;
   for (const row& item : rows) {
     INFO(item.what);
     server_speed speed;
-    speed.note({own, 4}, rules, at(1s));
-    const speed_word before = speed.own_word(rules, at(1s));
+    speed.add_sample({own, 4}, rules, at(1s));
+    const speed_estimate before = speed.own_estimate(rules, at(1s));
     for (int number = 0; number < 10; ++number) {
-      speed.hear(item.heard, at(1s));
+      speed.set_remote_estimate(item.received, at(1s));
     }
     CHECK(speed.slow(rules, at(1s)) == Approx(item.slow).margin(0.002));
-    CHECK(speed.own_word(rules, at(1s)) == before);
+    CHECK(speed.own_estimate(rules, at(1s)) == before);
     CHECK(before.slow == 693);
     CHECK(before.slow_weight == 32);
   }
 }
 
-TEST_CASE("a mean of words goes by their weights and ages") {
+TEST_CASE("the mean of several hosts' estimates depends on their weights and ages") {
   const speed_rules rules;
   struct row {
     const char* what;
-    std::vector<std::pair<speed_word, duration>> words;
+    std::vector<std::pair<speed_estimate, duration>> words;
     std::int16_t slow;
     std::uint16_t slow_weight;
   };
   const row rows[] = {
-      {"none", {}, 0, 0},
-      {"one", {{{500, 16, 0, 0}, 0s}}, 500, 16},
-      {"two of one weight", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 0s}}, 200, 32},
-      {"an old one", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 300s}}, 500, 16},
-      {"more than a belief weighs", {{{500, 60000, 0, 0}, 0s}}, 500, 400},
+      {"no estimate", {}, 0, 0},
+      {"one estimate", {{{500, 16, 0, 0}, 0s}}, 500, 16},
+      {"two of equal weight", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 0s}}, 200, 32},
+      {"one of two is old", {{{500, 16, 0, 0}, 0s}, {{-100, 16, 0, 0}, 300s}}, 500, 16},
+      {"a weight above the upper bound", {{{500, 60000, 0, 0}, 0s}}, 500, 400},
   };
   for (const row& item : rows) {
     INFO(item.what);
