--- a/libs/accounts/include/hawthornlane/accounts/account_scope.h
+++ b/libs/accounts/include/hawthornlane/accounts/account_scope.h
@@ -1,4 +1,4 @@
-// Names that callers choose, kept apart by account.
+// Qualifies names that callers choose by their account.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace hawthornlane {
 
-/// What an account's name for a program, a line or a turn is called between hosts and on disks:
-/// two accounts that choose the same name never meet. The length goes first, so that no account's
-/// name and id together read like another's. An empty account: callers without a key, beside
-/// others that have one.
+/// Name of an account's program, line or turn as hosts and disks use it. Equal names of two
+/// accounts stay distinct. The account's length goes first, so that no two pairs of account and id
+/// yield the same text. The account is empty for callers without a key; others may have one at the
+/// same time.
 inline std::string within_account(const client_account& account, std::string_view id) {
   std::string name = std::to_string(account.get().size());
   name += ':';
--- a/libs/accounts/include/hawthornlane/accounts/account_table.h
+++ b/libs/accounts/include/hawthornlane/accounts/account_table.h
@@ -1,4 +1,4 @@
-// The client accounts of a configuration, and whose key a caller shows. No I/O, clock or
+// The client accounts of a configuration, and look-up of an account by its key. No I/O, clock or
 // randomness.
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace hawthornlane {
 
-/// How many calls an account may make, over all hosts together.
+/// Limit of an account's calls, over all hosts together.
 struct account_limit {
-  /// Calls a second; 0: as many as it likes.
+  /// Calls a second; 0: unlimited.
   double calls_per_second = 0;
-  /// On top of the rate, at any one moment.
+  /// Calls that may be made at once in addition to the rate.
   double burst = 0;
 
   [[nodiscard]] bool limits() const { return this->calls_per_second > 0; }
@@ -29,43 +29,43 @@
   }
 };
 
-/// One account as hosts use it. Its keys lie in the table alone.
+/// One account as hosts use it. Its keys are stored only in the table.
 struct account {
   client_account name;
-  /// Goes before a route's own; 0 is the most urgent.
+  /// Overrides the route's priority; 0 is the most urgent.
   std::optional<std::uint32_t> priority;
   account_limit limit;
 
   friend bool operator==(const account&, const account&) = default;
 };
 
-/// One account as the operator writes it.
+/// One account as the operator configures it.
 struct account_entry {
   account terms;
-  /// Secrets: never to be logged or named in an error.
+  /// Secrets: never log them or include them in an error.
   std::vector<std::string> keys;
 };
 
-/// Accounts by their keys. Immutable.
+/// Maps keys to accounts. Immutable.
 ///
-/// A key is found by a hash that outsiders cannot foresee and then compared as a whole, so the
-/// time of a look-up tells nothing of how much of a wrong key is right. A look-up takes the same
+/// A key is found by a hash with an unpredictable seed and then compared in constant time, so the
+/// duration of a look-up does not reveal how much of a wrong key is right. A look-up takes the same
 /// few steps for any number of accounts.
 class account_table {
 public:
-  /// Nothing when an account has no name or comes twice, when a key is empty or belongs to two
-  /// accounts, or when there are more keys than a table holds; `reason` names the account and
-  /// never the key. `seed`: of the hash; differs from process to process.
+  /// Null if an account has no name or is listed twice, if a key is empty or belongs to two
+  /// accounts, or if the keys exceed the table's capacity. `reason` then names the account and
+  /// never the key. `seed`: seed of the hash; must differ between processes.
   static std::shared_ptr<const account_table> make(std::vector<account_entry> entries,
                                                    std::uint64_t seed, failure& reason);
 
-  /// The account that holds this key; null when none does.
+  /// Returns the account with this key, null when there is none.
   [[nodiscard]] const account* find(std::string_view key) const;
   [[nodiscard]] const std::vector<account>& accounts() const { return this->all; }
   [[nodiscard]] std::size_t key_count() const { return this->keys; }
 
 private:
-  /// One key: where it lies in `text`, and whose it is.
+  /// One key: its place in `text` and its account.
   struct slot {
     std::uint64_t hash = 0;
     std::uint32_t begins = 0;
@@ -80,9 +80,10 @@
   [[nodiscard]] std::uint64_t hash_of(std::string_view key) const;
 
   std::vector<account> all;
-  /// All keys one behind the other: 39,000 accounts with two keys each take 3 MB so.
+  /// All keys, concatenated: 3 MB for 39,000 accounts with two keys each.
   std::string text;
-  /// Open addressing. Invariant: a power of two, at most half of it taken.
+  /// Hash table with open addressing. Invariant: the size is a power of two, and at most half of
+  /// the slots are taken.
   std::vector<slot> slots;
   std::size_t keys = 0;
   std::uint64_t seed = 0;
--- a/libs/accounts/src/account_table.cc
+++ b/libs/accounts/src/account_table.cc
@@ -1,4 +1,4 @@
-// Accounts by their keys.
+// Look-up of client accounts by key.
 #include "hawthornlane/accounts/account_table.h"
 
 #include <xxhash.h>
@@ -10,7 +10,7 @@
 namespace hawthornlane {
 namespace {
 
-/// Looks at every byte, wherever the first difference is.
+/// Compares all bytes, so that the time does not depend on where the first difference is.
 bool same_secret(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) {
     return false;
@@ -27,7 +27,7 @@
           "client account '" + name.get() + "': " + std::string(what)};
 }
 
-/// The accounts themselves; false when one has no name or comes twice.
+/// False if an account has no name or is listed twice.
 bool check_names(const std::vector<account_entry>& entries, failure& reason) {
   std::set<std::string_view> names;
   for (const account_entry& entry : entries) {
@@ -36,7 +36,7 @@
       return false;
     }
     if (!names.insert(entry.terms.name.get()).second) {
-      reason = fault_of(entry.terms.name, "comes twice");
+      reason = fault_of(entry.terms.name, "is listed twice");
       return false;
     }
   }
@@ -59,7 +59,8 @@
     }
   }
   if (bytes > std::numeric_limits<std::uint32_t>::max()) {
-    reason = {error_kind::document_invalid, "the keys of all client accounts are too long"};
+    reason = {error_kind::document_invalid,
+              "the keys of all client accounts together are longer than 4 GiB"};
     return nullptr;
   }
   const std::shared_ptr<account_table> table(new account_table);
--- a/libs/accounts/test/account_scope_test.cc
+++ b/libs/accounts/test/account_scope_test.cc
@@ -1,11 +1,12 @@
-// Names of one account are never those of another.
+// Names of different accounts must not collide: a collision would let one account read or continue
+// another's turns.
 #include "hawthornlane/accounts/account_scope.h"
 
 #include <catch2/catch.hpp>
 
 using namespace hawthornlane;
 
-TEST_CASE("equal names of two accounts differ, and so do pairs that look alike") {
+TEST_CASE("names of two accounts do not collide, even if one contains the other's prefix") {
   struct row {
     std::string one_account;
     std::string one_id;
--- a/libs/accounts/test/account_table_test.cc
+++ b/libs/accounts/test/account_table_test.cc
@@ -1,4 +1,4 @@
-// Accounts by their keys: whose key it is, and which lists are refused.
+// Look-up of accounts by key, and validation of the account list.
 #include "hawthornlane/accounts/account_table.h"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a key belongs to the account that lists it") {
+TEST_CASE("a key is not attributed to an account that does not list it") {
   struct row {
     std::string key;
     std::string account;
@@ -46,12 +46,12 @@
   CHECK((found == nullptr ? "" : found->name.get()) == account);
 }
 
-TEST_CASE("a table without accounts knows no key") {
+TEST_CASE("an empty table accepts no key") {
   CHECK(table_of({})->find("any") == nullptr);
   CHECK(table_of({entry_of("without keys", {})})->find("any") == nullptr);
 }
 
-TEST_CASE("a list that contradicts itself is refused, and its keys are not told") {
+TEST_CASE("an inconsistent account list is refused without revealing its keys") {
   struct row {
     std::string what;
     std::vector<account_entry> entries;
@@ -72,13 +72,13 @@
   CHECK(reason.detail.find("secret") == std::string::npos);
 }
 
-TEST_CASE("an account may list a key twice") {
+TEST_CASE("a key listed twice by one account is not an error") {
   const auto table = table_of({entry_of("north", {"n-1", "n-1"})});
   CHECK(table->key_count() == 1);
   CHECK(table->find("n-1") != nullptr);
 }
 
-TEST_CASE("every key of a large list is found") {
+TEST_CASE("no key of a large list is missing") {
   constexpr int accounts = 39000;
   std::vector<account_entry> entries;
   for (int number = 0; number < accounts; ++number) {
--- a/libs/cache/include/hawthornlane/cache/pause_predictor.h
+++ b/libs/cache/include/hawthornlane/cache/pause_predictor.h
@@ -1,4 +1,4 @@
-// How long programs pause, and whether their prefixes are worth keeping meanwhile.
+// Predicts how long programs pause, and whether to keep their prefixes meanwhile.
 #pragma once
 
 #include <array>
@@ -15,18 +15,17 @@
 /// What to do with a pausing program's prefix.
 enum class retention : std::uint8_t { keep, release };
 
-/// A histogram of pauses per (service, tool), in buckets of a factor of two from
-/// 10 ms; old pauses fade.
+/// Histograms of pauses per service and tool, in buckets that double from 10 ms. Older pauses have
+/// exponentially less weight.
 class pause_predictor {
 public:
   void add(const service_name& service, const std::string& tool, duration pause);
-  /// The share of pauses like this one that end within `time`.
+  /// Fraction of such pauses that end within `time`.
   [[nodiscard]] double ends_within(const service_name& service, const std::string& tool,
                                    duration time) const;
-  /// Keeps the prefix when the computing that it is expected to save within the
-  /// time that the server would hold it anyway is worth the memory it takes from
-  /// others. `pressure` is the seconds of others' prefill lost per second in which
-  /// these tokens are held.
+  /// Decides to keep the prefix if the expected saving in prefill, within the time `held_for` that
+  /// the server would hold it, is at least the cost of its memory to others. `pressure`: seconds of
+  /// other programs' prefill lost per second for which these tokens are held.
   [[nodiscard]] retention decide(const service_name& service, const std::string& tool,
                                  double prefill_seconds, duration held_for, double pressure) const;
 
--- a/libs/cache/include/hawthornlane/cache/prefix_mirror.h
+++ b/libs/cache/include/hawthornlane/cache/prefix_mirror.h
@@ -1,4 +1,4 @@
-// What a backend server's prefix cache probably holds, from what was sent there.
+// Estimates the contents of a backend server's prefix cache from the calls sent there.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,19 @@
 
 namespace hawthornlane {
 
-/// Mirrors a bounded least-recently-used cache. Cache events of engines come late
-/// and with gaps; this costs no message and is right as long as the engine evicts
-/// in about that order. A program that is wrongly believed to be held costs a
-/// prefill, never more.
+/// Models a bounded LRU cache. Cache events of engines arrive late and with gaps. The model needs
+/// no messages, and is right as long as the engine evicts in roughly LRU order. A wrong entry costs
+/// one prefill at most.
 class prefix_mirror {
 public:
   explicit prefix_mirror(token_count most) : capacity(most) {}
 
-  /// A call of the program is at the server with that many tokens.
+  /// A call of the program with that many tokens was sent to the server.
   void use(const program_id& program, token_count tokens, timestamp now);
   void erase(const program_id& program);
   void clear();
   [[nodiscard]] bool holds(const program_id& program) const;
-  /// Whether room for `tokens` more would push out a prefix that was used less
-  /// than `age` ago.
+  /// True if making room for `tokens` more would evict a prefix used less than `age` ago.
   [[nodiscard]] bool would_evict_recent(token_count tokens, duration age, timestamp now) const;
   [[nodiscard]] token_count held() const { return this->sum; }
 
@@ -36,7 +34,7 @@
   };
   token_count capacity;
   token_count sum{0};
-  /// Least recently used first. Invariant: `index` names every entry once.
+  /// Least recently used first. Invariant: `index` refers to each entry once.
   std::list<entry> entries;
   std::unordered_map<program_id, std::list<entry>::iterator> index;
 };
--- a/libs/cache/include/hawthornlane/cache/release_ledger.h
+++ b/libs/cache/include/hawthornlane/cache/release_ledger.h
@@ -1,4 +1,5 @@
-// Which programs hold engine memory where, and the releases not yet confirmed.
+// Tracks which programs hold engine memory at which servers, and the releases that are not
+// confirmed yet.
 #pragma once
 
 #include <map>
@@ -11,16 +12,16 @@
 
 namespace hawthornlane {
 
-/// Ask that server to give back the program's memory.
+/// Asks the server to release the program's memory.
 struct release_order {
   program_id program;
   backend_server_id server;
 };
 
-/// What a server says that it holds; late and possibly with gaps.
+/// A server's report of the programs that it holds; may be late and have gaps.
 struct cache_report {
   backend_server_id server;
-  /// When the report was true, at the server.
+  /// When the report was correct, at the server.
   timestamp as_of;
   std::set<program_id> holding;
 };
@@ -28,28 +29,29 @@
 struct release_times {
   duration retry_after = std::chrono::seconds(1);
   duration longest_retry = std::chrono::seconds(30);
-  /// Reports may be this old; what was sent since is not judged by them.
+  /// Reports may be this old; calls sent since then are not judged by them.
   duration report_lag = std::chrono::seconds(5);
 };
 
-/// Residency by call and by report, and the orders that are due. No I/O or clock.
+/// Programs at servers by calls and by reports, and the release requests that are due. No I/O or
+/// clock.
 ///
-/// Promise: a program that has ended and was ever sent to a server, or was ever
-/// reported by one, is ordered to be released there until the server confirms or
-/// a later report no longer names it, whatever is lost on the way.
+/// Guarantee: if a program has ended, its release is requested at each server that it was sent to
+/// or that reported it, until the server confirms or a later report no longer contains the program,
+/// whatever messages are lost.
 class release_ledger {
 public:
   explicit release_ledger(release_times timing) : times(timing) {}
 
-  /// A call of the program went to the server.
+  /// A call of the program was sent to the server.
   void sent(const program_id& program, const backend_server_id& server, timestamp now);
-  /// The program has ended, failed, used its budget up or been idle too long.
+  /// The program has ended, failed, used up its budget or been idle too long.
   std::vector<release_order> ended(const program_id& program, timestamp now);
   void confirmed(const program_id& program, const backend_server_id& server);
-  /// Compares a report with the programs that live; orphans are ordered out.
+  /// Compares a report with the live programs; requests the release of all others.
   std::vector<release_order> reported(const cache_report& report, timestamp now,
                                       const std::set<program_id>& living);
-  /// Orders that are due again.
+  /// Returns the release requests that are due again.
   std::vector<release_order> tick(timestamp now);
   [[nodiscard]] std::size_t open_releases() const { return this->releasing.size(); }
 
--- a/libs/cache/src/pause_predictor.cc
+++ b/libs/cache/src/pause_predictor.cc
@@ -1,4 +1,4 @@
-// Predicting pauses from those before.
+// Predicts pauses from earlier ones.
 #include "hawthornlane/cache/pause_predictor.h"
 
 #include <algorithm>
--- a/libs/cache/src/prefix_mirror.cc
+++ b/libs/cache/src/prefix_mirror.cc
@@ -1,4 +1,4 @@
-// A mirrored least-recently-used cache.
+// Model of a server's LRU prefix cache.
 #include "hawthornlane/cache/prefix_mirror.h"
 
 #include <iterator>
--- a/libs/cache/src/release_ledger.cc
+++ b/libs/cache/src/release_ledger.cc
@@ -1,4 +1,4 @@
-// Releases until they are confirmed.
+// Tracks releases of engine memory until they are confirmed.
 #include "hawthornlane/cache/release_ledger.h"
 
 #include <algorithm>
--- a/libs/cache/test/cache_test.cc
+++ b/libs/cache/test/cache_test.cc
@@ -1,4 +1,4 @@
-// Tests of residency, pauses and releases.
+// Tests of the cache model, the prediction of pauses and the releases of engine memory.
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/cache/pause_predictor.h"
@@ -14,7 +14,7 @@
 timestamp at(int seconds) { return timestamp(std::chrono::seconds(seconds)); }
 }  // namespace
 
-TEST_CASE("the mirror evicts the least recently used and protects recent ones") {
+TEST_CASE("the cache model does not evict out of LRU order or give up recently used prefixes") {
   prefix_mirror mirror(token_count(100));
   mirror.use(one, token_count(60), at(0));
   mirror.use(two, token_count(30), at(10));
@@ -26,7 +26,7 @@
   CHECK(mirror.held() == token_count(50));
 }
 
-TEST_CASE("a prefix is kept through short pauses and released through long ones") {
+TEST_CASE("prefixes are not released in short pauses or kept through long ones") {
   pause_predictor predictor;
   const service_name service("diagnosis");
   for (int sample = 0; sample < 50; ++sample) {
@@ -40,7 +40,7 @@
   CHECK(decide("mechanic") == retention::release);
 }
 
-TEST_CASE("a release is ordered again until the server confirms it") {
+TEST_CASE("a release that the server does not confirm is not forgotten") {
   release_ledger ledger({});
   ledger.sent(one, server, at(0));
   CHECK(ledger.ended(one, at(1)).size() == 1);
@@ -53,7 +53,7 @@
   CHECK(ledger.open_releases() == 0);
 }
 
-TEST_CASE("an order whose answer was lost ends with a later report, not an older one") {
+TEST_CASE("a report from before a release does not end it, and a later one does") {
   release_ledger ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(10));
@@ -63,7 +63,7 @@
   CHECK(ledger.open_releases() == 0);
 }
 
-TEST_CASE("memory of programs that nobody here knows is ordered out by report") {
+TEST_CASE("memory of an unknown program in a report is not leaked") {
   release_ledger ledger({});
   const auto orders = ledger.reported({server, at(5), {one, two}}, at(6), {two});
   REQUIRE(orders.size() == 1);
@@ -72,7 +72,7 @@
   CHECK(ledger.tick(at(8)).size() == 1);
 }
 
-TEST_CASE("a program that goes on after its release was ordered is not released") {
+TEST_CASE("a program that continues after its release was requested does not lose its memory") {
   release_ledger ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(1));
--- a/libs/fleet/include/hawthornlane/fleet/check_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/check_schedule.h
@@ -1,4 +1,4 @@
-// Who reads the platform's store for all, and when. No I/O, clock or randomness.
+// Which host reads the platform's store on behalf of all, and when. No I/O, clock or randomness.
 #pragma once
 
 #include <algorithm>
@@ -9,28 +9,28 @@
 
 namespace hawthornlane {
 
-/// Each call to the store is paid for, and a watch may go deaf without a sign: so
-/// one host reads at a fixed pace and tells the others.
+/// Each call to the store costs money, and a watch may stop delivering events without an error. So
+/// one host reads the store at a fixed interval and sends the result to the others.
 ///
-/// Every host tells how old the newest read is that it knows of, and whose it was.
-/// Who read last reads again once that is `pace` old. The others wait longer, each
-/// by its rank, so that the next one takes over when the reader is gone or is turned
-/// away by the store. A host that hears nobody reads for itself.
+/// Every host announces the age of the newest read that it knows, and which host made it. The last
+/// reader reads again once that read is `pace` old. Each other host waits longer, according to its
+/// rank, so that the next one takes over when the reader has failed or is refused by the store. A
+/// host that receives nothing from others reads for itself.
 class check_schedule {
 public:
-  /// With the way from the reader to all hosts, news are everywhere within the two
-  /// seconds that the users ask for, also when the reader has just died.
+  /// Leaves time to reach all hosts within the two seconds that users require, even if the reader
+  /// has just failed.
   static constexpr duration pace = std::chrono::milliseconds(850);
   static constexpr duration takeover_wait = std::chrono::milliseconds(200);
-  /// Between two ranks: longer than a read and the news of it take.
+  /// Between two ranks: longer than a read and the distribution of its result take.
   static constexpr duration rank_step = std::chrono::milliseconds(40);
   static constexpr std::size_t last_step = 10;
-  /// A host that knows nothing yet lets its peers tell it first.
+  /// A host without any state first waits for its peers to send it.
   static constexpr duration first_wait = std::chrono::milliseconds(120);
 
   check_schedule(host_id own, timestamp started) : self(std::move(own)), tried(started) {}
 
-  /// A read of that host succeeded at that moment.
+  /// That host's read of the store succeeded at that time.
   void checked(const host_id& by, timestamp at) {
     if (at > this->newest) {
       this->newest = at;
@@ -38,13 +38,14 @@
       this->known = true;
     }
   }
-  /// A read of this host began; another one is due `pace` later at the earliest.
+  /// A read by this host started; the next one is due after `pace` at the earliest.
   void began(timestamp at) {
     this->tried = at;
     this->has_tried = true;
   }
 
-  /// `rank`: this host's place among those that live.
+  /// True when this host should read the store. `rank`: this host's position among the live hosts,
+  /// from 0.
   [[nodiscard]] bool due(timestamp now, std::size_t rank) const {
     const duration wait = takeover_wait + rank_step * static_cast<int>(std::min(rank, last_step));
     if (!this->known) {
--- a/libs/fleet/include/hawthornlane/fleet/configuration.h
+++ b/libs/fleet/include/hawthornlane/fleet/configuration.h
@@ -13,22 +13,22 @@
 
 namespace hawthornlane {
 
-/// Number of a configuration; rises in uneven steps.
+/// Version of a configuration; increases in steps of varying size.
 using config_version = strong_value<struct config_version_tag, std::uint64_t>;
 /// Name of a route, unique in a configuration.
 using route_name = strong_value<struct route_name_tag, std::string>;
 
-/// What may be done with a call whose answer did not come.
+/// How a call may be retried when its response was lost.
 enum class call_kind : std::uint8_t {
   /// Idempotent: may run more than once.
   idempotent,
   /// Runs at most once.
   once,
-  /// Runs at most once and is answered by events.
+  /// Runs at most once; the response is an event stream.
   stream,
 };
 
-/// One service that a route sends to, and its part of the traffic.
+/// One service that a route sends to, and its relative share of the traffic.
 struct weighted_service {
   service_name service;
   std::uint32_t weight = 1;
@@ -36,39 +36,40 @@
   friend bool operator==(const weighted_service&, const weighted_service&) = default;
 };
 
-/// One route: which calls it takes and how they are served.
+/// One route: the calls that it matches and how they are handled.
 struct route {
   route_name name;
   std::string host_name;
-  /// Begins and ends with a slash.
+  /// Starts and ends with a slash.
   std::string path_prefix;
   call_kind kind = call_kind::once;
-  /// The longest time that a call may be kept waiting.
+  /// Longest time that a call may be kept waiting.
   duration timeout{};
-  /// The time within which an answer, or a stream's first event, is wanted.
+  /// Target time to the response, or to a stream's first event.
   duration latency_objective{};
-  /// The longest wanted pause between two events.
+  /// Target for the longest pause between two events.
   duration gap_objective{};
-  /// Backend servers that one call may be sent to.
+  /// Maximum number of backend servers that one call may be sent to.
   std::uint32_t max_attempts = 1;
   /// 0 is the most urgent.
   std::uint32_t priority = 0;
-  /// Needs no key, also where there are client accounts.
+  /// Accepts calls without a key, even if there are client accounts.
   bool open_to_all = false;
-  /// Servers work faster on an object that they have handled lately.
+  /// Prefer the server that handled the same object last: servers are faster on an object that they
+  /// have handled lately.
   bool sticky = false;
-  /// A broken stream may go on at another server after the last whole event.
+  /// A broken stream may continue at another server after the last complete event.
   bool resumable = false;
-  /// The hosts keep what was said and put it before the next turn.
+  /// The hosts store the turns of a program and prepend them to the next prompt.
   bool keeps_turns = false;
-  /// How long a turn and a budget are kept.
+  /// How long a turn and a budget are stored.
   duration retention{};
   std::vector<weighted_service> services;
 
   friend bool operator==(const route&, const route&) = default;
 };
 
-/// What a service's model engines are.
+/// Properties of a service's model engines.
 struct engine_terms {
   std::uint32_t slots = 1;
   token_count cache_capacity{0};
@@ -82,19 +83,19 @@
 /// One service: a pool of backend servers.
 struct service {
   service_name name;
-  /// Connections that one backend server takes from all hosts together.
+  /// Connections that one backend server accepts from all hosts together.
   std::uint32_t max_connections = 0;
-  /// Present when the servers are model engines.
+  /// Set if the servers are model engines.
   std::optional<engine_terms> engine;
 
   friend bool operator==(const service&, const service&) = default;
 };
 
-/// What a caller may send, and how slowly.
+/// Limits on the size of requests and on slow callers.
 struct caller_limits {
   std::size_t header_bytes = std::size_t{16} * 1024;
   std::size_t body_bytes = std::size_t{4} * 1024 * 1024;
-  /// For a whole head, from its first byte.
+  /// For a complete request head, from its first byte.
   duration header_timeout = std::chrono::seconds(3);
   /// For a connection without a request.
   duration idle_timeout = std::chrono::seconds(15);
--- a/libs/fleet/include/hawthornlane/fleet/fleet_view.h
+++ b/libs/fleet/include/hawthornlane/fleet/fleet_view.h
@@ -1,5 +1,5 @@
-// What one host believes of the deployment: the configuration in force, the
-// backend servers, and the other hosts, from the platform's store and from peers.
+// One host's view of the deployment, from the platform's store and from peers: the configuration in
+// force, the backend servers and the other hosts.
 #pragma once
 
 #include <cstdint>
@@ -18,62 +18,61 @@
 /// Position in the store's history; one counter for all objects.
 using store_revision = strong_value<struct store_revision_tag, std::uint64_t>;
 
-/// A backend server as it registered itself.
+/// A backend server's registration.
 struct backend_entry {
   backend_server_id id;
-  /// A server that starts again keeps its id, and knows nothing of before. 0: it does not
-  /// say when it started.
+  /// Start of the process. A server that restarts keeps its id and loses its state. 0: the server
+  /// does not report its start.
   incarnation start;
   service_name service;
   http::endpoint address;
   availability_zone zone;
-  /// Calls that the server works on at once.
+  /// Calls that the server processes at once.
   std::uint32_t slots = 1;
-  /// The server is leaving: it gets nothing new.
+  /// The server is about to leave and gets no new calls.
   bool draining = false;
 
   friend bool operator==(const backend_entry&, const backend_entry&) = default;
 };
 
-/// What a host of the deployment does.
+/// Role of a host in the deployment.
 enum class host_role : std::uint8_t { front, disk };
 
-/// A host of the deployment as it registered itself.
+/// A host's registration.
 struct host_entry {
   host_id name;
   incarnation start;
   host_role role = host_role::front;
   availability_zone zone;
   std::string region;
-  /// Where callers connect; fronts only.
+  /// Address for callers; front hosts only.
   std::string callers_at;
-  /// Where other hosts connect.
+  /// Address for other hosts.
   http::endpoint peers_at;
-  /// Identity of the disk's contents; disk hosts only. An empty disk has a new one.
+  /// Identity of the disk's contents; disk hosts only. An emptied disk gets a new one.
   std::string disk;
 
   friend bool operator==(const host_entry&, const host_entry&) = default;
 };
 
-/// One entry that changed, or went away.
+/// One changed or removed entry.
 template <class Entry>
 struct entry_change {
   Entry entry;
   bool removed = false;
 };
 
-/// A set of entries that follows one kind of object in the store.
+/// The entries of one kind of object in the store.
 ///
-/// Promises: a state older than the one held is never taken, whoever tells it. An entry of
-/// a backend server's former incarnation changes nothing either: a write of the ended
-/// process may reach the store after those of the new one.
-/// Entries that a listing or an event drops shortly after the store was away are
-/// kept until `doubt_until`, since a live owner writes them again; later a missing
-/// entry counts as gone.
+/// Guarantees: a state older than the current one is never applied, whatever its source. An entry
+/// of a backend server's earlier incarnation is also ignored, since a write of the ended process
+/// may reach the store after those of the new one. Entries that a listing or an event drops shortly
+/// after an outage of the store are kept until `doubt_until`, since a live owner registers again;
+/// after that a missing entry counts as removed.
 template <class Key, class Entry>
 class registry {
 public:
-  /// A whole listing. False when it is older than what is held.
+  /// Applies a complete listing. False if it is older than the current state.
   bool apply_listing(store_revision at, const std::vector<Entry>& entries, timestamp now) {
     if (this->known && at < this->revision) {
       return false;
@@ -94,7 +93,7 @@
     return true;
   }
 
-  /// Changes up to `at`. False when they are older than what is held.
+  /// Applies the changes up to `at`. False if they are older than the current state.
   bool apply_changes(store_revision at, const std::vector<entry_change<Entry>>& changes,
                      timestamp now) {
     if (at < this->revision) {
@@ -118,9 +117,10 @@
     return true;
   }
 
-  /// The store was away until now: what is missing from it may have lapsed.
+  /// The store was unavailable until now, so missing entries may have expired only because their
+  /// owners could not renew them.
   void doubt_removals_until(timestamp until) { this->doubt_until = until; }
-  /// Drops entries whose absence is not in doubt any more.
+  /// Drops missing entries whose removal is final by now.
   void settle(timestamp now) {
     for (const auto& [key, entry] : this->held) {
       this->doubtful.erase(key);
@@ -130,9 +130,9 @@
     }
   }
 
-  /// Entries in the store's latest known state.
+  /// Entries in the latest known state of the store.
   [[nodiscard]] const std::map<Key, Entry>& listed() const { return this->held; }
-  /// Entries that have just gone missing and may come back.
+  /// Entries that are missing from the store but may be registered again.
   [[nodiscard]] const std::map<Key, Entry>& in_doubt() const { return this->doubtful; }
   [[nodiscard]] store_revision at() const { return this->revision; }
   [[nodiscard]] bool heard() const { return this->known; }
@@ -143,9 +143,9 @@
   static bool is_outdated(const backend_entry& told, const backend_entry& known) {
     return told.start < known.start;
   }
-  /// A host's start is by its own clock, which may be set back between two starts.
+  /// A host's start is taken from its own clock, which may be set back between two starts.
   static bool is_outdated(const host_entry& /*told*/, const host_entry& /*known*/) { return false; }
-  /// The entry told, or the one known of a later incarnation.
+  /// Returns the given entry, or the known one if that is of a later incarnation.
   [[nodiscard]] Entry newest_of(const Entry& told) const {
     for (const auto* known : {&this->held, &this->doubtful}) {
       const auto found = known->find(key_of(told));
@@ -166,13 +166,13 @@
 using backend_registry = registry<backend_server_id, backend_entry>;
 using host_registry = registry<host_id, host_entry>;
 
-/// The configuration in force at this host. It never goes back to an older one.
+/// The configuration in force at this host. It is never replaced by an older one.
 class configuration_in_force {
 public:
   [[nodiscard]] bool is_newer(const configuration& candidate) const {
     return !this->table || candidate.version > this->table->version();
   }
-  /// True when it is newer and now in force.
+  /// Puts the candidate in force if it is newer; returns whether it did.
   bool offer(const configuration& candidate) {
     if (!this->is_newer(candidate)) {
       return false;
@@ -180,7 +180,7 @@
     this->table = std::make_shared<const route_table>(candidate);
     return true;
   }
-  /// Null until one was heard.
+  /// Null until a configuration has been received.
   [[nodiscard]] const route_table_ptr& current() const { return this->table; }
 
 private:
--- a/libs/fleet/include/hawthornlane/fleet/route_table.h
+++ b/libs/fleet/include/hawthornlane/fleet/route_table.h
@@ -1,4 +1,4 @@
-// Which route a call takes: by host name, then by the longest path prefix.
+// Selects the route of a call: by host name, then by the longest path prefix.
 #pragma once
 
 #include <map>
@@ -12,17 +12,17 @@
 
 namespace hawthornlane {
 
-/// A configuration with an index over its routes. Immutable, so that a call keeps
-/// the one it began with.
+/// A configuration with an index over its routes. Immutable, so that a call keeps the configuration
+/// that it started with.
 class route_table {
 public:
   explicit route_table(configuration source);
 
-  /// The route of the longest prefix that begins `path`; null when none does.
-  /// `host_name` is compared without letter case.
+  /// Returns the route with the longest prefix of `path`; null when there is none. Case is ignored
+  /// in `host_name`.
   [[nodiscard]] const route* find(std::string_view host_name, std::string_view path) const;
-  /// The service for a call; `draw` is any number that stays the same for calls
-  /// that belong together, so that a program keeps its service.
+  /// Selects the service for a call by weight. Calls that belong together pass the same `draw`, so
+  /// that a program stays with one service.
   [[nodiscard]] static const service_name& choose_service(const route& from, std::uint64_t draw);
   [[nodiscard]] const service* find_service(const service_name& name) const;
 
@@ -31,7 +31,7 @@
 
 private:
   configuration config;
-  /// Prefixes of each host name in lower case; points into `config`.
+  /// Routes by lower-case host name and path prefix; pointers into `config`.
   std::map<std::string, std::map<std::string, const route*, std::less<>>, std::less<>> by_host;
 };
 
--- a/libs/fleet/src/route_table.cc
+++ b/libs/fleet/src/route_table.cc
@@ -1,4 +1,4 @@
-// Which route a call takes.
+// Selects the route of a call.
 #include "hawthornlane/fleet/route_table.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
   if (host == this->by_host.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash: try each slash of the path, the last one first.
+  // Prefixes end with a slash, so try each slash of the path, the last one first.
   std::string_view prefix = path.substr(0, path.find('?'));
   while (true) {
     const std::size_t slash = prefix.rfind('/');
--- a/libs/fleet/test/fleet_test.cc
+++ b/libs/fleet/test/fleet_test.cc
@@ -1,4 +1,5 @@
-// Tables of routes and of what a host believes after listings, events, outages.
+// Tests of route selection, of a host's view after listings, events and outages of the store, and
+// of the schedule of reads.
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/fleet/check_schedule.h"
@@ -30,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("the longest prefix that begins the path selects the route") {
+TEST_CASE("a shorter or partial prefix does not win over the longest matching one") {
   configuration config;
   config.routes = {make_route("root", "One.example", "/"), make_route("a", "one.example", "/a/"),
                    make_route("ab", "one.example", "/a/b/"),
@@ -53,7 +54,7 @@
   CHECK((found == nullptr ? "" : found->name.get()) == expected);
 }
 
-TEST_CASE("a route's services are chosen by weight and stay for the same draw") {
+TEST_CASE("services are not selected against their weights") {
   const route split = make_route("r", "h", "/");
   int second = 0;
   for (std::uint64_t draw = 0; draw < 1000; ++draw) {
@@ -62,7 +63,7 @@
   CHECK(second == 100);
 }
 
-TEST_CASE("a configuration in force is never replaced by an older one") {
+TEST_CASE("an older configuration does not replace a newer one") {
   configuration_in_force in_force;
   configuration config;
   config.version = config_version(7);
@@ -74,7 +75,7 @@
   CHECK(in_force.current()->version() == config_version(7));
 }
 
-TEST_CASE("an older state of the registry is refused, whoever tells it") {
+TEST_CASE("an older state of the registry does not replace a newer one") {
   backend_registry servers;
   CHECK(servers.apply_listing(store_revision(10), {server("s1")}, at(0s)));
   CHECK_FALSE(servers.apply_listing(store_revision(9), {}, at(1s)));
@@ -84,7 +85,7 @@
   CHECK(servers.listed().begin()->second.draining);
 }
 
-TEST_CASE("an entry of a former incarnation changes nothing, in whatever order it comes") {
+TEST_CASE("a late write of an ended process does not replace its server's new entry") {
   struct row {
     const char* what;
     std::uint64_t known;
@@ -92,11 +93,11 @@
     std::uint64_t believed;
   };
   const row rows[] = {
-      {"it started again", 100, 200, 200},
-      {"the former process's write comes late", 200, 100, 200},
-      {"the same process tells more", 200, 200, 200},
-      {"servers that do not say when they started", 0, 0, 0},
-      {"a server that says so from now on", 0, 200, 200},
+      {"the server restarted", 100, 200, 200},
+      {"the write of the earlier process arrives late", 200, 100, 200},
+      {"the same process updates its entry", 200, 200, 200},
+      {"servers that do not report their start", 0, 0, 0},
+      {"a server that starts to report it", 0, 200, 200},
   };
   const auto told_as = GENERATE("listing", "change", "listing after it lapsed");
   for (const row& item : rows) {
@@ -120,7 +121,7 @@
   }
 }
 
-TEST_CASE("a snapshot from a host that knows less does not bring a former incarnation back") {
+TEST_CASE("a snapshot from an outdated host does not restore an earlier incarnation") {
   backend_registry servers;
   servers.apply_listing(store_revision(20), {server("s1", false, 200)}, at(0s));
   CHECK_FALSE(servers.apply_listing(store_revision(19), {server("s1", false, 100)}, at(1s)));
@@ -128,7 +129,7 @@
   CHECK(servers.listed().begin()->second.start == incarnation(200));
 }
 
-TEST_CASE("a host whose clock was set back is believed when it starts again") {
+TEST_CASE("a host whose clock was set back is not ignored after its restart") {
   host_registry hosts;
   host_entry entry;
   entry.name = host_id("h");
@@ -139,7 +140,7 @@
   CHECK(hosts.listed().begin()->second.start == incarnation(100));
 }
 
-TEST_CASE("an entry that lapsed while the store was away is kept until the doubt ends") {
+TEST_CASE("an entry that expired during an outage of the store is not dropped at once") {
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
   servers.doubt_removals_until(at(7s));
@@ -147,19 +148,19 @@
   CHECK(servers.listed().size() == 1);
   CHECK(servers.in_doubt().contains(backend_server_id("s2")));
 
-  SECTION("it is written again in time") {
+  SECTION("it is registered again in time") {
     servers.apply_changes(store_revision(13), {{server("s2"), false}}, at(6s));
     CHECK(servers.in_doubt().empty());
     CHECK(servers.listed().size() == 2);
   }
-  SECTION("it stays missing") {
+  SECTION("it is not registered again") {
     servers.settle(at(7s));
     CHECK(servers.in_doubt().empty());
     CHECK(servers.listed().size() == 1);
   }
 }
 
-TEST_CASE("without an outage a missing entry is gone at once") {
+TEST_CASE("a removed entry is not kept when the store had no outage") {
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
   servers.apply_changes(store_revision(11), {{server("s2"), true}}, at(1s));
@@ -167,7 +168,7 @@
   CHECK(servers.listed().size() == 1);
 }
 
-TEST_CASE("one host reads the store for all, and the next rank takes over when it fails") {
+TEST_CASE("hosts do not all read the store, and reads do not stop when the reader fails") {
   const host_id a("a");
   const host_id b("b");
   check_schedule first(a, at(0s));
@@ -178,11 +179,11 @@
   CHECK(first.due(at(10s + 900ms), 0));
   CHECK_FALSE(second.due(at(10s + 900ms), 1));
 
-  SECTION("the first one's read keeps the second quiet") {
+  SECTION("a read by the first host delays the second") {
     second.checked(a, at(10s + 900ms));
     CHECK_FALSE(second.due(at(11s + 500ms), 1));
   }
-  SECTION("the first one is turned away: it pauses, the second reads and goes on reading") {
+  SECTION("the store refuses the first host: it pauses, and the second takes over for good") {
     first.began(at(10s + 900ms));
     CHECK_FALSE(first.due(at(11s), 0));
     CHECK(second.due(at(11s + 100ms), 1));
@@ -196,7 +197,7 @@
   }
 }
 
-TEST_CASE("a host that knows nothing reads for itself, in the order of ranks") {
+TEST_CASE("a host without state does not wait forever for its peers") {
   check_schedule alone(host_id("a"), at(5s));
   CHECK_FALSE(alone.due(at(5s + 50ms), 0));
   CHECK(alone.due(at(5s + 130ms), 0));
@@ -206,7 +207,7 @@
   CHECK(alone.due(at(6s), 0));
 }
 
-TEST_CASE("news of an older read change nothing") {
+TEST_CASE("a report of an older read does not replace a newer one") {
   check_schedule schedule(host_id("a"), at(0s));
   schedule.checked(host_id("b"), at(10s));
   schedule.checked(host_id("c"), at(9s));
--- a/libs/limits/include/hawthornlane/limits/begun_programs.h
+++ b/libs/limits/include/hawthornlane/limits/begun_programs.h
@@ -1,9 +1,10 @@
-// What one keeper of an account's quota holds back for programs that it let begin. No I/O, clock or
-// randomness.
+// Admission of an account's programs at one quota manager: calls reserved for programs in progress.
+// No I/O, clock or randomness.
 //
-// Load: an account asks for 6.6 times its usual, in programs of 4 to 70 calls. By a plain bucket
-// nearly every program gets some calls and few get all; a program that breaks off was served for
-// nothing. So a program begins only when the bucket has room for it beside those under way.
+// An account may send 6.6 times its usual load, in programs of 4 to 70 calls. With a plain token
+// bucket nearly every program then gets some calls and few get all, and the calls of an abandoned
+// program are wasted. So a program is admitted only if the bucket has room for it besides the
+// programs in progress.
 #pragma once
 
 #include <cstdint>
@@ -14,44 +15,46 @@
 
 namespace hawthornlane {
 
-/// A program of an account; a hash of its name.
+/// Identifies a program of an account: a hash of its name.
 using program_key = strong_value<struct program_key_tag, std::uint64_t>;
 
-/// A program makes calls until it ends, pauses of its tools apart; for one that is silent for
-/// longer nothing is held back.
+/// Calls are reserved for a program only while it makes calls at least this often. A program makes
+/// calls until it ends, except while its tools run.
 constexpr duration longest_program_silence = std::chrono::seconds(2);
-/// One that asks again within this time goes on: turns and tools may take several seconds.
+/// A program that makes another call within this time counts as admitted: turns and tools may take
+/// several seconds.
 constexpr duration program_memory = std::chrono::seconds(15);
 
-/// How many calls a program makes, over all accounts of a keeper. A keeper is the first to be asked
-/// for each call of the programs that begin at it, so that it learns the size of whole programs,
-/// wherever their calls are granted.
+/// Estimates the number of calls per program, over all accounts of a quota manager. The manager
+/// that admits a program is the first to be asked for each of its calls, so it counts all of them,
+/// whichever manager grants them.
 class program_size {
 public:
   void note_begin();
-  /// A program whose beginning was noted asks for another call.
+  /// A program that was counted by `note_begin` asks for another call.
   void note_call() { this->calls += 1; }
-  /// Calls; 0 as long as too few programs have begun.
+  /// Calls per program; 0 until enough programs have begun.
   [[nodiscard]] double mean() const;
 
 private:
-  /// Counts in which newer ones weigh more.
+  /// Exponentially decayed counts.
   double begun = 0;
   double calls = 0;
 };
 
-/// The programs of one account that began at one keeper.
+/// The programs of one account that one quota manager has admitted.
 class begun_programs {
 public:
-  /// Calls that the keeper's bucket has to hold for another program to begin: its part of what a
-  /// program makes, and of what those under way are still to make. `size`: of a whole program.
+  /// Calls that the manager's bucket must hold to admit another program: the manager's share of a
+  /// whole program, and of the calls that the programs in progress have yet to make. `size`: calls
+  /// of a whole program. `part`: the manager's share, 0 to 1.
   [[nodiscard]] double needed(double size, double part, timestamp now) const;
   [[nodiscard]] bool contains(program_key program, timestamp now) const;
-  /// The keeper has granted a program's first call.
+  /// The manager has granted a program's first call.
   void begin(program_key program, timestamp now);
-  /// A program that began here asks for another call.
+  /// An admitted program asks for another call.
   void note_call(program_key program, timestamp now);
-  /// The keeper has granted that.
+  /// An admitted program was granted another call.
   void note_grant(program_key program);
   void forget_ended(timestamp now);
   [[nodiscard]] bool empty() const { return this->programs.empty(); }
--- a/libs/limits/include/hawthornlane/limits/credit_steward.h
+++ b/libs/limits/include/hawthornlane/limits/credit_steward.h
@@ -1,4 +1,4 @@
-// One backend server's window, split between the hosts that use it.
+// Divides one backend server's window between the hosts that use it.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,22 @@
 
 namespace hawthornlane {
 
-/// What a host asks of a server's steward: calls inside it and calls waiting.
+/// A host's demand on a server: its calls in flight there and its waiting calls.
 struct credit_demand {
   host_incarnation host;
   std::int64_t inside = 0;
   std::int64_t waiting = 0;
 };
 
-/// A host's share of the window.
+/// A host's share of the window, calls.
 struct credit_grant {
   host_incarnation host;
   std::int64_t credits = 0;
 };
 
-/// Splits `window` by demand. Promise: the grants never sum to more than the
-/// larger of the window and what is inside already; every host that wants any
-/// gets one credit before another gets its second, as far as the window goes.
+/// Divides `window` by demand. Guarantees: the grants never sum to more than the larger of the
+/// window and the calls already in flight; every host with demand gets one credit before another
+/// gets its second, as far as the window allows.
 std::vector<credit_grant> split_window(std::int64_t window,
                                        const std::vector<credit_demand>& demands);
 
--- a/libs/limits/include/hawthornlane/limits/quota_keeper.h
+++ b/libs/limits/include/hawthornlane/limits/quota_keeper.h
@@ -1,11 +1,11 @@
-// One keeper's part of the client accounts' quotas. No I/O, clock or randomness.
+// One host's share of the client accounts' quotas. No I/O, clock or randomness.
 //
-// Each quota is divided evenly between a few keepers, whom the deployment agrees on; each gives
-// out its part from a token bucket of its own, and a front host that one keeper refuses asks the
-// next. So no call is counted twice and none is forgotten, whichever hosts are cut off from which,
-// and a keeper that is lost takes its part of the quota with it and no more. A call is counted
-// when it is granted, which is between its sending and its arrival at a server: whatever is sent
-// and arrives within some span was granted within that span.
+// Each quota is divided evenly between a few quota managers, a set of hosts that the deployment
+// agrees on. Each manager grants calls from its own token bucket, and a front host that is refused
+// by one manager asks the next. So no call is counted twice or left out in any network partition,
+// and the loss of a manager costs its share of the quota and no more. A call is counted when it is
+// granted, which is between its sending and its arrival at a server: all calls that are sent and
+// arrive within a time span were granted within that span.
 #pragma once
 
 #include <set>
@@ -16,15 +16,15 @@
 
 namespace hawthornlane {
 
-/// How far beyond a quota the operator lets its calls go: in no span of `window` may there be more
-/// than (calls_per_second * window + burst) * (1 + excess) + slack.
+/// How far the operator lets calls exceed a quota: no span of `window` may hold more than
+/// (calls_per_second * window + burst) * (1 + excess) + slack calls.
 struct quota_rules {
   duration window = std::chrono::seconds(1);
   double excess = 0;
   double slack = 0;
 };
 
-/// One account's bucket, as it is written down.
+/// One account's bucket as it is logged.
 struct quota_mark {
   client_account account;
   account_limit limit;
@@ -38,12 +38,12 @@
   }
 };
 
-/// Buckets as they are at one moment.
+/// A log record: the state of buckets at one time.
 struct quota_record {
-  /// For how long the keeper has kept quotas then, seconds; time in which its process did not run
-  /// counts nothing, so no clock that may be set bears on it.
+  /// How long the manager has managed quotas, seconds. Excludes the time in which its process did
+  /// not run, so it does not depend on a clock that may be set.
   double age = 0;
-  /// What was written before counts no more.
+  /// Records before this one no longer count.
   bool begins = false;
   std::vector<quota_mark> marks;
 
@@ -53,41 +53,44 @@
   }
 };
 
-/// Invariant: in any span of t seconds the keeper grants an account at most its part of
-/// burst + tolerance + t * calls_per_second calls, or 1 + part * t * calls_per_second where that
-/// is more, also when its process has started again in between: whatever is granted is written
-/// down before the asker is told, and `restore` brings it back. Without that all accounts stood
-/// before empty buckets after a loss of power, just when their callers came back.
+/// Token buckets of one quota manager.
+///
+/// Invariant: in any span of t seconds the manager grants an account at most its share of burst +
+/// tolerance + t * calls_per_second calls, or 1 + share * t * calls_per_second where that is more.
+/// This includes spans in which its process restarts: a grant is logged before the asker is
+/// answered, and `restore` reads it back. Without the log all buckets would be empty after a loss
+/// of power, just when the callers come back.
 class quota_keeper {
 public:
   quota_keeper() = default;
   explicit quota_keeper(quota_rules with) : rules(with) {}
 
-  /// Takes back what an earlier process wrote down, in the order in which it did.
+  /// Applies a record of an earlier process. Records are applied in the order in which they were
+  /// logged.
   void restore(const quota_record& record);
-  /// From now on this host keeps so much of each quota: 1 / number of keepers, or 0. One that
-  /// begins to keep them does so with empty buckets, since it does not know what was granted
-  /// before; one that goes on after a restart has those that were restored.
+  /// Sets this host's share of each quota: 1 / number of managers, or 0. A host that becomes a
+  /// manager starts with empty buckets, since it does not know what was granted before. After a
+  /// restart it continues with the restored buckets.
   void keep(double part, timestamp now);
   quota_answer ask(const quota_question& question, timestamp now);
-  /// Forgets accounts whose buckets are full: they would be full too if they were new.
+  /// Drops accounts whose buckets are full: a new bucket would be full too.
   void forget_idle(timestamp now);
-  /// The buckets that have changed since this was last asked, to be written down.
+  /// Returns the buckets that have changed since the last call, to be logged.
   quota_record take_changes(timestamp now);
-  /// All buckets, to begin a new log with.
+  /// Returns all buckets, as the first record of a new log.
   [[nodiscard]] quota_record whole(timestamp now) const;
   /// Calls that were refused only because they would have begun a program without room for it.
   [[nodiscard]] std::uint64_t programs_held_back() const { return this->held_back; }
-  /// Calls that a program makes, as far as it is known; 0: not yet.
+  /// Estimated calls per program; 0: not known yet.
   [[nodiscard]] double calls_of_a_program() const { return this->size.mean(); }
-  /// Accounts in use.
+  /// Number of accounts with a bucket.
   [[nodiscard]] std::size_t accounts() const { return this->buckets.size(); }
 
 private:
   struct bucket {
     account_limit limit;
     limit_version version;
-    /// Calls that may be granted at the age `at`.
+    /// Calls that may be granted at the age `at`, seconds.
     double level = 0;
     double at = 0;
   };
@@ -96,30 +99,30 @@
   [[nodiscard]] double rate_of(const account_limit& limit) const;
   [[nodiscard]] double age(timestamp now) const;
   [[nodiscard]] double level_at(const bucket& from, double age) const;
-  /// What the bucket has to hold for the call to be granted, calls.
+  /// Level that the bucket must have for the call to be granted, calls.
   [[nodiscard]] double level_needed(const quota_question& question, const bucket& from,
                                     timestamp now);
-  /// Of a program that began here.
+  /// Counts the call if its program was admitted here.
   void note_call(const quota_question& question, timestamp now);
   void note_grant(const quota_program& program, const client_account& account, timestamp now);
   bucket& bucket_of(const quota_question& question, timestamp now);
   [[nodiscard]] static quota_mark mark_of(const client_account& account, const bucket& item);
 
   quota_rules rules;
-  /// 0: keeps none.
+  /// This host's share of each quota; 0: it is not a manager.
   double part = 0;
-  /// Seconds for which quotas had been kept at `resumed`.
+  /// Age at `resumed`, seconds.
   double age_before = 0;
   timestamp resumed{};
   std::unordered_map<client_account, bucket> buckets;
-  /// Of accounts with programs under way. Not written down: those that are under way at a restart
-  /// go on, and others begin beside them.
+  /// By account, for accounts with programs in progress. Not logged: after a restart the programs
+  /// in progress go on, and others are admitted besides them.
   std::unordered_map<client_account, begun_programs> programs;
   program_size size;
   std::uint64_t held_back = 0;
-  /// Nothing of this time as a keeper has been written down yet, or told.
+  /// Nothing has been logged since this host last became a manager.
   bool is_new = false;
-  /// Not written down yet.
+  /// Accounts whose buckets are not logged yet.
   std::set<client_account> changed;
 };
 
--- a/libs/limits/include/hawthornlane/limits/quota_lease.h
+++ b/libs/limits/include/hawthornlane/limits/quota_lease.h
@@ -1,4 +1,4 @@
-// Which part of the quotas a host keeps, and whether it may be sure that it still does. No I/O,
+// Which share of the quotas a host manages, and whether it can be sure that it still does. No I/O,
 // clock or randomness.
 #pragma once
 
@@ -11,21 +11,21 @@
 
 namespace hawthornlane {
 
-/// For so long the word of the store, or of a majority of the set, holds. A member that has been
-/// silent for longer may be replaced.
+/// How long a confirmation by the store, or by a majority of the set, is valid. A member that has
+/// been silent for longer may be replaced.
 constexpr duration quota_lease = std::chrono::milliseconds(3000);
 
-/// The last answer of another disk to a probe.
+/// The last response of another disk to a probe.
 struct member_word {
   disk_id disk;
   timestamp heard_at{};
-  /// The epoch of the newest set of which that disk has been told by one that joins it.
+  /// The epoch of the newest set that a joining disk has announced to that disk.
   set_epoch fence;
 };
 
-/// The part of each quota that a disk's host keeps by this set. While the set is joint the next
-/// one may come into force unheard, so that a member keeps what it has in both: one that leaves
-/// keeps nothing, one that joins begins with the next set.
+/// The share of each quota that a disk's host manages under this set. While the set is joint, the
+/// next set may come into force before this host learns of it. So a member manages the smaller of
+/// its shares in both: one that leaves manages none, and one that joins starts with the next set.
 inline double quota_part(const ledger_set& set, const disk_id& self) {
   const auto part_in = [&self](const std::vector<disk_id>& disks) {
     const bool is_in = std::find(disks.begin(), disks.end(), self) != disks.end();
@@ -35,19 +35,19 @@
   return set.joint() ? std::min(now, part_in(set.next)) : now;
 }
 
-/// What a member of the set knows of its place in it.
+/// What a member of the set knows about its membership.
 struct quota_lease_view {
   disk_id self;
   const ledger_set& set;
-  /// When the store last named `set`, while this process ran.
+  /// When the store last confirmed `set` to this process.
   timestamp set_told_at{};
   std::vector<member_word> heard;
 };
 
-/// Nobody can have put another host in this one's place: the store has just named it, or a
-/// majority answers it, and none of them knows of a newer set. A member that the store does not
-/// reach learns in this way that its place was given away: whoever joins a set raises the fence
-/// at so many members that every majority has one of them.
+/// True if no other host can have replaced this one: the store has just confirmed the set or a
+/// majority responds, and no responder knows a newer set. This lets a member that is cut off from
+/// the store detect its replacement: a joining disk raises the fence at so many members that every
+/// majority contains one of them.
 inline bool holds_quota_lease(const quota_lease_view& view, timestamp now) {
   const bool is_outdated =
       std::any_of(view.heard.begin(), view.heard.end(),
--- a/libs/limits/include/hawthornlane/limits/quota_messages.h
+++ b/libs/limits/include/hawthornlane/limits/quota_messages.h
@@ -1,4 +1,4 @@
-// What front hosts and the hosts that keep quotas tell each other.
+// Messages between front hosts and quota managers.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace hawthornlane {
 
-/// Number of the configuration that holds a limit; of two limits the one with the higher
-/// number is in force.
+/// Version of the configuration that a limit comes from; the limit with the highest version is in
+/// force.
 using limit_version = strong_value<struct limit_version_tag, std::uint64_t>;
 
-/// The program that a call belongs to, as a keeper needs to know it.
+/// The program that a call belongs to.
 struct quota_program {
   program_key key;
-  /// The call may be its first one.
+  /// This may be the program's first call.
   bool begins = false;
 
   template <class Archive>
@@ -27,12 +27,13 @@
   }
 };
 
-/// Asks for one call out of an account's quota.
+/// Requests one call from an account's quota.
 struct quota_question {
   client_account account;
   account_limit limit;
   limit_version version;
-  /// A call without a program takes whatever is there. Told behind the rest where there is one.
+  /// A call without a program is granted whenever the bucket holds one call. Where present, it is
+  /// sent after the rest.
   std::optional<quota_program> program = std::nullopt;
 
   template <class Archive>
@@ -44,15 +45,15 @@
 enum class quota_verdict : std::uint8_t {
   /// The call may run, once, at any time from now on.
   granted,
-  /// The keeper's part of the quota is used up.
+  /// The manager's share of the quota is used up.
   refused,
-  /// That host does not keep quotas now, or cannot be sure that it still does.
+  /// The host is not a quota manager now, or cannot be sure that it still is.
   not_kept,
 };
 
 struct quota_answer {
   quota_verdict verdict = quota_verdict::not_kept;
-  /// When refused: how long until the keeper has room again, if nobody asks before.
+  /// When refused: time until the manager can grant the call, if no other request comes before.
   duration room_in{};
 
   template <class Archive>
--- a/libs/limits/include/hawthornlane/limits/quota_round.h
+++ b/libs/limits/include/hawthornlane/limits/quota_round.h
@@ -1,5 +1,5 @@
-// Which keepers of quotas are asked for one call, and what their answers say. No I/O, clock or
-// randomness.
+// Which quota managers are asked for one call, and what follows from their responses. No I/O, clock
+// or randomness.
 #pragma once
 
 #include <algorithm>
@@ -13,26 +13,25 @@
 enum class quota_decision : std::uint8_t {
   undecided,
   granted,
-  /// All keepers that answer have given out their parts.
+  /// All managers that responded have used up their shares.
   over_limit,
-  /// No keeper answers.
+  /// No manager responded.
   unknown,
 };
 
-/// The questions for one call. Keepers are known by their place in the order in which they are
-/// asked, 0 first.
+/// The requests for one call. Managers are numbered from 0 in the order in which they are asked.
 class quota_round {
 public:
   explicit quota_round(std::size_t keepers) : count(keepers) {}
 
-  /// The next keeper, which counts as asked from now on; nothing when all were.
+  /// Returns the next manager and counts it as asked; empty when all have been asked.
   std::optional<std::size_t> ask_next() {
     if (this->asked == this->count) {
       return std::nullopt;
     }
     return this->asked++;
   }
-  /// The answer of a keeper that was asked; each gives one, or fails.
+  /// The response of a manager that was asked. Each of them responds once, or fails.
   void answered(const quota_answer& answer) {
     ++this->ended;
     if (answer.verdict == quota_verdict::granted) {
@@ -42,10 +41,10 @@
       this->soonest = std::min(this->soonest.value_or(answer.room_in), answer.room_in);
     }
   }
-  /// No answer will come.
+  /// No response will come from a manager that was asked.
   void failed() { ++this->ended; }
 
-  /// Some keeper was asked and may still answer.
+  /// A manager that was asked may still respond.
   [[nodiscard]] bool waits() const { return this->ended < this->asked; }
   [[nodiscard]] quota_decision decision() const {
     if (this->is_granted) {
@@ -56,14 +55,15 @@
     }
     return this->final_decision();
   }
-  /// What the answers so far say when there is no time for more.
+  /// The decision from the responses so far, when there is no time for more.
   [[nodiscard]] quota_decision final_decision() const {
     if (this->is_granted) {
       return quota_decision::granted;
     }
     return this->soonest ? quota_decision::over_limit : quota_decision::unknown;
   }
-  /// The earliest moment, from the answers on, at which a keeper has room.
+  /// The shortest time after which a manager can grant the call, counted from its response; zero
+  /// when no manager refused.
   [[nodiscard]] duration room_in() const { return this->soonest.value_or(duration::zero()); }
 
 private:
--- a/libs/limits/include/hawthornlane/limits/retry_budget.h
+++ b/libs/limits/include/hawthornlane/limits/retry_budget.h
@@ -1,12 +1,12 @@
-// A bound on extra load by retries.
+// Limits the extra load caused by retries.
 #pragma once
 
 #include <algorithm>
 
 namespace hawthornlane {
 
-/// Allows at most a tenth more calls than arrive; a burst of failures cannot
-/// multiply the load that caused it.
+/// Allows retries for at most a tenth of the calls, so that a burst of failures cannot multiply the
+/// load that caused it.
 class retry_budget {
 public:
   void on_call() {
@@ -14,7 +14,7 @@
     constexpr double most = 20;
     this->tokens = std::min(most, this->tokens + share);
   }
-  /// True when a retry may be made; it is then spent.
+  /// Takes a token; false when none is left and the call must not be retried.
   bool try_spend() {
     if (this->tokens < 1) {
       return false;
--- a/libs/limits/include/hawthornlane/limits/server_window.h
+++ b/libs/limits/include/hawthornlane/limits/server_window.h
@@ -1,4 +1,4 @@
-// How many calls may be inside one backend server at once.
+// Limits the calls in flight at one backend server.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace hawthornlane {
 
-/// Bounds and targets of a window.
+/// Bounds and targets of a window; sizes in calls.
 struct window_limits {
   double least = 1;
   double most = 64;
@@ -17,15 +17,15 @@
   duration token_time_target = std::chrono::milliseconds(29);
 };
 
-/// Follows a backend server's measured time between tokens: additive increase
-/// while it is met and the window is used up, multiplicative decrease when not.
-/// Engines know no priorities, so what is not inside the engine can still be
-/// ordered; the window keeps it outside.
+/// Adapts to a backend server's measured time between tokens: additive increase while the target is
+/// met and the window is full, multiplicative decrease while it is missed. Engines have no
+/// priorities, and only calls that are still outside the engine can be reordered. The window keeps
+/// the excess outside.
 class server_window {
 public:
   explicit server_window(window_limits bounds) : limits(bounds), current(bounds.initial) {}
 
-  /// A call ended with that mean time between tokens.
+  /// A call ended with this mean time between tokens.
   void on_finished(duration token_time, bool window_was_full) {
     constexpr double decrease = 0.93;
     constexpr double slack = 0.9;
@@ -35,14 +35,14 @@
       this->current = std::min(this->limits.most, this->current + 1.0 / this->current);
     }
   }
-  /// The server failed or has just come back: start small.
+  /// The server failed or has just come back: halve the window.
   void on_failed() { this->current = std::max(this->limits.least, this->current / 2); }
 
   [[nodiscard]] std::int64_t size() const { return static_cast<std::int64_t>(this->current); }
 
 private:
   window_limits limits;
-  /// Invariant: between `least` and `most`.
+  /// Calls. Invariant: between `least` and `most`.
   double current;
 };
 
--- a/libs/limits/src/begun_programs.cc
+++ b/libs/limits/src/begun_programs.cc
@@ -1,4 +1,4 @@
-// What one keeper of an account's quota holds back for programs that it let begin.
+// Admission of an account's programs at one quota manager.
 #include "hawthornlane/limits/begun_programs.h"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 namespace hawthornlane {
 namespace {
 
-/// Of what was counted, at each further program: a rush of some seconds, whose programs break off,
-/// must not make them look small.
+/// Decay of the counts per new program. Slow, so that a burst of a few seconds, whose programs are
+/// abandoned, does not lower the estimate.
 constexpr double kept_part = 0.99;
-/// Programs that must have begun before their size is taken for known.
+/// Programs that must have begun before the estimate is used.
 constexpr double fewest_programs = 5;
 
 }  // namespace
--- a/libs/limits/src/credit_steward.cc
+++ b/libs/limits/src/credit_steward.cc
@@ -13,7 +13,7 @@
   for (const credit_demand& demand : demands) {
     grants.push_back({demand.host, 0});
   }
-  // Raise everybody who still wants more by an equal step until none is left.
+  // Raise every host with unmet demand by an equal step until nothing is left.
   while (left > 0) {
     std::vector<std::size_t> wanting;
     for (std::size_t at = 0; at < demands.size(); ++at) {
@@ -33,7 +33,7 @@
       left -= given;
     }
   }
-  // What no one wants now is spread, so that a new call need not ask first.
+  // Spread what is left, so that a new call can be sent without a request for credits.
   for (std::size_t at = 0; left > 0 && !grants.empty(); at = (at + 1) % grants.size()) {
     ++grants[at].credits;
     --left;
--- a/libs/limits/src/quota_keeper.cc
+++ b/libs/limits/src/quota_keeper.cc
@@ -1,4 +1,4 @@
-// One keeper's part of the client accounts' quotas.
+// One host's share of the client accounts' quotas.
 #include "hawthornlane/limits/quota_keeper.h"
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 namespace hawthornlane {
 namespace {
 
-/// Part of the operator's tolerance that buckets hold beyond the burst: programs' calls come in
-/// lumps longer than a small account's burst, and what one keeper's full bucket spills another
-/// one lacks. The rest is for a change of keepers, in which two may grant the same part for a
-/// moment.
+/// Fraction of the operator's tolerance that is added to the buckets' capacity. The calls of
+/// programs come in groups larger than a small account's burst, and one manager's bucket may
+/// overflow while another one is empty. The rest of the tolerance is for a change of managers, when
+/// two may grant the same share for a short time.
 constexpr double used_tolerance = 0.9;
-/// What sums of fractions of a call may lack, calls.
+/// Rounding error allowed in sums of fractions of a call, calls.
 constexpr double least_difference = 1e-6;
 
 }  // namespace
@@ -39,7 +39,7 @@
   } else if (begins) {
     this->resumed = now;
   }
-  // Buckets are filled at the old part up to now.
+  // Fill the buckets at the old share up to now.
   const double age = this->age(now);
   for (auto& [name, item] : this->buckets) {
     item.level = begins ? item.level : this->level_at(item, age);
@@ -51,7 +51,7 @@
 double quota_keeper::capacity_of(const account_limit& limit) const {
   const double in_window = limit.calls_per_second * to_seconds(this->rules.window) + limit.burst;
   const double tolerated = in_window * this->rules.excess + this->rules.slack;
-  // Less than a whole call could never be granted.
+  // A bucket with room for less than one call could never grant any.
   return std::max(1.0, this->part * (limit.burst + used_tolerance * tolerated));
 }
 
@@ -72,7 +72,7 @@
   const auto [found, is_new] = this->buckets.try_emplace(question.account);
   bucket& item = found->second;
   if (is_new) {
-    // As if it had been asked for nothing since this host began to keep quotas.
+    // The state of an account that has requested nothing since this host became a manager.
     item = {question.limit, question.version, 0, 0};
   }
   const double age = this->age(now);
@@ -118,7 +118,7 @@
   if (begun.contains(question.program->key, now)) {
     return 1;
   }
-  // By a full bucket any program may begin.
+  // A full bucket admits any program.
   const double needed = begun.needed(this->size.mean(), this->part, now);
   return std::clamp(needed, 1.0, this->capacity_of(from.limit));
 }
--- a/libs/limits/test/begun_programs_test.cc
+++ b/libs/limits/test/begun_programs_test.cc
@@ -1,4 +1,6 @@
-// Programs under a quota: what is held back for those under way, and what callers get by it.
+// Admission of programs under a quota. An admitted program must be able to finish: if a new program
+// may take the calls that programs in progress still need, none of them ends, and the calls already
+// granted are wasted.
 #include "hawthornlane/limits/begun_programs.h"
 
 #include <algorithm>
@@ -22,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("a program needs its own calls and what those under way are still to make") {
+TEST_CASE("a new program is not admitted on calls that programs in progress still need") {
   begun_programs begun;
   CHECK(begun.needed(0, 1, at(0)) == 0);
   CHECK(begun.needed(10, 0.2, at(0)) == Approx(2));
@@ -32,7 +34,7 @@
   begun.note_grant(program_key(7));
   CHECK(begun.needed(10, 1, at(1)) == Approx(10 + 8));
   CHECK(begun.needed(10, 0.1, at(1)) == Approx(1));
-  // Nothing is held back for one that is silent, but it goes on when it asks again.
+  // Nothing is reserved for a silent program, but it stays admitted when it asks again.
   CHECK(begun.needed(10, 1, at(3)) == Approx(10 + 8));
   CHECK(begun.needed(10, 1, at(3.5)) == Approx(10));
   begun.forget_ended(at(15.5));
@@ -42,7 +44,7 @@
   CHECK(begun.empty());
 }
 
-TEST_CASE("a keeper learns how many calls a program makes") {
+TEST_CASE("the estimate of calls per program converges to the real number") {
   program_size size;
   for (int program = 0; program < 50; ++program) {
     size.note_begin();
@@ -54,7 +56,8 @@
   CHECK(size.mean() == Approx(8).epsilon(0.05));
 }
 
-TEST_CASE("a call that begins no program is granted as before, and a full bucket lets any begin") {
+TEST_CASE(
+    "reservations block neither programs in progress nor, with a full bucket, a new program") {
   const account_limit limit{1, 9};
   quota_keeper keeper;
   keeper.keep(1, at(0));
@@ -63,23 +66,28 @@
     question.program = quota_program{program_key(program), begins};
     return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
   };
-  // Programs of six calls, each by a bucket that is full again.
+  // Programs of six calls; the bucket is full before each of them.
   for (std::uint64_t program = 1; program <= 8; ++program) {
     for (int call = 0; call < 6; ++call) {
       REQUIRE(ask(program, call == 0, 100.0 * static_cast<double>(program)));
     }
   }
-  // The next one begins when the bucket has room for six more.
+  // The next program is admitted when the bucket has room for six more calls.
   CHECK_FALSE(ask(9, true, 802.5));
   CHECK(ask(10, false, 802.5));
   CHECK(ask(9, true, 804.5));
-  // It goes on whatever is asked beside it, also by a call that could be its first.
+  // An admitted program continues whatever else is requested, also with a call marked as a possible
+  // first one.
   CHECK_FALSE(ask(11, true, 804.5));
   CHECK(ask(9, true, 804.5));
   CHECK(ask(12, true, 820));
 }
 
-TEST_CASE("calls of programs whose beginning nobody saw do not make programs look large") {
+// A program admitted elsewhere, or before a restart, asks here for many calls. Counted without its
+// beginning, they would raise the mean and keep new programs out.
+TEST_CASE(
+    "calls of programs that were not admitted here do not raise the estimate of calls per "
+    "program") {
   const account_limit limit{1000, 60};
   quota_keeper keeper;
   keeper.keep(1, at(0));
@@ -99,8 +107,7 @@
   CHECK(keeper.calls_of_a_program() == Approx(4));
 }
 
-TEST_CASE(
-    "a program that has begun goes on after a long turn, also by a call that could be its first") {
+TEST_CASE("an admitted program is not treated as a new one after a turn of several seconds") {
   const account_limit limit{1, 9};
   quota_keeper keeper;
   keeper.keep(1, at(0));
@@ -120,7 +127,7 @@
 constexpr double turn_seconds = 0.23;
 constexpr double think_seconds = 0.06;
 
-/// A program: its steps follow each other, each of chains of calls that run side by side.
+/// A program is a sequence of steps; a step is a set of chains of calls that run in parallel.
 struct played_program {
   program_key key;
   std::vector<std::vector<std::vector<double>>> steps;
@@ -131,11 +138,11 @@
   bool counted = false;
 };
 
-/// One account and its five keepers, with the programs of the given load: turns, tools after most
-/// of them, helpers after some.
+/// One account and its five quota managers. Programs consist of turns, with tool calls after most
+/// turns and sub-programs after some.
 class played_account {
 public:
-  /// `holds_back`: keepers are told which calls begin a program.
+  /// `holds_back`: requests mark the first call of a program, so that managers reserve calls.
   played_account(std::uint64_t seed, double usual_calls, bool tells_programs)
       : random(seed), holds_back(tells_programs), limit{1.6 * usual_calls, 1.6 * usual_calls} {
     for (quota_keeper& keeper : this->keepers) {
@@ -144,7 +151,7 @@
     }
   }
 
-  /// Calls a second are `usual`, and `times` that from `rush_begins` on for a while.
+  /// The load is `usual` calls a second, and `times` that during the burst from `rush_begins` on.
   void play(double usual, double times) {
     constexpr double length = rush_begins + 30;
     constexpr double mean_calls = 16.2;
@@ -165,7 +172,8 @@
     }
   }
 
-  /// Time on idle servers of the programs of the rush: of all, and of those that ended in time.
+  /// Time on idle servers of the programs of the burst, seconds: of all, and of those that ended in
+  /// time.
   double owed = 0;
   double served = 0;
 
@@ -173,8 +181,8 @@
   using program_ptr = std::shared_ptr<played_program>;
   using chain = std::vector<double>;
 
-  /// By then the keepers have learned how many calls a program makes, as they do from other
-  /// accounts within seconds.
+  /// Late enough for the managers to have estimated the calls per program. In a deployment other
+  /// accounts' programs provide the estimate within seconds.
   static constexpr double rush_begins = 300;
   static constexpr double rush_length = 6.5;
 
@@ -258,7 +266,7 @@
       });
       return;
     }
-    // A turn is sent six times at most, a tool twice.
+    // A turn is sent six times at most, a tool call twice.
     const int most_tries = calls.front() == turn_seconds ? 5 : 1;
     program->failed = tries >= most_tries;
     const double wait = std::uniform_real_distribution<double>(0.25, 0.5)(this->random);
@@ -286,7 +294,8 @@
   std::multimap<double, std::function<void()>> events;
 };
 
-/// Part of what programs are worth that comes in time, over several seeds.
+/// Fraction of the programs' server time that belongs to programs that end in time, over several
+/// seeds.
 double served_part(double usual, double times, bool holds_back) {
   constexpr std::uint64_t seeds = 60;
   double served = 0;
@@ -302,7 +311,7 @@
 
 }  // namespace
 
-TEST_CASE("in a rush more programs get all their calls, and at the usual load none fewer") {
+TEST_CASE("reservations let more programs finish in a burst and no fewer at the usual load") {
   const double usual = GENERATE(4.0, 16.0);
   const double rush_plain = served_part(usual, 6.6, false);
   const double rush_held = served_part(usual, 6.6, true);
--- a/libs/limits/test/limits_test.cc
+++ b/libs/limits/test/limits_test.cc
@@ -1,4 +1,4 @@
-// Tests of queues, credits, windows and retry budgets.
+// Tests of the fair queue, credits, server windows and retry budgets.
 #include <catch2/catch.hpp>
 #include <numeric>
 
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("an account that floods does not delay the calls of another") {
+TEST_CASE("an account with many waiting calls does not delay the calls of another") {
   fair_queue queue;
   for (std::uint64_t id = 0; id < 100; ++id) {
     queue.add(call_of(id, "flooding", 0));
@@ -32,7 +32,7 @@
   CHECK(queue.take()->id == waiting_id(1000));
 }
 
-TEST_CASE("accounts share by weight while both wait") {
+TEST_CASE("two accounts with waiting calls are served in proportion to their weights") {
   fair_queue queue;
   for (std::uint64_t id = 0; id < 100; ++id) {
     queue.add(call_of(id, "heavy", 0, 3));
@@ -45,7 +45,7 @@
   CHECK(heavy == 60);
 }
 
-TEST_CASE("an account that was idle does not save up a claim") {
+TEST_CASE("an account that was idle does not get more than its share afterwards") {
   fair_queue queue;
   for (std::uint64_t id = 0; id < 50; ++id) {
     queue.add(call_of(id, "busy", 0));
@@ -64,7 +64,7 @@
   CHECK(late <= 11);
 }
 
-TEST_CASE("within an account the lowest order goes first and removal works") {
+TEST_CASE("calls of an account are taken by order, and a removed call is not taken") {
   fair_queue queue;
   queue.add(call_of(1, "a", 3));
   queue.add(call_of(2, "a", 1));
@@ -77,7 +77,9 @@
   CHECK(queue.waiting_cost() == Approx(0));
 }
 
-TEST_CASE("grants never exceed the window and nobody who wants is left without") {
+TEST_CASE(
+    "grants do not exceed the window, and no host with demand gets nothing while another gets "
+    "two") {
   const auto [window, hosts] = GENERATE(table<std::int64_t, std::uint64_t>(
       {{16, 1}, {16, 8}, {7, 8}, {64, 340}, {400, 340}, {0, 3}, {5, 0}}));
   std::vector<credit_demand> demands;
@@ -98,7 +100,7 @@
   CHECK(served == std::min(wanting, window));
 }
 
-TEST_CASE("a window falls when tokens come late and rises only while it is full") {
+TEST_CASE("a window shrinks when tokens are late and grows only while it is full") {
   server_window window({1, 64, 8, std::chrono::milliseconds(29)});
   window.on_finished(std::chrono::milliseconds(10), false);
   CHECK(window.size() == 8);
@@ -112,7 +114,7 @@
   CHECK(window.size() == 1);
 }
 
-TEST_CASE("retries stay below a tenth of the calls") {
+TEST_CASE("retries do not exceed a tenth of the calls") {
   retry_budget budget;
   int spent = 0;
   for (int call = 0; call < 1000; ++call) {
--- a/libs/limits/test/quota_faults.h
+++ b/libs/limits/test/quota_faults.h
@@ -1,4 +1,4 @@
-// Faults of a deployment that keeps quotas, and links that suffer them.
+// Faults injected into a simulated deployment with quotas, and its links.
 #pragma once
 
 #include <array>
@@ -11,23 +11,23 @@
 namespace hawthornlane::quota_test {
 
 enum class fault_kind {
-  /// The process ends; another one reads its log, by a clock that begins anew.
+  /// The process ends; a new one reads its log, with a clock that starts anew.
   kill,
-  /// The process stands still and goes on where it was.
+  /// The process is suspended and then continues with its state.
   pause,
-  /// Nothing passes from one host to the other.
+  /// Messages from one host to the other are lost.
   cut,
-  /// The host and the store do not hear each other.
+  /// The host and the store cannot reach each other.
   cut_store,
-  /// What is sent to the host comes late.
+  /// Messages to the host are delayed.
   delay,
-  /// What is sent to the host comes twice.
+  /// Messages to the host are delivered twice.
   duplicate,
-  /// The operator has the host emptied.
+  /// The operator drains the host.
   retire,
   /// The operator changes the limit.
   change_limit,
-  /// The account asks for many times its quota.
+  /// The account requests many times its quota.
   rush,
 };
 
@@ -39,25 +39,25 @@
   int other = 0;
 };
 
-/// Mistakes that a keeper could make, to see that the checks find them.
+/// Bugs planted in a quota manager, to show that the checks detect them.
 enum class planted_fault {
   none,
-  /// A restart brings back how long quotas were kept, and not what was granted.
+  /// A restart restores for how long quotas were managed, but not what was granted.
   forgets_grants,
-  /// A host that was replaced goes on until the store tells it so.
+  /// A host that was replaced continues until it learns of it from the store.
   ignores_lease,
-  /// One goes on as long as a majority answers it, whatever these know of newer sets.
+  /// A host continues while a majority responds, even if responders know a newer set.
   ignores_fences,
-  /// A host that is to leave keeps its part until the next set is in force.
+  /// A leaving host manages its share until the next set is in force.
   stays_to_the_end,
-  /// A call that is refused is taken out of the quota.
+  /// A refused call is deducted from the quota.
   counts_refusals,
 };
 
-/// What the operator tolerates.
+/// The operator's tolerance.
 inline constexpr quota_rules rules{std::chrono::seconds(5), 0.1, 20};
 
-/// Which way between two hosts is cut, slow or unsure, and until when.
+/// Which links between two hosts are cut, slow or duplicating, and until when.
 class fake_links {
 public:
   void cut(int from, int to, timestamp until) { this->cut_until[{from, to}] = until; }
--- a/libs/limits/test/quota_grants.h
+++ b/libs/limits/test/quota_grants.h
@@ -1,4 +1,5 @@
-// What was granted to an account, held against its limits and what the operator tolerates.
+// Records the calls granted to an account and checks them against its limits and the operator's
+// tolerance.
 #pragma once
 
 #include <algorithm>
@@ -8,20 +9,20 @@
 
 namespace hawthornlane::quota_test {
 
-/// Until a change of the limit is known at every front host.
+/// Time until every front host knows a change of the limit.
 inline constexpr duration limit_spread = std::chrono::milliseconds(500);
-/// A question that was sent by then may still be answered after so long.
+/// Longest time from sending a request to its response.
 inline constexpr duration longest_way = std::chrono::milliseconds(700);
 
 class grant_history {
 public:
-  /// A call was granted then, and its asker told so.
+  /// A call was granted at that time, and the asker was told.
   void note_grant(timestamp at) { this->granted.push_back(at); }
   void note_limit(account_limit limit, timestamp at) { this->limits.push_back({limit, at}); }
   [[nodiscard]] std::size_t limit_changes() const { return this->limits.size(); }
   [[nodiscard]] account_limit newest_limit() const { return this->limits.back().limit; }
 
-  /// By how many calls the worst window is beyond what the operator tolerates; at most 0 is right.
+  /// Calls by which the worst window exceeds the operator's tolerance; correct if at most 0.
   [[nodiscard]] double worst_excess() {
     std::sort(this->granted.begin(), this->granted.end());
     double worst = -1e9;
@@ -42,8 +43,8 @@
     timestamp at{};
   };
 
-  /// Between two moments a window apart at most. While a change of the limit spreads, some hosts
-  /// go by the rate and some by the burst of either.
+  /// Calls allowed between two times that are at most a window apart. While a change of the limit
+  /// spreads, the hosts may use the rate of one limit and the burst of the other.
   [[nodiscard]] double allowed(timestamp from, timestamp to) const {
     account_limit most;
     for (std::size_t index = 0; index < this->limits.size(); ++index) {
--- a/libs/limits/test/quota_history_test.cc
+++ b/libs/limits/test/quota_history_test.cc
@@ -1,7 +1,7 @@
-// Random histories of faults: in no window more calls than the operator tolerates, and without
-// faults as many as an account is owed.
+// Random histories of faults. No window may hold more calls than the operator tolerates, and
+// without faults an account gets its whole quota.
 //
-// RC_PARAMS="seed=N max_success=N" plays other histories than the ones of every run.
+// RC_PARAMS="seed=N max_success=N" runs other histories than the default ones.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -17,10 +17,10 @@
 namespace {
 
 constexpr duration history_length = 40s;
-/// Keepers begin with empty buckets; by then these have grown full.
+/// Managers start with empty buckets, which are full by then.
 constexpr int first_moment_ms = 10'000;
 constexpr int last_moment_ms = 25'000;
-/// Faults fall upon each other: most begin within this time.
+/// Most faults begin within this time, so that they overlap.
 constexpr int spread_ms = 8'000;
 constexpr int short_fault_ms = 1'000;
 constexpr int long_fault_ms = 12'000;
@@ -28,7 +28,7 @@
 
 timestamp at(duration since_start) { return timestamp{} + since_start; }
 
-/// Any number below `end`, small ones no likelier than others.
+/// Any number from `begin` to below `end`, uniformly and whatever size RapidCheck asks for.
 rc::Gen<int> any_of(int begin, int end) {
   return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(begin, end));
 }
@@ -46,7 +46,7 @@
       rc::gen::set(&fault::other, any_of(0, world::disk_hosts + world::front_hosts)));
 }
 
-/// Faults around one moment, amid which the account asks for much more than its quota.
+/// Faults around one time, during which the account requests much more than its quota.
 std::vector<fault> any_history() {
   const int moment_ms = *any_of(first_moment_ms, last_moment_ms);
   const int count = *any_of(0, most_faults);
@@ -58,7 +58,7 @@
   return history;
 }
 
-/// The same histories in every run, or those that the environment names.
+/// The same histories in every run, unless RC_PARAMS is set.
 rc::detail::TestParams parameters() {
   if (std::getenv("RC_PARAMS") != nullptr) {
     return rc::detail::configuration().testParams;
@@ -71,7 +71,7 @@
 
 fault rush(int at_ms, int length_ms) { return {fault_kind::rush, at_ms, length_ms, 0, 0}; }
 
-/// Nothing passes between this host and any other disk host, nor the store.
+/// The host can reach neither the store nor any other disk host.
 std::vector<fault> cut_off(int host, int at_ms, int length_ms) {
   std::vector<fault> history{{fault_kind::cut_store, at_ms, length_ms, host, 0}};
   for (int other = 0; other < world::disk_hosts; ++other) {
@@ -82,7 +82,7 @@
   return history;
 }
 
-/// All keepers start again in the middle of a rush, when they have given out their buckets.
+/// All managers restart during a burst, when their buckets are used up.
 std::vector<fault> killed_in_a_rush() {
   std::vector<fault> history{rush(15'000, 8'000)};
   for (int host = 0; host < world::keepers; ++host) {
@@ -91,14 +91,14 @@
   return history;
 }
 
-/// The store does not reach a host that the operator has emptied; all others answer it.
+/// A host that the operator drains cannot reach the store; all other hosts respond to it.
 std::vector<fault> replaced_unawares() {
   return {{fault_kind::cut_store, 14'000, 20'000, 0, 0},
           {fault_kind::retire, 15'000, 0, 0, 0},
           rush(17'000, 8'000)};
 }
 
-/// The one host that can take its place does not hear it, and the store does not reach it.
+/// A host is cut off from the store and from the only host that can replace it.
 std::vector<fault> lost_to_one() {
   return {{fault_kind::cut_store, 14'000, 20'000, 0, 0},
           {fault_kind::cut, 14'000, 20'000, 0, world::keepers},
@@ -106,8 +106,8 @@
           rush(18'500, 8'000)};
 }
 
-/// The store does not reach a host from the moment on at which it is to leave the set; whoever
-/// takes its place copies for some seconds.
+/// A host is cut off from the store when it is about to leave the set, and its replacement needs
+/// several seconds to copy.
 std::vector<fault> leaving_unawares() {
   std::vector<fault> history{{fault_kind::retire, 15'000, 0, 0, 0},
                              {fault_kind::cut_store, 16'000, 20'000, 0, 0},
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-TEST_CASE("no window holds more calls than the operator tolerates, in any history of faults") {
+TEST_CASE("no history of faults leads to more calls in a window than the operator tolerates") {
   const auto property = [] {
     const int seed = *any_of(1, 1'000'000);
     const int rate = *any_of(5, 40);
@@ -141,51 +141,56 @@
   CHECK(result.is<rc::detail::SuccessResult>());
 }
 
-TEST_CASE("without faults an account gets what it is owed, however much more it asks for") {
+TEST_CASE("an account that requests more than its quota still gets the whole quota") {
   const account_limit limit =
       GENERATE(account_limit{5, 5}, account_limit{20, 1}, account_limit{40, 30});
   world all(1, limit, planted_fault::none);
   all.play({rush(10'000, 30'000)}, history_length);
   CHECK(all.worst_excess() <= 0);
-  // Keepers begin with empty buckets.
+  // Managers start with empty buckets.
   const std::size_t served = all.served_between(at(10s), at(40s));
   CHECK(static_cast<double>(served) >= 0.95 * 30 * limit.calls_per_second);
 }
 
-TEST_CASE("a keeper's mistakes are found") {
+TEST_CASE("the checks detect bugs planted in a quota manager") {
   struct row {
     const char* what;
     planted_fault mistake;
     std::vector<fault> history;
-    /// Beyond what is tolerated in some window, or less than what is owed without faults.
+    /// Some window exceeds the tolerance; without faults the account gets less than its quota.
     bool too_many;
     bool too_few;
-    /// The history changes the set of keepers.
+    /// The history changes the set of managers.
     bool changes_set;
   };
   using enum planted_fault;
   const row item = GENERATE(values<row>({
-      {"restarts", none, killed_in_a_rush(), false, false, false},
-      {"restarts that forget", forgets_grants, killed_in_a_rush(), true, false, false},
-      {"a host that is cut off", none, cut_off(0, 15'000, 20'000), false, false, true},
-      {"one that goes on", ignores_lease, cut_off(0, 15'000, 20'000), true, false, true},
-      {"a host that is emptied", none, replaced_unawares(), false, false, true},
-      {"one that goes on", ignores_lease, replaced_unawares(), true, false, true},
-      {"a host that one other does not hear", none, lost_to_one(), false, false, true},
-      {"one that goes on", ignores_lease, lost_to_one(), true, false, true},
-      {"one that its peers' fences do not stop", ignores_fences, replaced_unawares(), true, false,
+      {"managers restart", none, killed_in_a_rush(), false, false, false},
+      {"managers restart without their grants", forgets_grants, killed_in_a_rush(), true, false,
+       false},
+      {"a host is cut off", none, cut_off(0, 15'000, 20'000), false, false, true},
+      {"a host that is cut off ignores its lease", ignores_lease, cut_off(0, 15'000, 20'000), true,
+       false, true},
+      {"a drained host is cut off from the store", none, replaced_unawares(), false, false, true},
+      {"a drained host ignores its lease", ignores_lease, replaced_unawares(), true, false, true},
+      {"a host is cut off from the store and its replacement", none, lost_to_one(), false, false,
        true},
-      {"the same", ignores_fences, lost_to_one(), true, false, true},
-      {"a host that is to leave", none, leaving_unawares(), false, false, true},
-      {"one that stays to the end", stays_to_the_end, leaving_unawares(), true, false, true},
-      {"a pause longer than a lease",
+      {"a host cut off from its replacement ignores its lease", ignores_lease, lost_to_one(), true,
+       false, true},
+      {"a drained host ignores fences", ignores_fences, replaced_unawares(), true, false, true},
+      {"a host cut off from its replacement ignores fences", ignores_fences, lost_to_one(), true,
+       false, true},
+      {"a leaving host is cut off from the store", none, leaving_unawares(), false, false, true},
+      {"a leaving host keeps its share until the next set", stays_to_the_end, leaving_unawares(),
+       true, false, true},
+      {"a host is suspended for longer than a lease",
        none,
        {{fault_kind::pause, 15'000, 9'000, 0, 0}},
        false,
        false,
        true},
       {"no fault", none, {rush(9'000, 8'000)}, false, false, false},
-      {"refusals that count", counts_refusals, {rush(9'000, 8'000)}, false, true, false},
+      {"refused calls are deducted", counts_refusals, {rush(9'000, 8'000)}, false, true, false},
   }));
   INFO(item.what);
   const account_limit limit{40, 30};
--- a/libs/limits/test/quota_keeper_test.cc
+++ b/libs/limits/test/quota_keeper_test.cc
@@ -1,5 +1,5 @@
-// Quotas over several keepers: nothing beyond the limit in any span, whatever becomes of keepers
-// and of what connects them; nothing refused below it.
+// Quotas over several managers: no span exceeds the limit, whatever faults hosts and links have,
+// and calls below the limit are not refused.
 #include "hawthornlane/limits/quota_keeper.h"
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   return granted;
 }
 
-/// The most calls in any span of that length.
+/// The largest number of calls in any span of that length.
 std::size_t most_in_a_span(std::vector<double> times, double span) {
   std::sort(times.begin(), times.end());
   std::size_t most = 0;
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("a keeper grants its part of the burst at once and then its part of the rate") {
+TEST_CASE("a manager grants no more than its share of the burst and then of the rate") {
   quota_keeper keeper;
   keeper.keep(0.2, at(0));
   const account_limit limit{50, 20};
@@ -64,14 +64,14 @@
   CHECK(granted_of(keeper, limit, 100.5, 100) == 1);
 }
 
-TEST_CASE("a keeper's burst grows by its part of what the operator tolerates") {
+TEST_CASE("a manager uses its share of the operator's tolerance") {
   quota_keeper keeper(tolerant);
   keeper.keep(0.2, at(0));
-  // (50 * 5 + 20) / 10 + 20 are tolerated, and nine tenths of them used.
+  // (50 * 5 + 20) / 10 + 20 calls are tolerated, and 0.9 of them used.
   CHECK(granted_of(keeper, {50, 20}, 100, 100) == 12);
 }
 
-TEST_CASE("a refusal says when there is room again") {
+TEST_CASE("a call retried after the time given in a refusal is granted") {
   quota_keeper keeper;
   keeper.keep(0.5, at(0));
   const account_limit limit{4, 2};
@@ -82,7 +82,7 @@
   CHECK(is_granted(keeper, limit, 10.5));
 }
 
-TEST_CASE("who keeps no quotas grants nothing") {
+TEST_CASE("a host that is not a quota manager grants nothing") {
   quota_keeper keeper;
   CHECK(keeper.ask(question_of({5, 5}), at(10)).verdict == quota_verdict::not_kept);
   keeper.keep(0.5, at(10));
@@ -90,7 +90,7 @@
   CHECK(keeper.ask(question_of({5, 5}), at(20)).verdict == quota_verdict::not_kept);
 }
 
-TEST_CASE("who begins to keep quotas begins with nothing to give") {
+TEST_CASE("a new quota manager does not grant again what others granted before") {
   quota_keeper keeper;
   keeper.keep(0.5, at(10));
   const account_limit limit{10, 100};
@@ -98,7 +98,7 @@
   CHECK(granted_of(keeper, limit, 11, 100) == 5);
 }
 
-TEST_CASE("who goes on after a restart has the buckets that were written down") {
+TEST_CASE("a restart does not refill the buckets") {
   const account_limit limit{10, 10};
   const client_account south("south");
   quota_keeper before;
@@ -114,11 +114,11 @@
   for (const quota_record& record : log) {
     after.restore(record);
   }
-  // The time between the last record and the restart is not known, and counts nothing.
+  // The time between the last record and the restart is unknown and does not count.
   after.keep(1, at(7));
   CHECK(granted_of(after, limit, 7, 10) == 3);
   CHECK(granted_of(after, limit, 7.5, 10) == 5);
-  // Who was not asked for before is not held to have used anything.
+  // An account without earlier requests has a full bucket.
   CHECK(after.ask({client_account("east"), limit, limit_version(1)}, at(7)).verdict ==
         quota_verdict::granted);
 
@@ -128,7 +128,7 @@
   CHECK(granted_of(from_whole, limit, 1, 10) == 3);
 }
 
-TEST_CASE("what was written down counts no more for one that was no keeper since") {
+TEST_CASE("a host that was no manager for a time does not reuse its old buckets") {
   const account_limit limit{10, 10};
   quota_keeper before;
   before.keep(1, at(0));
@@ -138,7 +138,7 @@
   after.keep(0, at(0));
   after.keep(1, at(50));
   CHECK(granted_of(after, limit, 50, 10) == 0);
-  // Nor for the process after that one.
+  // The same holds for the next process.
   REQUIRE(is_granted(after, limit, 50.1));
   quota_keeper last;
   last.restore(before.whole(at(100)));
@@ -147,7 +147,7 @@
   CHECK(granted_of(last, limit, 0, 10) == 0);
 }
 
-TEST_CASE("the limit of the newest configuration is in force") {
+TEST_CASE("a limit of an older configuration does not replace a newer one") {
   struct row {
     std::string what;
     account_limit first;
@@ -157,8 +157,8 @@
   };
   const row item = GENERATE(values<row>({
       {"lowered", {100, 100}, {2, 2}, 2, 2},
-      {"an older one does not come back", {100, 100}, {2, 2}, 0, 50},
-      {"raised: filled from now on", {2, 2}, {100, 100}, 2, 1},
+      {"the older limit does not come back", {100, 100}, {2, 2}, 0, 50},
+      {"raised: the bucket fills from now on", {2, 2}, {100, 100}, 2, 1},
       {"lifted", {2, 2}, {0, 0}, 2, 50},
   }));
   INFO(item.what);
@@ -172,7 +172,7 @@
   CHECK(granted == item.granted);
 }
 
-TEST_CASE("an account that is idle is forgotten and loses nothing by it") {
+TEST_CASE("dropping an idle account neither refunds nor costs calls") {
   quota_keeper keeper;
   keeper.keep(0.5, at(0));
   const account_limit limit{10, 10};
@@ -180,7 +180,7 @@
   keeper.forget_idle(at(100.5));
   CHECK(keeper.accounts() == 1);
   keeper.forget_idle(at(101));
-  // What was granted is not written down yet.
+  // The grants are not logged yet.
   CHECK(keeper.accounts() == 1);
   keeper.take_changes(at(101));
   keeper.forget_idle(at(101));
@@ -188,7 +188,7 @@
   CHECK(granted_of(keeper, limit, 101, 10) == 5);
 }
 
-TEST_CASE("a round ends with the first grant, with the last refusal, or with no answer") {
+TEST_CASE("a round does not end before a grant or the last response") {
   enum class reply { grant, refusal, silence, not_kept };
   struct row {
     std::vector<reply> replies;
@@ -228,7 +228,7 @@
 
 namespace {
 
-/// Keepers, the front hosts that ask them, and what goes wrong between them.
+/// Quota managers, the front hosts that ask them, and message loss between them.
 class quota_world {
 public:
   quota_world(std::uint64_t seed, std::size_t count)
@@ -238,7 +238,8 @@
     }
   }
 
-  /// A call at a front host that reaches each keeper with that chance; an answer may get lost.
+  /// A call at a front host that reaches each manager with probability `reach` and loses each
+  /// response with probability `loss`.
   bool call(account_limit limit, double seconds, double reach, double loss,
             std::uint64_t version = 1) {
     std::vector<std::size_t> order(this->keepers.size());
@@ -266,7 +267,7 @@
   void restart_some(double seconds, double chance) {
     for (quota_keeper& keeper : this->keepers) {
       if (this->happens(chance)) {
-        // What was granted is written down by then; what becomes of the time in between, too.
+        // The grants and the age are logged by then.
         const quota_record known = keeper.whole(at(seconds));
         keeper = quota_keeper(tolerant);
         if (this->happens(0.7)) {
@@ -288,7 +289,7 @@
   std::vector<quota_keeper> keepers;
 };
 
-/// What the operator allows in a window.
+/// Calls that the operator allows in a window.
 double most_in_window(account_limit limit) {
   const double owed = limit.calls_per_second * window + limit.burst;
   return owed * (1 + tolerant.excess) + tolerant.slack;
@@ -296,7 +297,7 @@
 
 }  // namespace
 
-TEST_CASE("no span holds more than the quota, whatever happens to hosts and links") {
+TEST_CASE("lost messages and restarts do not lead to more calls than the quota in any span") {
   const std::uint64_t seed = GENERATE(range(1, 41));
   quota_world world(seed, seed % 2 == 0 ? 5 : 3);
   const account_limit limit{10.0 + static_cast<double>(seed), static_cast<double>(seed)};
@@ -313,13 +314,13 @@
   const double most = most_in_window(limit);
   INFO("seed " << seed);
   CHECK(static_cast<double>(most_in_a_span(granted, window)) <= most);
-  // And what there is is used: the first twenty seconds have no fault but lost answers.
+  // The quota is used: the first twenty seconds have no faults but lost responses.
   const auto in_calm =
       std::count_if(granted.begin(), granted.end(), [](double time) { return time < 40; });
   CHECK(static_cast<double>(in_calm) >= 0.8 * limit.calls_per_second * 20);
 }
 
-TEST_CASE("an account is hardly ever refused what one exact bucket would grant it") {
+TEST_CASE("dividing a quota refuses at most 1% of the calls that one bucket would grant") {
   const double rate = GENERATE(2.0, 8.0, 30.0, 200.0);
   quota_keeper exact;
   exact.keep(1, at(0));
@@ -339,7 +340,7 @@
   CHECK(refused <= calls / 100);
 }
 
-TEST_CASE("a lowered quota binds at once, also for hosts that do not know of it yet") {
+TEST_CASE("hosts that do not know a lowered limit yet cannot exceed it") {
   quota_world world(3, 5);
   const account_limit before{100, 100};
   const account_limit after{10, 10};
--- a/libs/limits/test/quota_lease_test.cc
+++ b/libs/limits/test/quota_lease_test.cc
@@ -1,4 +1,5 @@
-// Which part of the quotas a host keeps, and for how long it may be sure that it does.
+// Which share of the quotas a host manages, and how long it can be sure of it. Two hosts that grant
+// the same share exceed the quota.
 #include "hawthornlane/limits/quota_lease.h"
 
 #include <catch2/catch.hpp>
@@ -22,21 +23,22 @@
 
 }  // namespace
 
-TEST_CASE("hosts that know one of two sets that follow each other keep no more than the whole") {
+TEST_CASE(
+    "hosts that know different sets during a change do not manage more than the whole quota") {
   struct row {
     const char* what;
     std::string members;
     std::string next;
-    /// Of `a` and of `e` by the joint set.
+    /// Shares of `a` and of `e` under the joint set.
     double part_of_a;
     double part_of_e;
   };
   const row item = GENERATE(values<row>({
-      {"a set that stays", "abc", "", 1.0 / 3, 0},
+      {"the set does not change", "abc", "", 1.0 / 3, 0},
       {"e takes a's place", "abc", "bce", 0, 0},
       {"two join", "abc", "abcde", 0.2, 0},
       {"one leaves", "abcde", "abcd", 0.2, 0},
-      {"a is left alone", "ae", "a", 0.5, 0},
+      {"only a remains", "ae", "a", 0.5, 0},
   }));
   INFO(item.what);
   const ledger_set before{set_epoch(1), disks(item.members), {}};
@@ -44,7 +46,7 @@
   const ledger_set after{set_epoch(3), disks(item.next.empty() ? item.members : item.next), {}};
   CHECK(quota_part(joint, disk('a')) == Approx(item.part_of_a));
   CHECK(quota_part(joint, disk('e')) == Approx(item.part_of_e));
-  // Each host knows of the joint set and, as may be, of the one before or behind it.
+  // Each host knows the joint set, the one before it or the one after it.
   for (const ledger_set& other : {before, after}) {
     double most = 0;
     for (const disk_id& host : disks("abcde")) {
@@ -54,24 +56,24 @@
   }
 }
 
-TEST_CASE("a lease ends with the word of the store, of a majority, or of a newer set") {
+TEST_CASE("a lease is not held without a recent confirmation or when a newer set is known") {
   struct row {
     const char* what;
     duration told;
-    /// When `b` and `c` last answered, and the fence that `b` named.
+    /// When `b` and `c` last responded, and the fence that `b` reported.
     duration b;
     duration c;
     std::uint64_t fence_of_b;
     bool holds;
   };
   const row item = GENERATE(values<row>({
-      {"the store has just named the set", 9s, 0s, 0s, 0, true},
-      {"a majority answers", 0s, 9s, 0s, 0, true},
-      {"nobody answers", 0s, 0s, 0s, 0, false},
-      {"those who answered fell silent", 0s, 7s, 7s, 0, false},
-      {"the fence of this very set", 0s, 9s, 9s, 4, true},
-      {"a newer set, by one that answers", 0s, 9s, 9s, 5, false},
-      {"a newer set, by one that fell silent", 9s, 2s, 9s, 5, false},
+      {"the store has just confirmed the set", 9s, 0s, 0s, 0, true},
+      {"a majority responds", 0s, 9s, 0s, 0, true},
+      {"no other member responds", 0s, 0s, 0s, 0, false},
+      {"the other members have become silent", 0s, 7s, 7s, 0, false},
+      {"a member reports the fence of the same set", 0s, 9s, 9s, 4, true},
+      {"a responding member reports a newer set", 0s, 9s, 9s, 5, false},
+      {"a member that has become silent reported a newer set", 9s, 2s, 9s, 5, false},
   }));
   INFO(item.what);
   const ledger_set set{set_epoch(4), disks("abc"), {}};
--- a/libs/limits/test/quota_world.h
+++ b/libs/limits/test/quota_world.h
@@ -1,6 +1,6 @@
-// Hosts that keep quotas, front hosts that ask them and a store that names the keepers, under a
-// history of faults. The keepers, their leases and the changes of their set are the real
-// decisions; links, logs, processes and the store are fakes.
+// Simulates quota managers, front hosts that ask them and a store that holds the set of managers,
+// under a history of faults. The managers, their leases and the changes of the set are the
+// production code; links, logs, processes and the store are fakes.
 #pragma once
 
 #include <algorithm>
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Plays the history; between rushes the account asks for less than its quota.
+  /// Runs the history; between bursts the account requests less than its quota.
   void play(const std::vector<fault>& history, duration length) {
     for (const fault& item : history) {
       this->after(std::chrono::milliseconds(item.at_ms), [this, item] { this->harm(item); });
@@ -60,23 +60,23 @@
     }
   }
 
-  /// By how many calls the worst window is beyond what the operator tolerates; at most 0 is right.
+  /// Calls by which the worst window exceeds the operator's tolerance; correct if at most 0.
   [[nodiscard]] double worst_excess() { return this->grants.worst_excess(); }
   [[nodiscard]] std::size_t served_between(timestamp from, timestamp to) const {
     return static_cast<std::size_t>(
         std::count_if(this->served.begin(), this->served.end(),
                       [&](timestamp at) { return from <= at && at < to; }));
   }
-  /// How often the set of keepers was changed.
+  /// How often the set of managers was changed.
   [[nodiscard]] std::uint64_t set_changes() const { return this->stored.epoch.get() - 1; }
 
 private:
   struct disk_host {
     bool up = false;
-    /// Counts starts; what was begun by an earlier process is lost.
+    /// Number of starts; pending work of an earlier process is dropped.
     int life = 0;
     timestamp paused_until{};
-    /// The process's clock is ahead of the world's by that.
+    /// How far the process's clock is ahead of the simulated time.
     duration clock{};
     std::unique_ptr<quota_keeper> keeper;
     std::vector<quota_record> log;
@@ -85,7 +85,7 @@
     std::optional<ledger_set> set;
     timestamp told_at{};
     std::map<int, member_word> heard;
-    /// As `heard`, also of hosts that have never answered.
+    /// Like `heard`, but also set for hosts that have never responded.
     std::map<int, timestamp> alive_at;
     set_epoch fence;
     set_epoch copied;
@@ -116,9 +116,9 @@
   static constexpr duration longest_sync = std::chrono::milliseconds(20);
   static constexpr duration keeper_patience = std::chrono::milliseconds(40);
   static constexpr duration longest_round = std::chrono::milliseconds(400);
-  /// Until a change of the keepers is known at front hosts that the store reaches late.
+  /// Longest time until front hosts know a change of the managers; the store may reach them late.
   static constexpr duration set_spread = std::chrono::seconds(5);
-  /// How many times the rate of the quota is asked for, in a rush and otherwise.
+  /// Requested rate as a multiple of the quota's rate, in a burst and otherwise.
   static constexpr double rush_demand = 6;
   static constexpr double usual_demand = 0.5;
   static constexpr std::size_t longest_log = 200;
@@ -134,7 +134,8 @@
   void after(duration time, std::function<void()> work) {
     this->events.emplace(this->now + time, std::move(work));
   }
-  /// Work of a process: lost with it, and late while it stands still.
+  /// Runs work of a process: drops it if the process has ended, and delays it while the process is
+  /// suspended.
   void run_at(int host, int life, const std::function<void()>& work) {
     disk_host& item = this->hosts.at(host);
     if (!item.up || item.life != life) {
@@ -154,7 +155,7 @@
       });
     });
   }
-  /// Sends a message; `arrive` runs at the other side, if it comes through.
+  /// Sends a message; `arrive` runs at the receiver if the message gets through.
   void send(int from, int to, const std::function<void()>& arrive) {
     if (this->links.is_cut(from, to, this->now)) {
       return;
@@ -354,7 +355,7 @@
     host.keeper->restore(record);
     host.keeper->keep(1.0 / keepers, this->clock_of(host));
   }
-  /// Who was granted a call is told when the grant is in the log.
+  /// Answers a granted call once the grant is in the log.
   void write(int host) {
     disk_host& item = this->hosts.at(host);
     if (item.writing || item.unwritten.empty()) {
@@ -492,7 +493,7 @@
   grant_history grants;
   std::array<known_limit, front_hosts> known_limits;
   std::array<std::vector<disk_id>, front_hosts> known_members;
-  /// When front hosts heard of a grant.
+  /// When front hosts received grants.
   std::vector<timestamp> served;
 };
 
--- a/libs/routing/include/hawthornlane/routing/scheduler.h
+++ b/libs/routing/include/hawthornlane/routing/scheduler.h
@@ -1,4 +1,4 @@
-// One host's scheduling of model calls: which server, in which order, when.
+// One host's scheduling of model calls: which server gets a call, in which order and when.
 #pragma once
 
 #include <cstdint>
@@ -15,24 +15,25 @@
 
 namespace hawthornlane {
 
-/// A call that wants a server.
+/// A call to be scheduled.
 struct schedule_request {
   waiting_id id;
   program_id program;
   client_account account;
   double weight = 1;
-  /// The whole prompt, and how much of it the program's last server may still hold.
+  /// Size of the whole prompt, and of the part that the program's last server may still have
+  /// cached.
   token_count prompt{0};
   token_count history{0};
   token_count expected_answer{0};
-  /// Server time that the program has had so far, seconds.
+  /// Server time that the program has used so far, seconds.
   double attained = 0;
-  /// When this call arrived, and when the program began.
+  /// When the call arrived, and when the program started.
   timestamp arrived;
   timestamp began;
 };
 
-/// Send that call to that server now.
+/// Instruction to send that call to that server now.
 struct schedule_decision {
   waiting_id id;
   backend_server_id server;
@@ -45,78 +46,78 @@
   bool failed = false;
 };
 
-/// Parts of the policy that can be switched off one at a time.
+/// Parts of the policy, which can be switched off one at a time.
 struct schedule_parts {
   bool window = true;
   bool program_order = true;
   bool ageing = true;
-  /// Off: it lost on every figure, see docs/design/policy.md.
+  /// Off: it was worse in every figure, see docs/design/policy.md.
   bool predicted_choice = false;
   bool stealing = true;
-  /// New programs wait while they would push out prefixes in use.
+  /// New programs wait while their prompts would evict prefixes in use.
   bool working_set = true;
   bool fair_accounts = true;
   bool exclude_failing = true;
 };
 
 struct schedule_times {
-  /// A call without its first token for this many times the predicted time counts
-  /// against its server.
+  /// A call whose first token takes longer than this multiple of the predicted time counts as hung.
   double hung_factor = 8;
   duration hung_least = std::chrono::seconds(10);
   duration exclusion = std::chrono::seconds(10);
-  /// Candidates looked at besides the holder; never all servers.
+  /// Servers considered for a call besides the one with its prefix; never all.
   std::size_t candidates = 4;
-  /// A prefix used less than this long ago is not pushed out by a new program...
+  /// A new program does not evict a prefix used less than this long ago...
   duration protect = std::chrono::seconds(40);
-  /// ...unless that has waited this long.
+  /// ...unless the program has waited this long.
   duration longest_hold_back = std::chrono::seconds(600);
-  /// A second since a program began makes up for this much service already had.
+  /// Seconds of service already used that one second since the program's start compensates.
   double ageing_rate = 0.5;
-  /// Cache of one server, tokens.
+  /// Cache size of one server, tokens.
   token_count cache_tokens{300'000};
 };
 
-/// Decides for one pool of servers that hold the same model. No I/O, clock or
-/// randomness; a decision looks at a bounded number of servers.
+/// Schedules calls for one pool of servers with the same model. No I/O, clock or randomness. Each
+/// decision considers a bounded number of servers.
 class scheduler {
 public:
   scheduler(window_limits window, schedule_times times, schedule_parts parts);
 
   void add_server(const backend_server_id& server, timestamp now);
-  /// No new calls from now on; what waits for it goes elsewhere.
+  /// The server gets no new calls; those waiting for it move to other servers.
   std::vector<schedule_decision> remove_server(const backend_server_id& server, timestamp now);
-  /// This host's share of the server's window, from its steward.
+  /// Sets this host's share of the server's window, as divided between the hosts.
   void set_credits(const backend_server_id& server, std::int64_t credits);
 
-  /// Queues the call; decisions that became possible come back.
+  /// Queues the call; returns the calls that can be sent now.
   std::vector<schedule_decision> submit(const schedule_request& request, timestamp now);
   std::vector<schedule_decision> finished(const schedule_outcome& outcome, timestamp now);
-  /// The call is not to be sent, or was not: it leaves its queue or its place.
+  /// The call will not be sent, or was not sent: removes it from its queue or from the calls in
+  /// flight.
   std::vector<schedule_decision> cancel(waiting_id id, timestamp now);
-  /// The first token arrived.
+  /// The call's first token arrived.
   void first_token(waiting_id id);
-  /// The program ended: its prefix is worth nothing any more.
+  /// The program ended, so its prefix is no longer needed. Returns the server that had it.
   std::optional<backend_server_id> forget(const program_id& program);
-  /// Drops all that was learnt of prefixes and speeds, as a restart does.
+  /// Drops everything learned about prefixes and speeds, as a restart does.
   void forget_all();
-  /// Takes hung servers out, and returns to those whose exclusion is over.
+  /// Excludes servers with hung calls, and uses those again whose exclusion is over.
   std::vector<schedule_decision> tick(timestamp now);
 
   [[nodiscard]] std::size_t waiting() const;
-  /// Whether any server may get calls, now or after its exclusion.
+  /// True if any server may get calls, now or after its exclusion.
   [[nodiscard]] bool has_servers() const { return !this->by_load.empty(); }
   [[nodiscard]] std::int64_t inside(const backend_server_id& server) const;
   [[nodiscard]] std::int64_t window(const backend_server_id& server) const;
-  /// Predicted wait of a new call at the least busy server, for early refusal.
+  /// Predicted wait of a new call at the least busy server, seconds; used to refuse calls early.
   [[nodiscard]] double predicted_wait() const;
-  /// Calls at servers that have been taken out as hung; the host gives them up.
+  /// Returns the calls at servers excluded as hung; the host abandons them.
   std::vector<waiting_id> take_given_up();
 
 private:
   struct server_state {
     server_window window;
-    /// Calls whose prefix the server holds, and calls that it has to prefill whole.
+    /// Calls whose prefix the server has cached, and calls whose whole prompt it must prefill.
     fair_queue queue;
     fair_queue newcomers;
     prefix_mirror mirror;
@@ -126,7 +127,7 @@
     timestamp excluded_until;
     std::int64_t failures = 0;
     bool removed = false;
-    /// Position in `by_load`.
+    /// The server's key in `by_load`.
     double load_key = 0;
   };
   struct running_call {
@@ -167,14 +168,14 @@
   schedule_times times;
   schedule_parts parts;
   std::map<backend_server_id, server_state> servers;
-  /// Servers by how busy they are, least first. Invariant: one entry a server.
+  /// Servers, least busy first. Invariant: one entry for each server that is not removed.
   std::set<std::pair<double, backend_server_id>> by_load;
   std::map<waiting_id, schedule_request> requests;
   std::map<waiting_id, backend_server_id> queued_at;
   std::map<waiting_id, running_call> running;
   std::map<program_id, backend_server_id> holders;
   std::vector<waiting_id> given_up;
-  /// Calls that came while no server was listed.
+  /// Calls that arrived while there was no server.
   std::vector<waiting_id> homeless;
 };
 
--- a/libs/routing/include/hawthornlane/routing/speed_model.h
+++ b/libs/routing/include/hawthornlane/routing/speed_model.h
@@ -1,4 +1,4 @@
-// What a backend server's speed is, fitted from the calls that ended there.
+// Speed of a backend server, fitted to the calls that ended there.
 #pragma once
 
 #include <algorithm>
@@ -8,28 +8,27 @@
 
 namespace hawthornlane {
 
-/// One finished call as measured.
+/// Measurements of one finished call.
 struct speed_sample {
-  /// Tokens that were prefilled, cached ones left out.
+  /// Tokens that were prefilled, without cached ones.
   token_count prefilled{0};
   token_count answered{0};
   duration first_token{};
   duration whole{};
-  /// Calls inside the server when this one was sent, itself included.
+  /// Calls at the server when this one was sent, including this one.
   std::int64_t batch = 1;
 };
 
-/// Prefill time per token, and time between tokens as a line over the batch
-/// size, both by exponentially weighted least squares. The idea that completion
-/// time under co-located load can be predicted from observed load, and the choice
-/// by least predicted completion, are those of TRACON (Chiang and Huang, SC'11);
-/// what they bring here is measured in docs/design/policy.md.
+/// Models prefill time per token, and time between tokens as a linear function of the batch size,
+/// both by exponentially weighted least squares. Predicting completion time under co-located load
+/// from observed load, and choosing the server with the least predicted completion time, follow
+/// TRACON (Chiang and Huang, SC'11); docs/design/policy.md has the measured effect.
 class speed_model {
 public:
   void add(const speed_sample& sample);
-  /// Seconds to prefill that many tokens.
+  /// Predicted time to prefill that many tokens, seconds.
   [[nodiscard]] double prefill_seconds(token_count tokens) const;
-  /// Seconds between two tokens with that many calls inside.
+  /// Predicted time between two tokens with that many calls at the server, seconds.
   [[nodiscard]] double token_seconds(std::int64_t batch) const;
 
 private:
--- a/libs/routing/src/scheduler.cc
+++ b/libs/routing/src/scheduler.cc
@@ -1,4 +1,4 @@
-// Choosing servers and filling their windows.
+// Selects servers and fills their windows.
 #include "hawthornlane/routing/scheduler.h"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::int64_t failures_to_exclude = 3;
-/// A call is stolen only when that saves at least this share of its time.
+/// A call is moved to another server only if its predicted time there is at most this fraction of
+/// its predicted time here.
 constexpr double worth_stealing = 0.8;
 
 }  // namespace
@@ -30,7 +31,7 @@
                                                  false,
                                                  0});
   if (!added) {
-    // Back again: start small.
+    // The server has come back: start with a smaller window.
     at->second.removed = false;
     at->second.window.on_failed();
   }
@@ -105,8 +106,8 @@
   if (!this->parts.program_order) {
     return to_seconds(request.arrived.time_since_epoch());
   }
-  // Constant over time: ageing at one rate for all leaves the order of two calls
-  // as it is, so it can be a sort key.
+  // Constant over time: all calls age at the same rate, which does not change their order, so the
+  // result can be a sort key.
   const double began = to_seconds(request.began.time_since_epoch());
   return request.attained + (this->parts.ageing ? this->times.ageing_rate * began : 0);
 }
@@ -137,7 +138,7 @@
     if (looked_at == this->times.candidates) {
       break;
     }
-    // Excluded servers are few; they do not use up the candidates.
+    // Excluded servers are few, so they do not count as candidates.
     if (this->usable(this->servers.at(id), now)) {
       ++looked_at;
       consider(id);
@@ -165,7 +166,7 @@
   this->requests[request.id] = request;
   const auto server = this->choose(request, now);
   if (!server) {
-    // Every server is out: wait at any that is there, for its return.
+    // All servers are excluded: wait at any of them until it returns.
     for (auto& [id, state] : this->servers) {
       if (!state.removed) {
         this->place(request, id);
@@ -208,9 +209,9 @@
   this->queued_at.erase(id);
 }
 
-/// Calls whose prefix is there go first: they cost least, and their programs are
-/// nearer to their end. A new program waits while it would only push out prefixes
-/// that are needed again soon, which would cost more than it gains.
+/// Calls whose prefix is cached at the server go first: they cost least, and their programs are
+/// closer to their end. A new program waits while it would only evict prefixes that are needed
+/// again soon, which would cost more than it gains.
 std::optional<waiting_call> scheduler::take_next(server_state& server, timestamp now) {
   const waiting_call* newcomer = server.newcomers.peek();
   const waiting_call* known = server.queue.peek();
@@ -250,8 +251,8 @@
   this->reindex(id, server);
 }
 
-/// Takes a call from the busiest server when it ends sooner here, even though its
-/// prefix has to be computed again.
+/// Takes a call from the busiest server if it ends sooner here, although its prefix has to be
+/// computed again.
 bool scheduler::steal_for(const backend_server_id& id, server_state& server, timestamp now,
                           std::vector<schedule_decision>& out) {
   if (this->by_load.empty()) {
--- a/libs/routing/src/speed_model.cc
+++ b/libs/routing/src/speed_model.cc
@@ -1,4 +1,4 @@
-// Online fitting of a server's speed.
+// Online fit of a server's speed.
 #include "hawthornlane/routing/speed_model.h"
 
 namespace hawthornlane {
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_copy.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_copy.h
@@ -1,4 +1,4 @@
-// What one disk holds of turns and budgets. No I/O, clock or randomness.
+// One disk's replica of turns and budgets. No I/O, clock or randomness.
 #pragma once
 
 #include <cstdint>
@@ -10,34 +10,32 @@
 
 namespace hawthornlane {
 
-/// One disk's copy of the ledger, in memory. The caller makes records durable
-/// before it lets an answer out.
+/// One disk's replica of the ledger, in memory. The caller makes records durable before it sends a
+/// response that depends on them.
 ///
-/// Promises: a reservation never goes back to an earlier phase, whatever the order
-/// in which its records arrive; a turn's text never changes; a request below the
-/// fence changes nothing.
+/// Guarantees: a reservation never returns to an earlier phase, in whatever order its records
+/// arrive; a turn's text never changes; a request below the fence changes nothing.
 class ledger_copy {
 public:
-  /// True when the request may be served; false when it is from an older set.
+  /// False if the request is from an older set and must be refused.
   [[nodiscard]] bool accepts(set_epoch epoch) const { return epoch >= this->fence; }
-  /// Refuses lower epochs from now on. Never falls.
+  /// Refuses lower epochs from now on. The fence never falls.
   void raise_fence(set_epoch epoch) { this->fence = std::max(this->fence, epoch); }
   [[nodiscard]] set_epoch fenced_at() const { return this->fence; }
 
-  /// Merges a record; true when it changed anything and so has to be made durable.
+  /// Merges a record. True if it changed anything and has to be made durable.
   bool apply(const ledger_record& record);
   [[nodiscard]] std::vector<reservation> reservations_of(const program_id& program) const;
-  /// The chain that ends with `last`; `known` and `turns` as in `chain_answer`.
+  /// Returns the chain that ends with `last`; `known` and `turns` as in `chain_answer`.
   [[nodiscard]] chain_answer chain_of(const request_id& last) const;
-  /// Records after a position, up to about `bytes` of text.
+  /// Returns the records after a position, up to about `bytes` of text.
   [[nodiscard]] copy_page page_after(const copy_request& from, std::size_t bytes) const;
-  /// Forgets programs without activity since their last record expired, with their
-  /// turns.
+  /// Drops programs whose last record has expired, with their turns.
   void expire(wall_ms now);
 
   [[nodiscard]] std::size_t programs() const { return this->by_program.size(); }
   [[nodiscard]] std::size_t turns() const { return this->chains.size(); }
-  /// Bytes of text held.
+  /// Size of the stored text, bytes.
   [[nodiscard]] std::size_t text_bytes() const { return this->text_size; }
 
 private:
@@ -45,11 +43,12 @@
     std::map<request_id, ledger_record> records;
     wall_ms expires_at;
   };
-  /// Text of a turn; lies in its program's record.
+  /// Locates a turn's text, which is stored in the record of its program.
   struct chain_link {
     program_id program;
   };
-  /// A program may go on from another's turns: those live as long as it does.
+  /// A program may continue from another program's turns. Extends the lifetime of those turns to
+  /// its own.
   void extend_chain(const kept_turn& turn, wall_ms until);
   [[nodiscard]] const kept_turn* turn_of(const request_id& id) const;
 
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
@@ -1,4 +1,4 @@
-// What disks keep and what front hosts ask them: typed records and messages.
+// Records that disks store, and messages between front hosts and disk hosts.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace hawthornlane {
 
-/// Milliseconds since 1970: compared across restarts, with the hosts' clocks close.
+/// Milliseconds since 1970 by the host's clock. Compared across hosts and restarts, so the hosts'
+/// clocks must be close.
 using wall_ms = strong_value<struct wall_ms_tag, std::int64_t>;
 
-/// How far a reservation has come.
+/// Progress of a reservation.
 enum class reservation_phase : std::uint8_t {
-  /// Sent or about to be sent; counts in full.
+  /// Sent or about to be sent; charged in full.
   open,
-  /// Ended; counts what was handed out.
+  /// Ended; charged with the tokens that were delivered.
   settled,
-  /// Provably never sent; counts nothing.
+  /// Provably never sent; not charged.
   withdrawn,
 };
 
@@ -32,7 +33,7 @@
   token_count used;
   reservation_phase phase = reservation_phase::open;
 
-  /// What it takes from the budget.
+  /// Tokens charged to the budget.
   [[nodiscard]] token_count charge() const {
     switch (this->phase) {
       case reservation_phase::open:
@@ -52,12 +53,12 @@
   }
 };
 
-/// One whole turn. Immutable.
+/// One complete turn. Immutable.
 struct kept_turn {
   request_id id;
   std::optional<request_id> previous;
   std::string input;
-  /// The data of each event, followed by a line feed.
+  /// The data of each event, each followed by a line feed.
   std::string output;
 
   friend bool operator==(const kept_turn&, const kept_turn&) = default;
@@ -67,13 +68,13 @@
   }
 };
 
-/// One durable record: a reservation's newest state and, when the turn ended whole
-/// on a route that keeps turns, what was said.
+/// One durable record: the latest state of a reservation and, if the turn was completed on a route
+/// that keeps turns, its text.
 struct ledger_record {
   program_id program;
   reservation state;
   std::optional<kept_turn> turn;
-  /// May be dropped after this.
+  /// The record may be dropped after this time.
   wall_ms expires_at;
 
   friend bool operator==(const ledger_record&, const ledger_record&) = default;
@@ -85,23 +86,23 @@
 
 /// Methods that disk hosts serve.
 enum class ledger_method : std::uint16_t {
-  /// Appends a record; answers with the program's reservations.
+  /// Appends a record; returns the program's reservations.
   append = 100,
-  /// Answers with the program's reservations.
+  /// Returns the program's reservations.
   collect = 101,
-  /// Answers with a turn's chain.
+  /// Returns a turn's chain.
   chain = 102,
   /// Makes the disk refuse lower epochs.
   fence = 103,
-  /// Pages through all that the disk holds.
+  /// Returns everything that the disk stores, page by page.
   copy = 104,
-  /// Tells which disk this is and how far it is.
+  /// Returns the disk's identity, its fence and how far it has copied.
   probe = 105,
-  /// Takes a call out of a client account's quota (`quota_question`).
+  /// Takes a call from a client account's quota (`quota_question`).
   quota = 106,
 };
 
-/// Asks for a record to be appended, or (without one) for the program's state.
+/// Asks for a record to be appended.
 struct append_request {
   set_epoch epoch;
   ledger_record record;
@@ -122,10 +123,10 @@
   }
 };
 
-/// What a disk says of a program.
+/// A disk's reservations of a program.
 struct program_answer {
   disk_id disk;
-  /// The request's epoch is lower than the disk's: nothing was done.
+  /// The request's epoch is lower than the disk's fence: nothing was done.
   bool stale = false;
   /// The newest set that the disk knows, when `stale`.
   std::optional<ledger_set> newest;
@@ -152,9 +153,9 @@
   disk_id disk;
   bool stale = false;
   std::optional<ledger_set> newest;
-  /// The disk holds the turn itself.
+  /// The disk has the turn itself.
   bool known = false;
-  /// Oldest first; whole only when the disk holds all of them, else empty.
+  /// Oldest first; empty if the disk lacks any turn of the chain.
   std::vector<kept_turn> turns;
 
   template <class Archive>
@@ -163,9 +164,9 @@
   }
 };
 
-/// Makes a disk refuse epochs lower than the set's, and tell askers of those to go on with
-/// the set. Without the set, each change of it refused turns for 0.2 to 0.4 s, until the
-/// store's watches told what the fence had kept to itself (95 hosts, watches 0.4 s late).
+/// Makes a disk refuse epochs lower than the set's, and include the set in its refusals. Without
+/// the set in the refusal, each change of the set would refuse turns for 0.2 to 0.4 s, until the
+/// front hosts learn of it by watches of the store (95 hosts, watches 0.4 s late).
 struct fence_request {
   ledger_set set;
 
@@ -175,7 +176,7 @@
   }
 };
 
-/// The beginning of a `fence_request`: all that logs and programs of the first format hold.
+/// The beginning of a `fence_request`. Logs and programs of the first format contain only this.
 struct fence_mark {
   set_epoch epoch;
 
@@ -186,7 +187,7 @@
 };
 
 struct copy_request {
-  /// The first page begins with an empty one.
+  /// Empty in the request for the first page.
   program_id after_program;
   request_id after_request;
 
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_set.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_set.h
@@ -1,4 +1,4 @@
-// The set of disks that hold turns and budgets, and what counts as a majority.
+// The set of disks that replicate turns and budgets, and its majorities.
 #pragma once
 
 #include <algorithm>
@@ -9,13 +9,13 @@
 
 namespace hawthornlane {
 
-/// Identity of a disk's contents, made at first use; an empty disk has a new one.
+/// Identity of a disk's contents, created at first use. An emptied disk gets a new one.
 using disk_id = strong_value<struct disk_id_tag, std::string>;
 /// Number of a set; rises by one with each change. Disks refuse lower ones.
 using set_epoch = strong_value<struct set_epoch_tag, std::uint64_t>;
 
-/// The disks of one epoch. While `next` is not empty the set is joint: whatever is
-/// decided needs a majority of the old members and of the next ones.
+/// The disks of one epoch. While `next` is not empty the set is joint: a decision needs a majority
+/// of the current members and a majority of the next ones.
 struct ledger_set {
   set_epoch epoch;
   std::vector<disk_id> members;
@@ -34,7 +34,7 @@
                        [&answered](const disk_id& disk) { return answered.contains(disk); });
   }
 
-  /// Members of either set, each once.
+  /// Members of either set, without duplicates.
   [[nodiscard]] std::vector<disk_id> all() const {
     std::set<disk_id> everyone(this->members.begin(), this->members.end());
     everyone.insert(this->next.begin(), this->next.end());
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/rounds.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/rounds.h
@@ -1,4 +1,4 @@
-// What a front host concludes from the disks' answers. No I/O, clock or randomness.
+// What a front host decides from the responses of the disks. No I/O, clock or randomness.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,16 @@
 
 namespace hawthornlane {
 
-/// Answers of the disks of one set to one question.
+/// Responses of the disks of one set to one request.
 class disk_round {
 public:
   explicit disk_round(ledger_set asked) : set(std::move(asked)) {}
 
   void answered(const disk_id& disk) { this->yes.insert(disk); }
-  /// No answer will come from that disk.
+  /// No response will come from that disk.
   void failed(const disk_id& disk) { this->no.insert(disk); }
 
-  /// The disks that failed; they are asked again, and their answers are to come.
+  /// Returns the disks that failed, for another request to each; they count as pending again.
   std::vector<disk_id> retry() {
     const std::set<disk_id> failed = std::exchange(this->no, {});
     return {failed.begin(), failed.end()};
@@ -29,7 +29,7 @@
 
   [[nodiscard]] bool majority() const { return this->set.has_majority(this->yes); }
   [[nodiscard]] bool complete() const { return this->set.has_all(this->yes); }
-  /// So many disks have failed that no majority can come any more.
+  /// Too many disks have failed for a majority to respond.
   [[nodiscard]] bool hopeless() const {
     std::set<disk_id> possible;
     for (const disk_id& disk : this->set.all()) {
@@ -40,7 +40,7 @@
     return !this->set.has_majority(possible);
   }
   [[nodiscard]] const ledger_set& of() const { return this->set; }
-  /// Each disk has answered or failed.
+  /// Each disk has responded or failed.
   [[nodiscard]] bool over() const {
     return this->yes.size() + this->no.size() >= this->set.all().size();
   }
@@ -53,19 +53,18 @@
 
 /// Whether a reservation fits its program's budget.
 enum class budget_verdict : std::uint8_t {
-  /// Not enough answers yet.
+  /// Not enough responses yet.
   undecided,
   fits,
   exceeds,
 };
 
-/// Decides over one reservation.
+/// Decides whether one reservation is admitted.
 ///
-/// Two rounds: the reservation is appended at a majority of disks; only then a
-/// majority is asked what reservations of the program it knows. Of two concurrent
-/// ones the later to be appended sees the other. One round is enough when every
-/// disk has answered the append with its state: of any set of reservations, one
-/// came after each other one at some disk.
+/// Two rounds: the reservation is appended at a majority of disks; only then is a majority asked
+/// for the program's reservations. Of two concurrent reservations, the one that is appended later
+/// sees the other. One round is enough when every disk has responded to the append with its state:
+/// of any set of reservations, one was appended after each of the others at some disk.
 class reservation_check {
 public:
   reservation_check(ledger_set set, const reservation& own, std::optional<token_count> budget)
@@ -78,14 +77,14 @@
     this->merge_all(answer);
   }
   void on_append_failed(const disk_id& disk) { this->appends.failed(disk); }
-  /// Only answers to questions that were asked after `appended()` became true.
+  /// Pass only responses to requests that were sent after `appended()` became true.
   void on_collect(const program_answer& answer) {
     this->collects.answered(answer.disk);
     this->merge_all(answer);
   }
   void on_collect_failed(const disk_id& disk) { this->collects.failed(disk); }
 
-  /// A majority holds the reservation: the second round may begin.
+  /// A majority has the reservation: the second round may begin.
   [[nodiscard]] bool appended() const { return this->appends.majority(); }
   [[nodiscard]] bool hopeless() const {
     return this->appends.hopeless() || this->collects.hopeless();
@@ -97,7 +96,7 @@
     const bool fits = !this->budget || this->charged() <= *this->budget;
     return fits ? budget_verdict::fits : budget_verdict::exceeds;
   }
-  /// What all known reservations of the program take, this one included.
+  /// Tokens charged for all known reservations of the program, including this one.
   [[nodiscard]] token_count charged() const {
     token_count sum;
     for (const auto& [id, item] : this->known) {
@@ -125,10 +124,10 @@
   std::map<request_id, reservation> known;
 };
 
-/// What is known of a chain of turns.
+/// State of the search for a chain of turns.
 enum class chain_verdict : std::uint8_t { undecided, whole, absent };
 
-/// Decides whether a turn exists, and gathers its chain from the disks.
+/// Decides whether a turn exists, and collects its chain from the disks.
 class chain_check {
 public:
   explicit chain_check(ledger_set set) : round(std::move(set)) {}
@@ -142,7 +141,8 @@
   }
   void on_failed(const disk_id& disk) { this->round.failed(disk); }
 
-  /// Absent only when a majority says so; a turn that ended whole is at a majority.
+  /// Absent only if a majority does not have the turn, since a completed turn is stored at a
+  /// majority.
   [[nodiscard]] chain_verdict verdict() const {
     if (!this->turns.empty()) {
       return chain_verdict::whole;
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
@@ -14,38 +14,38 @@
 /// A disk host as another disk host sees it.
 struct disk_view {
   disk_id disk;
-  /// It has answered lately, or has been silent for a short time only.
+  /// It has responded lately, or has been silent only for a short time.
   bool reachable = true;
-  /// The operator wants its host emptied.
+  /// The operator is draining its host.
   bool retiring = false;
-  /// So much of the time to empty it has passed that it leaves without a spare.
+  /// So little of the time for draining is left that it leaves even without a spare.
   bool must_leave = false;
   /// The epoch of the joint set up to which it has copied.
   set_epoch copied;
 };
 
-/// Everything that one disk host knows when it decides.
+/// Everything that a disk host's decision depends on.
 struct set_view {
   disk_id self;
-  /// Nothing before the first set was made.
+  /// Empty before the first set is created.
   std::optional<ledger_set> set;
-  /// Registered disks, this one included. A member that is not among them is lost:
-  /// its host has come back with an empty disk or has been removed.
+  /// Registered disks, including this one. A member that is not registered is lost: its host came
+  /// back with an empty disk or was removed.
   std::vector<disk_view> disks;
-  /// The first disk that can make a change makes it. So many before this one have
-  /// had their time and did not: they may not reach the store.
+  /// The first disk that can make a change makes it. Number of disks before this one that have had
+  /// their time and made no change, perhaps because they cannot reach the store.
   std::size_t passed_over = 0;
-  /// Disks that a set should have: twice the losses to be borne at once, and one.
+  /// Disks that a set should have: twice the losses to tolerate at once, plus one.
   std::size_t wanted = 3;
 };
 
 /// What this disk host should do now.
 enum class set_step : std::uint8_t {
   nothing,
-  /// Write the proposed set if the store still holds the one decided upon.
+  /// Write the proposed set if the store still holds the set that the decision is based on.
   propose,
-  /// Raise the fence at a read quorum of the old members, copy what they hold, and
-  /// then report the joint set's epoch as copied.
+  /// Raise the fence at a read quorum of the old members, copy their records, and then report the
+  /// joint set's epoch as copied.
   copy,
 };
 
@@ -55,12 +55,12 @@
   const char* reason = "";
 };
 
-/// Old members from which a copier must have copied, after it raised their fences:
-/// so many that every majority of the old set has one of them.
+/// Number of old members that a joining disk must copy from, after it has raised their fences:
+/// enough that every majority of the old set contains one of them.
 std::size_t read_quorum(const std::vector<disk_id>& members);
 
-/// Decides for one disk host. Several may decide at once: each change is a
-/// conditional update, so one wins.
+/// Decides for one disk host. Several hosts may decide at the same time: each change is a
+/// conditional update, so only one succeeds.
 set_decision decide_set_change(const set_view& view);
 
 }  // namespace hawthornlane
--- a/libs/turn_ledger/src/ledger_copy.cc
+++ b/libs/turn_ledger/src/ledger_copy.cc
@@ -1,4 +1,4 @@
-// What one disk holds of turns and budgets.
+// One disk's replica of turns and budgets.
 #include "hawthornlane/turn_ledger/ledger_copy.h"
 
 #include <algorithm>
@@ -84,7 +84,7 @@
     }
     turn = this->turn_of(*turn->previous);
   }
-  // A turn of the chain is missing here.
+  // This disk lacks a turn of the chain.
   answer.turns.clear();
   return answer;
 }
@@ -104,7 +104,8 @@
         return page;
       }
       page.records.push_back(record->second);
-      // Whoever reads the page may meet the turns that go on from this one before it.
+      // The reader may have received later turns of the chain before this record, so it cannot
+      // extend the record's lifetime itself.
       page.records.back().expires_at = program->second.expires_at;
     }
   }
--- a/libs/turn_ledger/src/set_change.cc
+++ b/libs/turn_ledger/src/set_change.cc
@@ -6,7 +6,7 @@
 namespace hawthornlane {
 namespace {
 
-/// A set below this cannot lose a disk and keep every record.
+/// A smaller set cannot lose a disk and keep every record.
 constexpr std::size_t least_members = 2;
 
 bool contains(const std::vector<disk_id>& disks, const disk_id& disk) {
@@ -32,8 +32,8 @@
   return item != nullptr && item->reachable;
 }
 
-/// True when it is this disk's turn among `disks`: the first that is reachable, and
-/// those after it once the ones before them have had their time.
+/// True if this disk may act among `disks`: the first reachable one may act at once, and each later
+/// one when those before it have had their time.
 bool is_own_turn(const set_view& view, std::vector<disk_id> disks) {
   std::sort(disks.begin(), disks.end());
   std::size_t before = 0;
@@ -70,7 +70,7 @@
   return {set_step::propose, {set_epoch(1), disks, {}}, "first set"};
 }
 
-/// The disks that have to copy before the joint set may end.
+/// The disks that must have copied before the joint set may end.
 std::vector<disk_id> copiers_of(const ledger_set& set) {
   if (set.next.size() < set.members.size()) {
     return set.next;
@@ -134,8 +134,8 @@
       spares.push_back(item.disk);
     }
   }
-  // Two disks decide only together, so the loss of one stops them. What was decided
-  // is on both: the other one goes on alone until a disk joins it.
+  // A majority of two disks is both, so the loss of one blocks the set. Every decision is on both
+  // disks, so the other one can continue alone until a disk joins.
   if (set.members.size() == least_members && lost.size() == 1) {
     const std::vector<disk_id> rest = without(set.members, lost.front());
     if (!is_own_turn(view, rest)) {
@@ -153,7 +153,7 @@
     }
     ledger_set proposed = next_epoch(set);
     proposed.next = set.members;
-    // A lost disk's place goes first: with it the set can bear one loss less.
+    // Replace a lost disk first: without it the set tolerates one loss less.
     if (!lost.empty()) {
       proposed.next = without(set.members, lost.front());
     } else if (!retiring.empty()) {
@@ -163,7 +163,8 @@
     return {set_step::propose, proposed, leaving.empty() ? "too few disks" : "replacement"};
   }
   const bool may_shrink = lost.empty() && set.members.size() > least_members;
-  // Until then it still counts: a set that shrinks early bears no loss meanwhile.
+  // A retiring disk stays a member until it must leave: a smaller set would tolerate no loss in the
+  // meantime.
   if (!due.empty() && may_shrink) {
     const std::vector<disk_id> rest = without(set.members, due.front());
     if (!is_own_turn(view, rest)) {
--- a/libs/turn_ledger/test/ledger_search_test.cc
+++ b/libs/turn_ledger/test/ledger_search_test.cc
@@ -1,6 +1,6 @@
-// Exhaustive search over the real decision code: reservations of one program, with
-// messages in every order, and a disk that is replaced meanwhile. The budget must
-// hold in every state; with one rule left out, the search must find where it breaks.
+// Exhaustive search over the production decision code: reservations of one program with messages in
+// every order, while a disk is replaced. The budget must not be exceeded in any state. With one
+// rule left out, the search must find a state in which it is exceeded.
 #include <array>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// One rule that the search leaves out.
+/// The rule that the search leaves out.
 enum class left_out {
   nothing,
   second_round,
@@ -28,9 +28,9 @@
 /// What happens to the third disk.
 enum class replacement {
   none,
-  /// Its contents are lost, and an empty disk takes its place.
+  /// Its contents are lost, and an empty disk replaces it.
   lost,
-  /// It is taken for dead and replaced, but lives and still takes requests.
+  /// It is suspected and replaced, but is alive and still accepts requests.
   suspected,
 };
 
@@ -46,7 +46,7 @@
 disk_id disk(int number) { return disk_id(std::string(1, static_cast<char>('A' + number))); }
 request_id request(int number) { return request_id("r" + std::to_string(number)); }
 
-/// One front host's try to reserve.
+/// One front host's attempt to reserve.
 struct front {
   explicit front(const ledger_set& at, int number, token_count budget)
       : set(at),
@@ -65,7 +65,7 @@
   std::vector<front> fronts;
   ledger_set set;
   std::array<bool, disk_count> copied_from{};
-  /// The third disk has been lost, or is suspected.
+  /// The third disk has been lost or is suspected.
   bool suspected = false;
   std::string steps;
 };
@@ -82,7 +82,7 @@
 public:
   explicit search(world_rules with) : rules(with) {}
 
-  /// The steps to a state in which the budget is broken; empty when there is none.
+  /// Returns the steps to a state in which the budget is exceeded; empty if there is none.
   std::string run() {
     world start;
     start.set = {set_epoch(1), {disk(0), disk(1), disk(2)}, {}};
@@ -180,7 +180,7 @@
     }
   }
 
-  /// A front host that has not begun may have heard of the newest set.
+  /// A front host that has not sent anything may learn of the newest set.
   void try_hear(const world& at, std::size_t number) {
     const front& item = at.fronts[number];
     const bool begun = item.appended != std::array<bool, disk_count>{};
@@ -193,7 +193,7 @@
     this->offer(next);
   }
 
-  /// The empty disk keeps its old name and so never joins by copying.
+  /// The empty disk keeps its old identity and so never joins by copying.
   [[nodiscard]] bool keeps_identity() const {
     return this->rules.missing == left_out::new_identity_for_an_empty_disk;
   }
@@ -203,7 +203,7 @@
     return std::find(all.begin(), all.end(), disk(static_cast<int>(index))) != all.end();
   }
 
-  /// The third member of the first set answers nobody once it has been lost.
+  /// The third member of the first set does not respond once it has been lost.
   [[nodiscard]] bool is_lost(const world& at, std::size_t index) const {
     constexpr std::size_t lost_disk = 2;
     return this->rules.replace == replacement::lost && at.suspected && index == lost_disk &&
@@ -211,7 +211,7 @@
   }
 
   void restart(world& next, std::size_t number, std::size_t index) const {
-    // The refusal names the newest set; the try begins anew there.
+    // The refusal contains the newest set; the attempt starts again with it.
     next.fronts[number] = front(next.set, static_cast<int>(number), this->budget());
     next.steps += " stale" + std::to_string(number) + disk(static_cast<int>(index)).get();
   }
@@ -258,8 +258,8 @@
     this->offer(next);
   }
 
-  /// Disk C is lost with its contents and D takes its place, in the steps that
-  /// `decide_set_change` prescribes.
+  /// Disk C is lost with its contents and D replaces it, in the steps that `decide_set_change`
+  /// prescribes.
   void expand_replacement(const world& at) {
     constexpr std::size_t lost = 2;
     constexpr std::size_t joiner = 3;
@@ -340,7 +340,7 @@
 
 }  // namespace
 
-TEST_CASE("the budget holds for concurrent reservations in every order of messages") {
+TEST_CASE("concurrent reservations do not exceed the budget in any order of messages") {
   const auto [reservations, replace] =
       GENERATE(Catch::Generators::table<int, replacement>({{2, replacement::none},
                                                            {3, replacement::none},
@@ -353,7 +353,7 @@
   CHECK(all.states() > 100);
 }
 
-TEST_CASE("each rule is needed: without it the search finds a broken budget") {
+TEST_CASE("leaving out any rule of the protocol lets reservations exceed the budget") {
   const auto [reservations, replace, missing] =
       GENERATE(Catch::Generators::table<int, replacement, left_out>({
           {3, replacement::none, left_out::second_round},
--- a/libs/turn_ledger/test/turn_ledger_test.cc
+++ b/libs/turn_ledger/test/turn_ledger_test.cc
@@ -1,4 +1,4 @@
-// Tables over one disk's copy, chains, majorities and changes of the set.
+// Tests of one disk's replica, chains of turns, majorities and changes of the replica set.
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/turn_ledger/ledger_copy.h"
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a reservation never goes back, whatever order its records arrive in") {
+TEST_CASE("records that arrive out of order do not move a reservation to an earlier phase") {
   using enum reservation_phase;
   const auto [first, second, expected] =
       GENERATE(Catch::Generators::table<reservation_phase, reservation_phase, std::int64_t>({
@@ -57,14 +57,14 @@
   CHECK(copy.reservations_of(program_id("p")).front().charge() == token_count(expected));
 }
 
-TEST_CASE("a record that changes nothing needs no write") {
+TEST_CASE("a repeated or outdated record is not written again") {
   ledger_copy copy;
   CHECK(copy.apply(turn("p", "t1", "")));
   CHECK_FALSE(copy.apply(turn("p", "t1", "")));
   CHECK_FALSE(copy.apply(record("p", "t1", reservation_phase::open)));
 }
 
-TEST_CASE("a chain comes whole and oldest first, or not at all") {
+TEST_CASE("a chain with a missing turn is not returned in part") {
   ledger_copy copy;
   copy.apply(turn("p", "t1", ""));
   copy.apply(turn("p", "t2", "t1"));
@@ -79,7 +79,7 @@
   CHECK_FALSE(copy.chain_of(request_id("t9")).known);
 }
 
-TEST_CASE("a turn lives as long as a program that goes on from it") {
+TEST_CASE("a turn does not expire while another program continues from it") {
   ledger_copy copy;
   copy.apply(turn("p", "t1", "", 1000));
   copy.apply(turn("q", "t2", "t1", 5000));
@@ -91,7 +91,7 @@
   CHECK(copy.text_bytes() == 0);
 }
 
-TEST_CASE("pages bring every record once") {
+TEST_CASE("paging neither skips nor repeats a record") {
   ledger_copy copy;
   for (int program = 0; program < 7; ++program) {
     for (int id = 0; id < 5; ++id) {
@@ -117,20 +117,20 @@
   CHECK(target.turns() == 35);
 }
 
-TEST_CASE("a turn is absent only when a majority says so") {
+TEST_CASE("a turn is not reported absent without a majority") {
   const ledger_set set{set_epoch(1), {disk("A"), disk("B"), disk("C")}, {}};
   chain_check check(set);
   check.on_answer(chain("A", false));
   CHECK(check.verdict() == chain_verdict::undecided);
-  SECTION("a second disk does not know it either") {
+  SECTION("a second disk lacks it too") {
     check.on_answer(chain("B", false));
     CHECK(check.verdict() == chain_verdict::absent);
   }
-  SECTION("a second disk holds it") {
+  SECTION("a second disk has it") {
     check.on_answer(chain("B", true, {kept_turn{request_id("t"), std::nullopt, "i", "o"}}));
     CHECK(check.verdict() == chain_verdict::whole);
   }
-  SECTION("a second disk knows of it without its whole chain") {
+  SECTION("a second disk has it without its whole chain") {
     check.on_answer(chain("B", true));
     CHECK(check.verdict() == chain_verdict::undecided);
     check.on_failed(disk("C"));
@@ -144,7 +144,7 @@
   }
 }
 
-TEST_CASE("a joint set needs a majority of both of its sets") {
+TEST_CASE("a majority of one half of a joint set does not decide") {
   const ledger_set set{
       set_epoch(2), {disk("A"), disk("B"), disk("C")}, {disk("A"), disk("D"), disk("E")}};
   CHECK_FALSE(set.has_majority({disk("A"), disk("B")}));
@@ -153,7 +153,7 @@
   CHECK(set.all().size() == 5);
 }
 
-TEST_CASE("how many old members a joining disk copies from") {
+TEST_CASE("a joining disk does not copy from fewer members than a read quorum") {
   const auto [members, expected] = GENERATE(
       Catch::Generators::table<std::size_t, std::size_t>({{1, 1}, {2, 1}, {3, 2}, {4, 2}, {5, 3}}));
   CHECK(read_quorum(std::vector<disk_id>(members, disk("A"))) == expected);
@@ -161,8 +161,8 @@
 
 namespace {
 
-/// Disks by name: lower case is silent, '!' after a name means
-/// retiring, '?' retiring and due to leave, '+' copied.
+/// Parses disks by name. Lower case: unreachable; after a name '!': retiring, '?': retiring and due
+/// to leave, '+': has copied.
 std::vector<disk_view> disks_from(const std::string& text, set_epoch copied) {
   std::vector<disk_view> disks;
   for (const char letter : text) {
@@ -197,7 +197,7 @@
 
 }  // namespace
 
-TEST_CASE("when the set of disks changes, and who proposes it") {
+TEST_CASE("the set of disks changes only when needed, and only one disk proposes the change") {
   struct row {
     const char* what;
     const char* members;
@@ -210,35 +210,41 @@
   };
   using enum set_step;
   const row rows[] = {
-      {"the first set is made by the first disk", "", "", "ABC", "A", propose, "ABC", ""},
-      {"the others wait for it", "", "", "ABC", "B", nothing, "", ""},
-      {"the first set is no larger than wanted", "", "", "ABCD", "A", propose, "ABC", ""},
-      {"all is well", "ABC", "", "ABC", "A", nothing, "", ""},
-      {"a spare stands by", "ABC", "", "ABCD", "D", nothing, "", ""},
-      {"a wiped disk comes back as a new one", "ABC", "", "ABD", "D", propose, "ABC", "ABD"},
-      {"the spare leaves nothing to others", "ABC", "", "ABD", "A", nothing, "", ""},
-      {"a silent disk is replaced by a spare", "ABC", "", "ABcD", "D", propose, "ABC", "ABD"},
-      {"a silent disk without a spare stays", "ABC", "", "ABc", "A", nothing, "", ""},
+      {"the first disk proposes the first set", "", "", "ABC", "A", propose, "ABC", ""},
+      {"the others wait for the first set", "", "", "ABC", "B", nothing, "", ""},
+      {"the first set does not exceed the target size", "", "", "ABCD", "A", propose, "ABC", ""},
+      {"all members are reachable", "ABC", "", "ABC", "A", nothing, "", ""},
+      {"a spare does not join a complete set", "ABC", "", "ABCD", "D", nothing, "", ""},
+      {"a host with an emptied disk joins as a new disk", "ABC", "", "ABD", "D", propose, "ABC",
+       "ABD"},
+      {"a member leaves the change to the spare", "ABC", "", "ABD", "A", nothing, "", ""},
+      {"an unreachable disk is replaced by a spare", "ABC", "", "ABcD", "D", propose, "ABC", "ABD"},
+      {"an unreachable disk stays while there is no spare", "ABC", "", "ABc", "A", nothing, "", ""},
       {"a retiring disk is replaced by a spare", "ABC", "", "AB!CD", "D", propose, "ABC", "ACD"},
-      {"a retiring disk without a spare stays at first", "ABC", "", "ABC!", "A", nothing, "", ""},
-      {"and leaves in time", "ABC", "", "ABC?", "A", propose, "ABC", "AB"},
-      {"but not while another disk is lost", "ABC", "", "AbC?", "A", nothing, "", ""},
-      {"nor from a set of two", "AB", "", "AB?", "A", nothing, "", ""},
-      {"a lost disk's place is filled before a retiring one's", "ABC", "", "AB!D", "D", propose,
-       "ABC", "ABD"},
+      {"a retiring disk without a spare stays until it must leave", "ABC", "", "ABC!", "A", nothing,
+       "", ""},
+      {"a retiring disk without a spare leaves when it must", "ABC", "", "ABC?", "A", propose,
+       "ABC", "AB"},
+      {"it stays while another disk is lost", "ABC", "", "AbC?", "A", nothing, "", ""},
+      {"it stays in a set of two", "AB", "", "AB?", "A", nothing, "", ""},
+      {"a lost disk is replaced before a retiring one", "ABC", "", "AB!D", "D", propose, "ABC",
+       "ABD"},
       {"a set that is too small grows", "AB", "", "ABD", "D", propose, "AB", "ABD"},
-      {"the loss of one of two leaves the other alone", "AB", "", "Ab", "A", propose, "AB", "A"},
-      {"also when its empty disk is back already", "AB", "", "AD", "A", propose, "AB", "A"},
-      {"the empty disk waits for that", "AB", "", "AD", "D", nothing, "", ""},
-      {"the one that is left copies from itself", "AB", "A", "Ab", "A", copy, "", ""},
-      {"and is then the set", "AB", "A", "A+b", "A", propose, "A", ""},
-      {"which grows again", "A", "", "AD", "D", propose, "A", "AD"},
+      {"after the loss of one of two the other continues alone", "AB", "", "Ab", "A", propose, "AB",
+       "A"},
+      {"the same when the lost one has returned empty", "AB", "", "AD", "A", propose, "AB", "A"},
+      {"the returned empty disk waits for that", "AB", "", "AD", "D", nothing, "", ""},
+      {"the remaining disk copies from itself", "AB", "A", "Ab", "A", copy, "", ""},
+      {"the remaining disk becomes the whole set", "AB", "A", "A+b", "A", propose, "A", ""},
+      {"a set of one grows again", "A", "", "AD", "D", propose, "A", "AD"},
       {"the joining disk copies", "ABC", "ABD", "ABD", "D", copy, "", ""},
       {"the others wait while it copies", "ABC", "ABD", "ABD", "A", nothing, "", ""},
       {"the joint set ends once it has copied", "ABC", "ABD", "ABD+", "A", propose, "ABD", ""},
-      {"a joining disk that is gone is given up", "ABC", "ABD", "ABCd", "A", propose, "ABC", ""},
-      {"all that stay copy when a set shrinks", "ABC", "AB", "ABC!", "B", copy, "", ""},
-      {"a set has shrunk", "ABC", "AB", "A+B+C!", "A", propose, "AB", ""},
+      {"the change is abandoned when the joining disk is unreachable", "ABC", "ABD", "ABCd", "A",
+       propose, "ABC", ""},
+      {"all remaining members copy when a set shrinks", "ABC", "AB", "ABC!", "B", copy, "", ""},
+      {"the smaller set takes effect after the copies", "ABC", "AB", "A+B+C!", "A", propose, "AB",
+       ""},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -260,7 +266,7 @@
   }
 }
 
-TEST_CASE("a change that the first disk does not make is made by the next one") {
+TEST_CASE("a change is not lost when the first disk fails to make it") {
   set_view view;
   view.set = ledger_set{set_epoch(7), names("ABC"), {}};
   view.disks = disks_from("ABC?", set_epoch(7));
