--- a/libs/cache/test/cache_test.cc
+++ b/libs/cache/test/cache_test.cc
@@ -53,6 +53,8 @@
   CHECK(ledger.open_releases() == 0);
 }
 
+// The confirmation is lost. A report from before the release may lack the program for another
+// reason.
 TEST_CASE("a report from before a release does not end it, and a later one does") {
   release_ledger ledger({});
   ledger.sent(one, server, at(0));
@@ -72,6 +74,8 @@
   CHECK(ledger.tick(at(8)).size() == 1);
 }
 
+// Requests are repeated until they are confirmed. One that is repeated after the program has
+// continued would drop a prefix in use.
 TEST_CASE("a program that continues after its release was requested does not lose its memory") {
   release_ledger ledger({});
   ledger.sent(one, server, at(0));
--- a/libs/fleet/test/fleet_test.cc
+++ b/libs/fleet/test/fleet_test.cc
@@ -140,6 +140,7 @@
   CHECK(hosts.listed().begin()->second.start == incarnation(100));
 }
 
+// Registrations expire while the store is unavailable, although their owners are alive.
 TEST_CASE("an entry that expired during an outage of the store is not dropped at once") {
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
@@ -168,6 +169,7 @@
   CHECK(servers.listed().size() == 1);
 }
 
+// Each read costs money, and without reads all hosts continue with old state.
 TEST_CASE("hosts do not all read the store, and reads do not stop when the reader fails") {
   const host_id a("a");
   const host_id b("b");
--- a/libs/limits/test/begun_programs_test.cc
+++ b/libs/limits/test/begun_programs_test.cc
@@ -107,6 +107,8 @@
   CHECK(keeper.calls_of_a_program() == Approx(4));
 }
 
+// The call after the turn may be marked as a possible first one. Treated as the start of a new
+// program, it would be refused while the bucket is low.
 TEST_CASE("an admitted program is not treated as a new one after a turn of several seconds") {
   const account_limit limit{1, 9};
   quota_keeper keeper;
--- a/libs/limits/test/quota_keeper_test.cc
+++ b/libs/limits/test/quota_keeper_test.cc
@@ -90,6 +90,8 @@
   CHECK(keeper.ask(question_of({5, 5}), at(20)).verdict == quota_verdict::not_kept);
 }
 
+// A new manager does not know what its predecessor granted. If it started with full buckets, the
+// same share would be granted twice.
 TEST_CASE("a new quota manager does not grant again what others granted before") {
   quota_keeper keeper;
   keeper.keep(0.5, at(10));
@@ -98,6 +100,7 @@
   CHECK(granted_of(keeper, limit, 11, 100) == 5);
 }
 
+// Without the log, each restart would grant the burst once more.
 TEST_CASE("a restart does not refill the buckets") {
   const account_limit limit{10, 10};
   const client_account south("south");
@@ -128,6 +131,7 @@
   CHECK(granted_of(from_whole, limit, 1, 10) == 3);
 }
 
+// Another host granted the share in the meantime, so the old levels are obsolete.
 TEST_CASE("a host that was no manager for a time does not reuse its old buckets") {
   const account_limit limit{10, 10};
   quota_keeper before;
@@ -147,6 +151,8 @@
   CHECK(granted_of(last, limit, 0, 10) == 0);
 }
 
+// Front hosts learn of a configuration at different times, so requests with the old and the new
+// limit alternate.
 TEST_CASE("a limit of an older configuration does not replace a newer one") {
   struct row {
     std::string what;
@@ -320,6 +326,8 @@
   CHECK(static_cast<double>(in_calm) >= 0.8 * limit.calls_per_second * 20);
 }
 
+// A divided quota can refuse a call while its tokens are spread over several managers, each of
+// which has less than one.
 TEST_CASE("dividing a quota refuses at most 1% of the calls that one bucket would grant") {
   const double rate = GENERATE(2.0, 8.0, 30.0, 200.0);
   quota_keeper exact;
@@ -340,6 +348,7 @@
   CHECK(refused <= calls / 100);
 }
 
+// Their requests carry the old limit; a manager must apply the newest limit to all requests.
 TEST_CASE("hosts that do not know a lowered limit yet cannot exceed it") {
   quota_world world(3, 5);
   const account_limit before{100, 100};
--- a/libs/turn_ledger/test/turn_ledger_test.cc
+++ b/libs/turn_ledger/test/turn_ledger_test.cc
@@ -79,6 +79,7 @@
   CHECK_FALSE(copy.chain_of(request_id("t9")).known);
 }
 
+// The turn belongs to a program that expires earlier than the one that continues from it.
 TEST_CASE("a turn does not expire while another program continues from it") {
   ledger_copy copy;
   copy.apply(turn("p", "t1", "", 1000));
@@ -117,6 +118,7 @@
   CHECK(target.turns() == 35);
 }
 
+// A completed turn is stored at a majority, so a minority without it proves nothing.
 TEST_CASE("a turn is not reported absent without a majority") {
   const ledger_set set{set_epoch(1), {disk("A"), disk("B"), disk("C")}, {}};
   chain_check check(set);
@@ -144,6 +146,7 @@
   }
 }
 
+// Otherwise the old and the new members could decide independently during a change.
 TEST_CASE("a majority of one half of a joint set does not decide") {
   const ledger_set set{
       set_epoch(2), {disk("A"), disk("B"), disk("C")}, {disk("A"), disk("D"), disk("E")}};
