--- a/libs/cache/include/hawthornlane/cache/prefix_mirror.h
+++ b/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
@@ -13,9 +13,9 @@
 /// Models a bounded LRU cache. Cache events of engines arrive late and with gaps. The model needs
 /// no messages, and is right as long as the engine evicts in roughly LRU order. A wrong entry costs
 /// one prefill at most.
-class prefix_mirror {
+class prefix_cache_model {
 public:
-  explicit prefix_mirror(token_count most) : capacity(most) {}
+  explicit prefix_cache_model(token_count most) : capacity(most) {}
 
   /// A call of the program with that many tokens was sent to the server.
   void use(const program_id& program, token_count tokens, timestamp now);
--- a/libs/cache/include/hawthornlane/cache/release_ledger.h
+++ b/libs/cache/include/hawthornlane/cache/release_tracker.h
@@ -13,7 +13,7 @@
 namespace hawthornlane {
 
 /// Asks the server to release the program's memory.
-struct release_order {
+struct release_request {
   program_id program;
   backend_server_id server;
 };
@@ -26,7 +26,7 @@
   std::set<program_id> holding;
 };
 
-struct release_times {
+struct release_settings {
   duration retry_after = std::chrono::seconds(1);
   duration longest_retry = std::chrono::seconds(30);
   /// Reports may be this old; calls sent since then are not judged by them.
@@ -39,20 +39,20 @@
 /// Guarantee: if a program has ended, its release is requested at each server that it was sent to
 /// or that reported it, until the server confirms or a later report no longer contains the program,
 /// whatever messages are lost.
-class release_ledger {
+class release_tracker {
 public:
-  explicit release_ledger(release_times timing) : times(timing) {}
+  explicit release_tracker(release_settings timing) : times(timing) {}
 
   /// A call of the program was sent to the server.
   void sent(const program_id& program, const backend_server_id& server, timestamp now);
   /// The program has ended, failed, used up its budget or been idle too long.
-  std::vector<release_order> ended(const program_id& program, timestamp now);
+  std::vector<release_request> ended(const program_id& program, timestamp now);
   void confirmed(const program_id& program, const backend_server_id& server);
   /// Compares a report with the live programs; requests the release of all others.
-  std::vector<release_order> reported(const cache_report& report, timestamp now,
-                                      const std::set<program_id>& living);
+  std::vector<release_request> reported(const cache_report& report, timestamp now,
+                                        const std::set<program_id>& living);
   /// Returns the release requests that are due again.
-  std::vector<release_order> tick(timestamp now);
+  std::vector<release_request> tick(timestamp now);
   [[nodiscard]] std::size_t open_releases() const { return this->releasing.size(); }
 
 private:
@@ -62,9 +62,9 @@
     duration wait;
   };
   using place = std::pair<program_id, backend_server_id>;
-  void order(const place& where, timestamp now, std::vector<release_order>& out);
+  void order(const place& where, timestamp now, std::vector<release_request>& out);
 
-  release_times times;
+  release_settings times;
   std::map<program_id, std::map<backend_server_id, timestamp>> resident;
   std::map<place, pending> releasing;
 };
--- a/libs/cache/test/cache_test.cc
+++ b/libs/cache/test/cache_test.cc
@@ -2,8 +2,8 @@
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/cache/pause_predictor.h"
-#include "hawthornlane/cache/prefix_mirror.h"
-#include "hawthornlane/cache/release_ledger.h"
+#include "hawthornlane/cache/prefix_cache_model.h"
+#include "hawthornlane/cache/release_tracker.h"
 
 using namespace hawthornlane;
 
@@ -15,7 +15,7 @@
 }  // namespace
 
 TEST_CASE("the cache model does not evict out of LRU order or give up recently used prefixes") {
-  prefix_mirror mirror(token_count(100));
+  prefix_cache_model mirror(token_count(100));
   mirror.use(one, token_count(60), at(0));
   mirror.use(two, token_count(30), at(10));
   CHECK_FALSE(mirror.would_evict_recent(token_count(10), std::chrono::seconds(5), at(11)));
@@ -41,7 +41,7 @@
 }
 
 TEST_CASE("a release that the server does not confirm is not forgotten") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   ledger.sent(one, server, at(0));
   CHECK(ledger.ended(one, at(1)).size() == 1);
   CHECK(ledger.tick(at(1)).empty());
@@ -56,7 +56,7 @@
 // The confirmation is lost. A report from before the release may lack the program for another
 // reason.
 TEST_CASE("a report from before a release does not end it, and a later one does") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(10));
   ledger.reported({server, at(9), {}}, at(11), {});
@@ -66,7 +66,7 @@
 }
 
 TEST_CASE("memory of an unknown program in a report is not leaked") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   const auto orders = ledger.reported({server, at(5), {one, two}}, at(6), {two});
   REQUIRE(orders.size() == 1);
   CHECK(orders.front().program == one);
@@ -77,7 +77,7 @@
 // Requests are repeated until they are confirmed. One that is repeated after the program has
 // continued would drop a prefix in use.
 TEST_CASE("a program that continues after its release was requested does not lose its memory") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(1));
   ledger.sent(one, server, at(2));
--- a/libs/fleet/include/hawthornlane/fleet/fleet_view.h
+++ b/libs/fleet/include/hawthornlane/fleet/fleet_view.h
@@ -89,7 +89,7 @@
     this->held = std::move(listed);
     this->revision = at;
     this->known = true;
-    this->settle(now);
+    this->drop_expired_removals(now);
     return true;
   }
 
@@ -113,15 +113,15 @@
     }
     this->revision = at;
     this->known = true;
-    this->settle(now);
+    this->drop_expired_removals(now);
     return true;
   }
 
   /// The store was unavailable until now, so missing entries may have expired only because their
   /// owners could not renew them.
-  void doubt_removals_until(timestamp until) { this->doubt_until = until; }
+  void defer_removals_until(timestamp until) { this->doubt_until = until; }
   /// Drops missing entries whose removal is final by now.
-  void settle(timestamp now) {
+  void drop_expired_removals(timestamp now) {
     for (const auto& [key, entry] : this->held) {
       this->doubtful.erase(key);
     }
@@ -133,7 +133,7 @@
   /// Entries in the latest known state of the store.
   [[nodiscard]] const std::map<Key, Entry>& listed() const { return this->held; }
   /// Entries that are missing from the store but may be registered again.
-  [[nodiscard]] const std::map<Key, Entry>& in_doubt() const { return this->doubtful; }
+  [[nodiscard]] const std::map<Key, Entry>& pending_removals() const { return this->doubtful; }
   [[nodiscard]] store_revision at() const { return this->revision; }
   [[nodiscard]] bool heard() const { return this->known; }
 
--- a/libs/fleet/include/hawthornlane/fleet/check_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
@@ -16,7 +16,7 @@
 /// reader reads again once that read is `pace` old. Each other host waits longer, according to its
 /// rank, so that the next one takes over when the reader has failed or is refused by the store. A
 /// host that receives nothing from others reads for itself.
-class check_schedule {
+class store_read_schedule {
 public:
   /// Leaves time to reach all hosts within the two seconds that users require, even if the reader
   /// has just failed.
@@ -28,10 +28,10 @@
   /// A host without any state first waits for its peers to send it.
   static constexpr duration first_wait = std::chrono::milliseconds(120);
 
-  check_schedule(host_id own, timestamp started) : self(std::move(own)), tried(started) {}
+  store_read_schedule(host_id own, timestamp started) : self(std::move(own)), tried(started) {}
 
   /// That host's read of the store succeeded at that time.
-  void checked(const host_id& by, timestamp at) {
+  void record_read(const host_id& by, timestamp at) {
     if (at > this->newest) {
       this->newest = at;
       this->reader = by;
--- a/libs/fleet/test/fleet_test.cc
+++ b/libs/fleet/test/fleet_test.cc
@@ -2,8 +2,8 @@
 // of the schedule of reads.
 #include <catch2/catch.hpp>
 
-#include "hawthornlane/fleet/check_schedule.h"
 #include "hawthornlane/fleet/fleet_view.h"
+#include "hawthornlane/fleet/store_read_schedule.h"
 
 using namespace hawthornlane;
 using namespace std::chrono_literals;
@@ -110,7 +110,7 @@
     } else if (std::string(told_as) == "listing") {
       CHECK(servers.apply_listing(store_revision(11), {entry}, at(1s)));
     } else {
-      servers.doubt_removals_until(at(9s));
+      servers.defer_removals_until(at(9s));
       servers.apply_listing(store_revision(11), {}, at(1s));
       CHECK(servers.apply_listing(store_revision(12), {entry}, at(2s)));
     }
@@ -144,19 +144,19 @@
 TEST_CASE("an entry that expired during an outage of the store is not dropped at once") {
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
-  servers.doubt_removals_until(at(7s));
+  servers.defer_removals_until(at(7s));
   servers.apply_listing(store_revision(12), {server("s1")}, at(5s));
   CHECK(servers.listed().size() == 1);
-  CHECK(servers.in_doubt().contains(backend_server_id("s2")));
+  CHECK(servers.pending_removals().contains(backend_server_id("s2")));
 
   SECTION("it is registered again in time") {
     servers.apply_changes(store_revision(13), {{server("s2"), false}}, at(6s));
-    CHECK(servers.in_doubt().empty());
+    CHECK(servers.pending_removals().empty());
     CHECK(servers.listed().size() == 2);
   }
   SECTION("it is not registered again") {
-    servers.settle(at(7s));
-    CHECK(servers.in_doubt().empty());
+    servers.drop_expired_removals(at(7s));
+    CHECK(servers.pending_removals().empty());
     CHECK(servers.listed().size() == 1);
   }
 }
@@ -165,7 +165,7 @@
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
   servers.apply_changes(store_revision(11), {{server("s2"), true}}, at(1s));
-  CHECK(servers.in_doubt().empty());
+  CHECK(servers.pending_removals().empty());
   CHECK(servers.listed().size() == 1);
 }
 
@@ -173,24 +173,24 @@
 TEST_CASE("hosts do not all read the store, and reads do not stop when the reader fails") {
   const host_id a("a");
   const host_id b("b");
-  check_schedule first(a, at(0s));
-  check_schedule second(b, at(0s));
-  first.checked(a, at(10s));
-  second.checked(a, at(10s));
+  store_read_schedule first(a, at(0s));
+  store_read_schedule second(b, at(0s));
+  first.record_read(a, at(10s));
+  second.record_read(a, at(10s));
   CHECK_FALSE(first.due(at(10s + 800ms), 0));
   CHECK(first.due(at(10s + 900ms), 0));
   CHECK_FALSE(second.due(at(10s + 900ms), 1));
 
   SECTION("a read by the first host delays the second") {
-    second.checked(a, at(10s + 900ms));
+    second.record_read(a, at(10s + 900ms));
     CHECK_FALSE(second.due(at(11s + 500ms), 1));
   }
   SECTION("the store refuses the first host: it pauses, and the second takes over for good") {
     first.began(at(10s + 900ms));
     CHECK_FALSE(first.due(at(11s), 0));
     CHECK(second.due(at(11s + 100ms), 1));
-    second.checked(b, at(11s + 100ms));
-    first.checked(b, at(11s + 100ms));
+    second.record_read(b, at(11s + 100ms));
+    first.record_read(b, at(11s + 100ms));
     CHECK(second.due(at(12s), 1));
     CHECK_FALSE(first.due(at(12s), 0));
   }
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE("a host without state does not wait forever for its peers") {
-  check_schedule alone(host_id("a"), at(5s));
+  store_read_schedule alone(host_id("a"), at(5s));
   CHECK_FALSE(alone.due(at(5s + 50ms), 0));
   CHECK(alone.due(at(5s + 130ms), 0));
   CHECK_FALSE(alone.due(at(5s + 130ms), 3));
@@ -210,9 +210,9 @@
 }
 
 TEST_CASE("a report of an older read does not replace a newer one") {
-  check_schedule schedule(host_id("a"), at(0s));
-  schedule.checked(host_id("b"), at(10s));
-  schedule.checked(host_id("c"), at(9s));
+  store_read_schedule schedule(host_id("a"), at(0s));
+  schedule.record_read(host_id("b"), at(10s));
+  schedule.record_read(host_id("c"), at(9s));
   CHECK(schedule.last_reader() == host_id("b"));
   CHECK(schedule.age(at(12s)) == 2s);
 }
--- a/libs/limits/include/hawthornlane/limits/begun_programs.h
+++ b/libs/limits/include/hawthornlane/limits/active_programs.h
@@ -28,7 +28,7 @@
 /// Estimates the number of calls per program, over all accounts of a quota manager. The manager
 /// that admits a program is the first to be asked for each of its calls, so it counts all of them,
 /// whichever manager grants them.
-class program_size {
+class program_size_estimate {
 public:
   void note_begin();
   /// A program that was counted by `note_begin` asks for another call.
@@ -43,7 +43,7 @@
 };
 
 /// The programs of one account that one quota manager has admitted.
-class begun_programs {
+class active_programs {
 public:
   /// Calls that the manager's bucket must hold to admit another program: the manager's share of a
   /// whole program, and of the calls that the programs in progress have yet to make. `size`: calls
--- a/libs/limits/include/hawthornlane/limits/quota_keeper.h
+++ b/libs/limits/include/hawthornlane/limits/quota_manager.h
@@ -18,14 +18,14 @@
 
 /// How far the operator lets calls exceed a quota: no span of `window` may hold more than
 /// (calls_per_second * window + burst) * (1 + excess) + slack calls.
-struct quota_rules {
+struct quota_tolerance {
   duration window = std::chrono::seconds(1);
   double excess = 0;
   double slack = 0;
 };
 
 /// One account's bucket as it is logged.
-struct quota_mark {
+struct quota_bucket_record {
   client_account account;
   account_limit limit;
   limit_version version;
@@ -45,11 +45,11 @@
   double age = 0;
   /// Records before this one no longer count.
   bool begins = false;
-  std::vector<quota_mark> marks;
+  std::vector<quota_bucket_record> bucket_records;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->age, this->begins, this->marks);
+    archive(this->age, this->begins, this->bucket_records);
   }
 };
 
@@ -60,10 +60,10 @@
 /// This includes spans in which its process restarts: a grant is logged before the asker is
 /// answered, and `restore` reads it back. Without the log all buckets would be empty after a loss
 /// of power, just when the callers come back.
-class quota_keeper {
+class quota_manager {
 public:
-  quota_keeper() = default;
-  explicit quota_keeper(quota_rules with) : rules(with) {}
+  quota_manager() = default;
+  explicit quota_manager(quota_tolerance with) : rules(with) {}
 
   /// Applies a record of an earlier process. Records are applied in the order in which they were
   /// logged.
@@ -71,8 +71,8 @@
   /// Sets this host's share of each quota: 1 / number of managers, or 0. A host that becomes a
   /// manager starts with empty buckets, since it does not know what was granted before. After a
   /// restart it continues with the restored buckets.
-  void keep(double part, timestamp now);
-  quota_answer ask(const quota_question& question, timestamp now);
+  void set_share(double part, timestamp now);
+  quota_response ask(const quota_request& question, timestamp now);
   /// Drops accounts whose buckets are full: a new bucket would be full too.
   void forget_idle(timestamp now);
   /// Returns the buckets that have changed since the last call, to be logged.
@@ -100,15 +100,16 @@
   [[nodiscard]] double age(timestamp now) const;
   [[nodiscard]] double level_at(const bucket& from, double age) const;
   /// Level that the bucket must have for the call to be granted, calls.
-  [[nodiscard]] double level_needed(const quota_question& question, const bucket& from,
+  [[nodiscard]] double level_needed(const quota_request& question, const bucket& from,
                                     timestamp now);
   /// Counts the call if its program was admitted here.
-  void note_call(const quota_question& question, timestamp now);
+  void note_call(const quota_request& question, timestamp now);
   void note_grant(const quota_program& program, const client_account& account, timestamp now);
-  bucket& bucket_of(const quota_question& question, timestamp now);
-  [[nodiscard]] static quota_mark mark_of(const client_account& account, const bucket& item);
+  bucket& bucket_of(const quota_request& question, timestamp now);
+  [[nodiscard]] static quota_bucket_record mark_of(const client_account& account,
+                                                   const bucket& item);
 
-  quota_rules rules;
+  quota_tolerance rules;
   /// This host's share of each quota; 0: it is not a manager.
   double part = 0;
   /// Age at `resumed`, seconds.
@@ -117,8 +118,8 @@
   std::unordered_map<client_account, bucket> buckets;
   /// By account, for accounts with programs in progress. Not logged: after a restart the programs
   /// in progress go on, and others are admitted besides them.
-  std::unordered_map<client_account, begun_programs> programs;
-  program_size size;
+  std::unordered_map<client_account, active_programs> programs;
+  program_size_estimate size;
   std::uint64_t held_back = 0;
   /// Nothing has been logged since this host last became a manager.
   bool is_new = false;
--- a/libs/limits/include/hawthornlane/limits/quota_round.h
+++ b/libs/limits/include/hawthornlane/limits/quota_round.h
@@ -32,13 +32,13 @@
     return this->asked++;
   }
   /// The response of a manager that was asked. Each of them responds once, or fails.
-  void answered(const quota_answer& answer) {
+  void answered(const quota_response& answer) {
     ++this->ended;
-    if (answer.verdict == quota_verdict::granted) {
+    if (answer.outcome == quota_outcome::granted) {
       this->is_granted = true;
     }
-    if (answer.verdict == quota_verdict::refused) {
-      this->soonest = std::min(this->soonest.value_or(answer.room_in), answer.room_in);
+    if (answer.outcome == quota_outcome::refused) {
+      this->soonest = std::min(this->soonest.value_or(answer.retry_after), answer.retry_after);
     }
   }
   /// No response will come from a manager that was asked.
@@ -64,7 +64,7 @@
   }
   /// The shortest time after which a manager can grant the call, counted from its response; zero
   /// when no manager refused.
-  [[nodiscard]] duration room_in() const { return this->soonest.value_or(duration::zero()); }
+  [[nodiscard]] duration retry_after() const { return this->soonest.value_or(duration::zero()); }
 
 private:
   // Invariant: ended <= asked <= count.
--- a/libs/limits/test/begun_programs_test.cc
+++ b/libs/limits/test/active_programs_test.cc
@@ -1,7 +1,7 @@
 // Admission of programs under a quota. An admitted program must be able to finish: if a new program
 // may take the calls that programs in progress still need, none of them ends, and the calls already
 // granted are wasted.
-#include "hawthornlane/limits/begun_programs.h"
+#include "hawthornlane/limits/active_programs.h"
 
 #include <algorithm>
 #include <array>
@@ -13,7 +13,7 @@
 #include <numeric>
 #include <random>
 
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 using namespace hawthornlane;
 using namespace std::chrono_literals;
@@ -25,7 +25,7 @@
 }  // namespace
 
 TEST_CASE("a new program is not admitted on calls that programs in progress still need") {
-  begun_programs begun;
+  active_programs begun;
   CHECK(begun.needed(0, 1, at(0)) == 0);
   CHECK(begun.needed(10, 0.2, at(0)) == Approx(2));
   begun.begin(program_key(7), at(0));
@@ -45,7 +45,7 @@
 }
 
 TEST_CASE("the estimate of calls per program converges to the real number") {
-  program_size size;
+  program_size_estimate size;
   for (int program = 0; program < 50; ++program) {
     size.note_begin();
     for (int call = 1; call < 8; ++call) {
@@ -59,12 +59,12 @@
 TEST_CASE(
     "reservations block neither programs in progress nor, with a full bucket, a new program") {
   const account_limit limit{1, 9};
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   const auto ask = [&](std::uint64_t program, bool begins, double seconds) {
-    quota_question question{client_account("north"), limit, limit_version(1)};
+    quota_request question{client_account("north"), limit, limit_version(1)};
     question.program = quota_program{program_key(program), begins};
-    return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
+    return keeper.ask(question, at(seconds)).outcome == quota_outcome::granted;
   };
   // Programs of six calls; the bucket is full before each of them.
   for (std::uint64_t program = 1; program <= 8; ++program) {
@@ -89,12 +89,12 @@
     "calls of programs that were not admitted here do not raise the estimate of calls per "
     "program") {
   const account_limit limit{1000, 60};
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   const auto ask = [&](const char* account, std::uint64_t program, bool begins, double seconds) {
-    quota_question question{client_account(account), limit, limit_version(1)};
+    quota_request question{client_account(account), limit, limit_version(1)};
     question.program = quota_program{program_key(program), begins};
-    return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
+    return keeper.ask(question, at(seconds)).outcome == quota_outcome::granted;
   };
   for (std::uint64_t program = 1; program <= 10; ++program) {
     for (int call = 0; call < 4; ++call) {
@@ -111,12 +111,12 @@
 // program, it would be refused while the bucket is low.
 TEST_CASE("an admitted program is not treated as a new one after a turn of several seconds") {
   const account_limit limit{1, 9};
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   const auto ask = [&](std::uint64_t program, double seconds) {
-    quota_question question{client_account("north"), limit, limit_version(1)};
+    quota_request question{client_account("north"), limit, limit_version(1)};
     question.program = quota_program{program_key(program), true};
-    return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
+    return keeper.ask(question, at(seconds)).outcome == quota_outcome::granted;
   };
   for (std::uint64_t program = 1; program <= 9; ++program) {
     REQUIRE(ask(program, 100));
@@ -147,9 +147,9 @@
   /// `holds_back`: requests mark the first call of a program, so that managers reserve calls.
   played_account(std::uint64_t seed, double usual_calls, bool tells_programs)
       : random(seed), holds_back(tells_programs), limit{1.6 * usual_calls, 1.6 * usual_calls} {
-    for (quota_keeper& keeper : this->keepers) {
-      keeper = quota_keeper(quota_rules{5s, 0.1, 20});
-      keeper.keep(1.0 / static_cast<double>(this->keepers.size()), at(0));
+    for (quota_manager& keeper : this->keepers) {
+      keeper = quota_manager(quota_tolerance{5s, 0.1, 20});
+      keeper.set_share(1.0 / static_cast<double>(this->keepers.size()), at(0));
     }
   }
 
@@ -276,11 +276,11 @@
                 [=, this] { this->do_call(program, step, calls, tries + 1, left); });
   }
   bool is_granted(played_program& program) {
-    quota_question question{client_account("north"), this->limit, limit_version(1)};
+    quota_request question{client_account("north"), this->limit, limit_version(1)};
     question.program = quota_program{program.key, this->holds_back && program.granted == 0};
     for (std::size_t turn = 0; turn < this->keepers.size(); ++turn) {
       const std::size_t keeper = (program.key.get() + turn) % this->keepers.size();
-      if (this->keepers[keeper].ask(question, at(this->now)).verdict == quota_verdict::granted) {
+      if (this->keepers[keeper].ask(question, at(this->now)).outcome == quota_outcome::granted) {
         ++program.granted;
         return true;
       }
@@ -291,7 +291,7 @@
   std::mt19937_64 random;
   bool holds_back;
   account_limit limit;
-  std::array<quota_keeper, 5> keepers;
+  std::array<quota_manager, 5> keepers;
   double now = 0;
   std::multimap<double, std::function<void()>> events;
 };
--- a/libs/limits/test/quota_keeper_test.cc
+++ b/libs/limits/test/quota_manager_test.cc
@@ -1,6 +1,6 @@
 // Quotas over several managers: no span exceeds the limit, whatever faults hosts and links have,
 // and calls below the limit are not refused.
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -18,20 +18,20 @@
 const client_account north("north");
 
 constexpr double window = 5;
-constexpr quota_rules tolerant{5s, 0.1, 20};
+constexpr quota_tolerance tolerant{5s, 0.1, 20};
 
 timestamp at(double seconds) { return timestamp(from_seconds(seconds)); }
 
-quota_question question_of(account_limit limit, std::uint64_t version = 1) {
+quota_request question_of(account_limit limit, std::uint64_t version = 1) {
   return {north, limit, limit_version(version)};
 }
 
-bool is_granted(quota_keeper& keeper, account_limit limit, double seconds,
+bool is_granted(quota_manager& keeper, account_limit limit, double seconds,
                 std::uint64_t version = 1) {
-  return keeper.ask(question_of(limit, version), at(seconds)).verdict == quota_verdict::granted;
+  return keeper.ask(question_of(limit, version), at(seconds)).outcome == quota_outcome::granted;
 }
 
-int granted_of(quota_keeper& keeper, account_limit limit, double seconds, int calls) {
+int granted_of(quota_manager& keeper, account_limit limit, double seconds, int calls) {
   int granted = 0;
   for (int call = 0; call < calls; ++call) {
     granted += is_granted(keeper, limit, seconds) ? 1 : 0;
@@ -56,8 +56,8 @@
 }  // namespace
 
 TEST_CASE("a manager grants no more than its share of the burst and then of the rate") {
-  quota_keeper keeper;
-  keeper.keep(0.2, at(0));
+  quota_manager keeper;
+  keeper.set_share(0.2, at(0));
   const account_limit limit{50, 20};
   CHECK(granted_of(keeper, limit, 100, 100) == 4);
   CHECK(granted_of(keeper, limit, 100.4, 100) == 4);
@@ -65,36 +65,36 @@
 }
 
 TEST_CASE("a manager uses its share of the operator's tolerance") {
-  quota_keeper keeper(tolerant);
-  keeper.keep(0.2, at(0));
+  quota_manager keeper(tolerant);
+  keeper.set_share(0.2, at(0));
   // (50 * 5 + 20) / 10 + 20 calls are tolerated, and 0.9 of them used.
   CHECK(granted_of(keeper, {50, 20}, 100, 100) == 12);
 }
 
 TEST_CASE("a call retried after the time given in a refusal is granted") {
-  quota_keeper keeper;
-  keeper.keep(0.5, at(0));
+  quota_manager keeper;
+  keeper.set_share(0.5, at(0));
   const account_limit limit{4, 2};
   REQUIRE(is_granted(keeper, limit, 10));
-  const quota_answer answer = keeper.ask(question_of(limit), at(10));
-  REQUIRE(answer.verdict == quota_verdict::refused);
-  CHECK(answer.room_in == duration(500ms));
+  const quota_response answer = keeper.ask(question_of(limit), at(10));
+  REQUIRE(answer.outcome == quota_outcome::refused);
+  CHECK(answer.retry_after == duration(500ms));
   CHECK(is_granted(keeper, limit, 10.5));
 }
 
 TEST_CASE("a host that is not a quota manager grants nothing") {
-  quota_keeper keeper;
-  CHECK(keeper.ask(question_of({5, 5}), at(10)).verdict == quota_verdict::not_kept);
-  keeper.keep(0.5, at(10));
-  keeper.keep(0, at(11));
-  CHECK(keeper.ask(question_of({5, 5}), at(20)).verdict == quota_verdict::not_kept);
+  quota_manager keeper;
+  CHECK(keeper.ask(question_of({5, 5}), at(10)).outcome == quota_outcome::not_kept);
+  keeper.set_share(0.5, at(10));
+  keeper.set_share(0, at(11));
+  CHECK(keeper.ask(question_of({5, 5}), at(20)).outcome == quota_outcome::not_kept);
 }
 
 // A new manager does not know what its predecessor granted. If it started with full buckets, the
 // same share would be granted twice.
 TEST_CASE("a new quota manager does not grant again what others granted before") {
-  quota_keeper keeper;
-  keeper.keep(0.5, at(10));
+  quota_manager keeper;
+  keeper.set_share(0.5, at(10));
   const account_limit limit{10, 100};
   CHECK(granted_of(keeper, limit, 10, 100) == 0);
   CHECK(granted_of(keeper, limit, 11, 100) == 5);
@@ -104,50 +104,50 @@
 TEST_CASE("a restart does not refill the buckets") {
   const account_limit limit{10, 10};
   const client_account south("south");
-  quota_keeper before;
-  before.keep(1, at(0));
+  quota_manager before;
+  before.set_share(1, at(0));
   REQUIRE(granted_of(before, limit, 100, 10) == 10);
   std::vector<quota_record> log{before.take_changes(at(100))};
-  REQUIRE(before.ask({south, limit, limit_version(1)}, at(100.3)).verdict ==
-          quota_verdict::granted);
+  REQUIRE(before.ask({south, limit, limit_version(1)}, at(100.3)).outcome ==
+          quota_outcome::granted);
   log.push_back(before.take_changes(at(100.3)));
-  CHECK(before.take_changes(at(100.3)).marks.empty());
+  CHECK(before.take_changes(at(100.3)).bucket_records.empty());
 
-  quota_keeper after;
+  quota_manager after;
   for (const quota_record& record : log) {
     after.restore(record);
   }
   // The time between the last record and the restart is unknown and does not count.
-  after.keep(1, at(7));
+  after.set_share(1, at(7));
   CHECK(granted_of(after, limit, 7, 10) == 3);
   CHECK(granted_of(after, limit, 7.5, 10) == 5);
   // An account without earlier requests has a full bucket.
-  CHECK(after.ask({client_account("east"), limit, limit_version(1)}, at(7)).verdict ==
-        quota_verdict::granted);
+  CHECK(after.ask({client_account("east"), limit, limit_version(1)}, at(7)).outcome ==
+        quota_outcome::granted);
 
-  quota_keeper from_whole;
+  quota_manager from_whole;
   from_whole.restore(before.whole(at(100.3)));
-  from_whole.keep(1, at(1));
+  from_whole.set_share(1, at(1));
   CHECK(granted_of(from_whole, limit, 1, 10) == 3);
 }
 
 // Another host granted the share in the meantime, so the old levels are obsolete.
 TEST_CASE("a host that was no manager for a time does not reuse its old buckets") {
   const account_limit limit{10, 10};
-  quota_keeper before;
-  before.keep(1, at(0));
+  quota_manager before;
+  before.set_share(1, at(0));
   REQUIRE(is_granted(before, limit, 100));
-  quota_keeper after;
+  quota_manager after;
   after.restore(before.take_changes(at(100)));
-  after.keep(0, at(0));
-  after.keep(1, at(50));
+  after.set_share(0, at(0));
+  after.set_share(1, at(50));
   CHECK(granted_of(after, limit, 50, 10) == 0);
   // The same holds for the next process.
   REQUIRE(is_granted(after, limit, 50.1));
-  quota_keeper last;
+  quota_manager last;
   last.restore(before.whole(at(100)));
   last.restore(after.take_changes(at(50.1)));
-  last.keep(1, at(0));
+  last.set_share(1, at(0));
   CHECK(granted_of(last, limit, 0, 10) == 0);
 }
 
@@ -168,8 +168,8 @@
       {"lifted", {2, 2}, {0, 0}, 2, 50},
   }));
   INFO(item.what);
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   REQUIRE(is_granted(keeper, item.first, 100, 1));
   int granted = 0;
   for (int call = 0; call < 50; ++call) {
@@ -179,8 +179,8 @@
 }
 
 TEST_CASE("dropping an idle account neither refunds nor costs calls") {
-  quota_keeper keeper;
-  keeper.keep(0.5, at(0));
+  quota_manager keeper;
+  keeper.set_share(0.5, at(0));
   const account_limit limit{10, 10};
   REQUIRE(granted_of(keeper, limit, 100, 5) == 5);
   keeper.forget_idle(at(100.5));
@@ -216,13 +216,13 @@
     REQUIRE(keeper);
     switch (kind) {
       case reply::grant:
-        round.answered({quota_verdict::granted, {}});
+        round.answered({quota_outcome::granted, {}});
         break;
       case reply::refusal:
-        round.answered({quota_verdict::refused, 30ms});
+        round.answered({quota_outcome::refused, 30ms});
         break;
       case reply::not_kept:
-        round.answered({quota_verdict::not_kept, {}});
+        round.answered({quota_outcome::not_kept, {}});
         break;
       case reply::silence:
         round.failed();
@@ -238,9 +238,9 @@
 class quota_world {
 public:
   quota_world(std::uint64_t seed, std::size_t count)
-      : random(seed), keepers(count, quota_keeper(tolerant)) {
-    for (quota_keeper& keeper : this->keepers) {
-      keeper.keep(this->part(), at(0));
+      : random(seed), keepers(count, quota_manager(tolerant)) {
+    for (quota_manager& keeper : this->keepers) {
+      keeper.set_share(this->part(), at(0));
     }
   }
 
@@ -260,7 +260,7 @@
         round.failed();
         continue;
       }
-      const quota_answer answer =
+      const quota_response answer =
           this->keepers[order[keeper]].ask(question_of(limit, version), at(seconds));
       if (this->happens(loss)) {
         round.failed();
@@ -271,15 +271,15 @@
     return round.decision() == quota_decision::granted;
   }
   void restart_some(double seconds, double chance) {
-    for (quota_keeper& keeper : this->keepers) {
+    for (quota_manager& keeper : this->keepers) {
       if (this->happens(chance)) {
         // The grants and the age are logged by then.
         const quota_record known = keeper.whole(at(seconds));
-        keeper = quota_keeper(tolerant);
+        keeper = quota_manager(tolerant);
         if (this->happens(0.7)) {
           keeper.restore(known);
         }
-        keeper.keep(this->part(), at(seconds));
+        keeper.set_share(this->part(), at(seconds));
       }
     }
   }
@@ -292,7 +292,7 @@
   [[nodiscard]] double part() const { return 1.0 / static_cast<double>(this->keepers.size()); }
 
   std::mt19937_64 random;
-  std::vector<quota_keeper> keepers;
+  std::vector<quota_manager> keepers;
 };
 
 /// Calls that the operator allows in a window.
@@ -330,8 +330,8 @@
 // which has less than one.
 TEST_CASE("dividing a quota refuses at most 1% of the calls that one bucket would grant") {
   const double rate = GENERATE(2.0, 8.0, 30.0, 200.0);
-  quota_keeper exact;
-  exact.keep(1, at(0));
+  quota_manager exact;
+  exact.set_share(1, at(0));
   quota_world world(static_cast<std::uint64_t>(rate), 5);
   const account_limit limit{1.6 * rate, 1.6 * rate};
   int calls = 0;
--- a/libs/routing/include/hawthornlane/routing/scheduler.h
+++ b/libs/routing/include/hawthornlane/routing/scheduler.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "hawthornlane/cache/prefix_mirror.h"
+#include "hawthornlane/cache/prefix_cache_model.h"
 #include "hawthornlane/limits/fair_queue.h"
 #include "hawthornlane/limits/server_window.h"
 #include "hawthornlane/routing/speed_model.h"
@@ -47,7 +47,7 @@
 };
 
 /// Parts of the policy, which can be switched off one at a time.
-struct schedule_parts {
+struct policy_features {
   bool window = true;
   bool program_order = true;
   bool ageing = true;
@@ -60,7 +60,7 @@
   bool exclude_failing = true;
 };
 
-struct schedule_times {
+struct scheduler_settings {
   /// A call whose first token takes longer than this multiple of the predicted time counts as hung.
   double hung_factor = 8;
   duration hung_least = std::chrono::seconds(10);
@@ -81,7 +81,7 @@
 /// decision considers a bounded number of servers.
 class scheduler {
 public:
-  scheduler(window_limits window, schedule_times times, schedule_parts parts);
+  scheduler(window_limits window, scheduler_settings times, policy_features parts);
 
   void add_server(const backend_server_id& server, timestamp now);
   /// The server gets no new calls; those waiting for it move to other servers.
@@ -120,7 +120,7 @@
     /// Calls whose prefix the server has cached, and calls whose whole prompt it must prefill.
     fair_queue queue;
     fair_queue newcomers;
-    prefix_mirror mirror;
+    prefix_cache_model mirror;
     speed_model speed;
     std::int64_t inside = 0;
     std::optional<std::int64_t> credits;
@@ -165,8 +165,8 @@
   void reindex(const backend_server_id& id, server_state& server);
 
   window_limits limits;
-  schedule_times times;
-  schedule_parts parts;
+  scheduler_settings times;
+  policy_features parts;
   std::map<backend_server_id, server_state> servers;
   /// Servers, least busy first. Invariant: one entry for each server that is not removed.
   std::set<std::pair<double, backend_server_id>> by_load;
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_copy.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_replica.h
@@ -15,19 +15,19 @@
 ///
 /// Guarantees: a reservation never returns to an earlier phase, in whatever order its records
 /// arrive; a turn's text never changes; a request below the fence changes nothing.
-class ledger_copy {
+class ledger_replica {
 public:
   /// False if the request is from an older set and must be refused.
   [[nodiscard]] bool accepts(set_epoch epoch) const { return epoch >= this->fence; }
   /// Refuses lower epochs from now on. The fence never falls.
   void raise_fence(set_epoch epoch) { this->fence = std::max(this->fence, epoch); }
-  [[nodiscard]] set_epoch fenced_at() const { return this->fence; }
+  [[nodiscard]] set_epoch fence_epoch() const { return this->fence; }
 
   /// Merges a record. True if it changed anything and has to be made durable.
   bool apply(const ledger_record& record);
   [[nodiscard]] std::vector<reservation> reservations_of(const program_id& program) const;
   /// Returns the chain that ends with `last`; `known` and `turns` as in `chain_answer`.
-  [[nodiscard]] chain_answer chain_of(const request_id& last) const;
+  [[nodiscard]] chain_response chain_of(const request_id& last) const;
   /// Returns the records after a position, up to about `bytes` of text.
   [[nodiscard]] copy_page page_after(const copy_request& from, std::size_t bytes) const;
   /// Drops programs whose last record has expired, with their turns.
@@ -49,8 +49,8 @@
   };
   /// A program may continue from another program's turns. Extends the lifetime of those turns to
   /// its own.
-  void extend_chain(const kept_turn& turn, wall_ms until);
-  [[nodiscard]] const kept_turn* turn_of(const request_id& id) const;
+  void extend_chain(const stored_turn& turn, wall_ms until);
+  [[nodiscard]] const stored_turn* turn_of(const request_id& id) const;
 
   std::map<program_id, program_state> by_program;
   /// Invariant: one entry for each record with a turn.
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
@@ -34,9 +34,9 @@
   std::vector<disk_view> disks;
   /// The first disk that can make a change makes it. Number of disks before this one that have had
   /// their time and made no change, perhaps because they cannot reach the store.
-  std::size_t passed_over = 0;
+  std::size_t skipped_candidates = 0;
   /// Disks that a set should have: twice the losses to tolerate at once, plus one.
-  std::size_t wanted = 3;
+  std::size_t target_size = 3;
 };
 
 /// What this disk host should do now.
