--- a/libs/accounts/include/hawthornlane/accounts/account_table.h
+++ b/libs/accounts/include/hawthornlane/accounts/account_table.h
@@ -68,7 +68,7 @@
   /// One key: its place in `text` and its account.
   struct slot {
     std::uint64_t hash = 0;
-    std::uint32_t begins = 0;
+    std::uint32_t offset = 0;
     /// 0: the slot is free.
     std::uint32_t length = 0;
     std::uint32_t owner = 0;
--- a/libs/accounts/src/account_table.cc
+++ b/libs/accounts/src/account_table.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Compares all bytes, so that the time does not depend on where the first difference is.
-bool same_secret(std::string_view a, std::string_view b) {
+bool constant_time_equal(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) {
     return false;
   }
@@ -22,7 +22,7 @@
   return difference == 0;
 }
 
-failure fault_of(const client_account& name, std::string_view what) {
+failure account_error(const client_account& name, std::string_view what) {
   return {error_kind::document_invalid,
           "client account '" + name.get() + "': " + std::string(what)};
 }
@@ -32,11 +32,11 @@
   std::set<std::string_view> names;
   for (const account_entry& entry : entries) {
     if (entry.terms.name.get().empty()) {
-      reason = fault_of(entry.terms.name, "has no name");
+      reason = account_error(entry.terms.name, "has no name");
       return false;
     }
     if (!names.insert(entry.terms.name.get()).second) {
-      reason = fault_of(entry.terms.name, "is listed twice");
+      reason = account_error(entry.terms.name, "is listed twice");
       return false;
     }
   }
@@ -82,15 +82,15 @@
 
 bool account_table::add_key(const std::string& key, std::uint32_t owner, failure& reason) {
   if (key.empty()) {
-    reason = fault_of(this->all[owner].name, "has an empty key");
+    reason = account_error(this->all[owner].name, "has an empty key");
     return false;
   }
   if (const slot* known = this->find_slot(key)) {
     if (known->owner == owner) {
       return true;
     }
-    reason = fault_of(this->all[owner].name,
-                      "holds a key of client account '" + this->all[known->owner].name.get() + "'");
+    reason = account_error(this->all[owner].name, "holds a key of client account '" +
+                                                      this->all[known->owner].name.get() + "'");
     return false;
   }
   const std::uint64_t hash = this->hash_of(key);
@@ -119,9 +119,9 @@
     if (candidate.hash != hash) {
       continue;
     }
-    const std::string_view held =
-        std::string_view(this->text).substr(candidate.begins, candidate.length);
-    if (same_secret(held, key)) {
+    const std::string_view stored_key =
+        std::string_view(this->text).substr(candidate.offset, candidate.length);
+    if (constant_time_equal(stored_key, key)) {
       return &candidate;
     }
   }
--- a/libs/accounts/test/account_table_test.cc
+++ b/libs/accounts/test/account_table_test.cc
@@ -55,7 +55,7 @@
   struct row {
     std::string what;
     std::vector<account_entry> entries;
-    std::string told;
+    std::string expected_detail;
   };
   const row bad = GENERATE(values<row>({
       {"no name", {entry_of("", {"secret"})}, "no name"},
@@ -68,7 +68,7 @@
   failure reason;
   INFO(bad.what);
   CHECK_FALSE(account_table::make(bad.entries, seed, reason));
-  CHECK(reason.detail.find(bad.told) != std::string::npos);
+  CHECK(reason.detail.find(bad.expected_detail) != std::string::npos);
   CHECK(reason.detail.find("secret") == std::string::npos);
 }
 
--- a/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
+++ b/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
@@ -15,7 +15,7 @@
 /// one prefill at most.
 class prefix_cache_model {
 public:
-  explicit prefix_cache_model(token_count most) : capacity(most) {}
+  explicit prefix_cache_model(token_count max_tokens) : capacity(max_tokens) {}
 
   /// A call of the program with that many tokens was sent to the server.
   void use(const program_id& program, token_count tokens, timestamp now);
@@ -24,7 +24,7 @@
   [[nodiscard]] bool holds(const program_id& program) const;
   /// True if making room for `tokens` more would evict a prefix used less than `age` ago.
   [[nodiscard]] bool would_evict_recent(token_count tokens, duration age, timestamp now) const;
-  [[nodiscard]] token_count held() const { return this->sum; }
+  [[nodiscard]] token_count held() const { return this->total_tokens; }
 
 private:
   struct entry {
@@ -33,7 +33,7 @@
     timestamp used;
   };
   token_count capacity;
-  token_count sum{0};
+  token_count total_tokens{0};
   /// Least recently used first. Invariant: `index` refers to each entry once.
   std::list<entry> entries;
   std::unordered_map<program_id, std::list<entry>::iterator> index;
--- a/libs/cache/include/hawthornlane/cache/release_tracker.h
+++ b/libs/cache/include/hawthornlane/cache/release_tracker.h
@@ -41,7 +41,7 @@
 /// whatever messages are lost.
 class release_tracker {
 public:
-  explicit release_tracker(release_settings timing) : times(timing) {}
+  explicit release_tracker(release_settings timing) : settings(timing) {}
 
   /// A call of the program was sent to the server.
   void sent(const program_id& program, const backend_server_id& server, timestamp now);
@@ -50,7 +50,7 @@
   void confirmed(const program_id& program, const backend_server_id& server);
   /// Compares a report with the live programs; requests the release of all others.
   std::vector<release_request> reported(const cache_report& report, timestamp now,
-                                        const std::set<program_id>& living);
+                                        const std::set<program_id>& live_programs);
   /// Returns the release requests that are due again.
   std::vector<release_request> tick(timestamp now);
   [[nodiscard]] std::size_t open_releases() const { return this->releasing.size(); }
@@ -61,12 +61,12 @@
     timestamp last;
     duration wait;
   };
-  using place = std::pair<program_id, backend_server_id>;
-  void order(const place& where, timestamp now, std::vector<release_request>& out);
+  using residency = std::pair<program_id, backend_server_id>;
+  void request_release(const residency& location, timestamp now, std::vector<release_request>& out);
 
-  release_settings times;
+  release_settings settings;
   std::map<program_id, std::map<backend_server_id, timestamp>> resident;
-  std::map<place, pending> releasing;
+  std::map<residency, pending> releasing;
 };
 
 }  // namespace hawthornlane
--- a/libs/cache/src/pause_predictor.cc
+++ b/libs/cache/src/pause_predictor.cc
@@ -5,22 +5,22 @@
 
 namespace hawthornlane {
 namespace {
-constexpr double shortest = 0.010;
-constexpr double forget = 0.995;
+constexpr double min_pause_seconds = 0.010;
+constexpr double decay = 0.995;
 }  // namespace
 
 std::size_t pause_predictor::bucket_of(duration pause) {
-  const double seconds = std::max(shortest, to_seconds(pause));
-  const double place = std::log2(seconds / shortest);
-  return std::min(bucket_count - 1, static_cast<std::size_t>(place));
+  const double seconds = std::max(min_pause_seconds, to_seconds(pause));
+  const double residency = std::log2(seconds / min_pause_seconds);
+  return std::min(bucket_count - 1, static_cast<std::size_t>(residency));
 }
 
 void pause_predictor::add(const service_name& service, const std::string& tool, duration pause) {
   histogram& item = this->histograms[{service, tool}];
   for (double& count : item.counts) {
-    count *= forget;
+    count *= decay;
   }
-  item.total = item.total * forget + 1;
+  item.total = item.total * decay + 1;
   item.counts.at(bucket_of(pause)) += 1;
 }
 
--- a/libs/cache/src/prefix_cache_model.cc
+++ b/libs/cache/src/prefix_cache_model.cc
@@ -9,8 +9,8 @@
   this->erase(program);
   this->entries.push_back({program, tokens, now});
   this->index[program] = std::prev(this->entries.end());
-  this->sum = this->sum + tokens;
-  while (this->sum > this->capacity && this->entries.size() > 1) {
+  this->total_tokens = this->total_tokens + tokens;
+  while (this->total_tokens > this->capacity && this->entries.size() > 1) {
     this->erase(program_id(this->entries.front().program));
   }
 }
@@ -20,7 +20,7 @@
   if (found == this->index.end()) {
     return;
   }
-  this->sum = this->sum - found->second->tokens;
+  this->total_tokens = this->total_tokens - found->second->tokens;
   this->entries.erase(found->second);
   this->index.erase(found);
 }
@@ -28,7 +28,7 @@
 void prefix_cache_model::clear() {
   this->entries.clear();
   this->index.clear();
-  this->sum = token_count(0);
+  this->total_tokens = token_count(0);
 }
 
 bool prefix_cache_model::holds(const program_id& program) const {
@@ -36,7 +36,7 @@
 }
 
 bool prefix_cache_model::would_evict_recent(token_count tokens, duration age, timestamp now) const {
-  token_count free = this->capacity - this->sum;
+  token_count free = this->capacity - this->total_tokens;
   for (const entry& item : this->entries) {
     if (free >= tokens) {
       return false;
--- a/libs/cache/src/release_tracker.cc
+++ b/libs/cache/src/release_tracker.cc
@@ -11,11 +11,12 @@
   this->releasing.erase({program, server});
 }
 
-void release_tracker::order(const place& where, timestamp now, std::vector<release_request>& out) {
+void release_tracker::request_release(const residency& location, timestamp now,
+                                      std::vector<release_request>& out) {
   const auto [at, added] =
-      this->releasing.emplace(where, pending{now, now, this->times.retry_after});
+      this->releasing.emplace(location, pending{now, now, this->settings.retry_after});
   if (added) {
-    out.push_back({where.first, where.second});
+    out.push_back({location.first, location.second});
   }
 }
 
@@ -26,7 +27,7 @@
     return out;
   }
   for (const auto& [server, since] : found->second) {
-    this->order({program, server}, now, out);
+    this->request_release({program, server}, now, out);
   }
   this->resident.erase(found);
   return out;
@@ -37,7 +38,7 @@
 }
 
 std::vector<release_request> release_tracker::reported(const cache_report& report, timestamp now,
-                                                       const std::set<program_id>& living) {
+                                                       const std::set<program_id>& live_programs) {
   std::vector<release_request> out;
   for (auto at = this->releasing.begin(); at != this->releasing.end();) {
     const bool gone = at->first.second == report.server &&
@@ -45,14 +46,14 @@
     at = gone ? this->releasing.erase(at) : std::next(at);
   }
   for (const program_id& program : report.holding) {
-    if (!living.contains(program)) {
-      this->order({program, report.server}, now, out);
+    if (!live_programs.contains(program)) {
+      this->request_release({program, report.server}, now, out);
     }
   }
   for (auto& [program, servers] : this->resident) {
     const auto found = servers.find(report.server);
     const bool dropped = found != servers.end() && !report.holding.contains(program) &&
-                         report.as_of - this->times.report_lag > found->second;
+                         report.as_of - this->settings.report_lag > found->second;
     if (dropped) {
       servers.erase(found);
     }
@@ -62,11 +63,11 @@
 
 std::vector<release_request> release_tracker::tick(timestamp now) {
   std::vector<release_request> out;
-  for (auto& [where, item] : this->releasing) {
+  for (auto& [location, item] : this->releasing) {
     if (now - item.last >= item.wait) {
       item.last = now;
-      item.wait = std::min(item.wait * 2, this->times.longest_retry);
-      out.push_back({where.first, where.second});
+      item.wait = std::min(item.wait * 2, this->settings.longest_retry);
+      out.push_back({location.first, location.second});
     }
   }
   return out;
--- a/libs/fleet/include/hawthornlane/fleet/fleet_view.h
+++ b/libs/fleet/include/hawthornlane/fleet/fleet_view.h
@@ -81,12 +81,12 @@
     for (const Entry& entry : entries) {
       listed.emplace(key_of(entry), this->newest_of(entry));
     }
-    for (const auto& [key, entry] : this->held) {
+    for (const auto& [key, entry] : this->entries_by_key) {
       if (!listed.contains(key)) {
-        this->doubtful.emplace(key, entry);
+        this->missing.emplace(key, entry);
       }
     }
-    this->held = std::move(listed);
+    this->entries_by_key = std::move(listed);
     this->revision = at;
     this->known = true;
     this->drop_expired_removals(now);
@@ -102,13 +102,13 @@
     for (const auto& change : changes) {
       const Key key = key_of(change.entry);
       if (!change.removed) {
-        this->held[key] = this->newest_of(change.entry);
-        this->doubtful.erase(key);
+        this->entries_by_key[key] = this->newest_of(change.entry);
+        this->missing.erase(key);
         continue;
       }
-      const auto found = this->held.find(key);
-      if (found != this->held.end()) {
-        this->doubtful.insert(this->held.extract(found));
+      const auto found = this->entries_by_key.find(key);
+      if (found != this->entries_by_key.end()) {
+        this->missing.insert(this->entries_by_key.extract(found));
       }
     }
     this->revision = at;
@@ -119,47 +119,47 @@
 
   /// The store was unavailable until now, so missing entries may have expired only because their
   /// owners could not renew them.
-  void defer_removals_until(timestamp until) { this->doubt_until = until; }
+  void defer_removals_until(timestamp until) { this->keep_missing_until = until; }
   /// Drops missing entries whose removal is final by now.
   void drop_expired_removals(timestamp now) {
-    for (const auto& [key, entry] : this->held) {
-      this->doubtful.erase(key);
+    for (const auto& [key, entry] : this->entries_by_key) {
+      this->missing.erase(key);
     }
-    if (now >= this->doubt_until) {
-      this->doubtful.clear();
+    if (now >= this->keep_missing_until) {
+      this->missing.clear();
     }
   }
 
   /// Entries in the latest known state of the store.
-  [[nodiscard]] const std::map<Key, Entry>& listed() const { return this->held; }
+  [[nodiscard]] const std::map<Key, Entry>& listed() const { return this->entries_by_key; }
   /// Entries that are missing from the store but may be registered again.
-  [[nodiscard]] const std::map<Key, Entry>& pending_removals() const { return this->doubtful; }
+  [[nodiscard]] const std::map<Key, Entry>& pending_removals() const { return this->missing; }
   [[nodiscard]] store_revision at() const { return this->revision; }
   [[nodiscard]] bool heard() const { return this->known; }
 
 private:
   static Key key_of(const backend_entry& entry) { return entry.id; }
   static Key key_of(const host_entry& entry) { return entry.name; }
-  static bool is_outdated(const backend_entry& told, const backend_entry& known) {
-    return told.start < known.start;
+  static bool is_outdated(const backend_entry& reported, const backend_entry& known) {
+    return reported.start < known.start;
   }
   /// A host's start is taken from its own clock, which may be set back between two starts.
   static bool is_outdated(const host_entry& /*told*/, const host_entry& /*known*/) { return false; }
   /// Returns the given entry, or the known one if that is of a later incarnation.
-  [[nodiscard]] Entry newest_of(const Entry& told) const {
-    for (const auto* known : {&this->held, &this->doubtful}) {
-      const auto found = known->find(key_of(told));
-      if (found != known->end() && is_outdated(told, found->second)) {
+  [[nodiscard]] Entry newest_of(const Entry& reported) const {
+    for (const auto* known : {&this->entries_by_key, &this->missing}) {
+      const auto found = known->find(key_of(reported));
+      if (found != known->end() && is_outdated(reported, found->second)) {
         return found->second;
       }
     }
-    return told;
+    return reported;
   }
 
-  std::map<Key, Entry> held;
-  std::map<Key, Entry> doubtful;
+  std::map<Key, Entry> entries_by_key;
+  std::map<Key, Entry> missing;
   store_revision revision;
-  timestamp doubt_until{};
+  timestamp keep_missing_until{};
   bool known = false;
 };
 
--- a/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
@@ -20,55 +20,58 @@
 public:
   /// Leaves time to reach all hosts within the two seconds that users require, even if the reader
   /// has just failed.
-  static constexpr duration pace = std::chrono::milliseconds(850);
+  static constexpr duration read_interval = std::chrono::milliseconds(850);
   static constexpr duration takeover_wait = std::chrono::milliseconds(200);
   /// Between two ranks: longer than a read and the distribution of its result take.
   static constexpr duration rank_step = std::chrono::milliseconds(40);
-  static constexpr std::size_t last_step = 10;
+  static constexpr std::size_t max_rank_steps = 10;
   /// A host without any state first waits for its peers to send it.
-  static constexpr duration first_wait = std::chrono::milliseconds(120);
+  static constexpr duration initial_wait = std::chrono::milliseconds(120);
 
-  store_read_schedule(host_id own, timestamp started) : self(std::move(own)), tried(started) {}
+  store_read_schedule(host_id owner_id, timestamp started)
+      : self(std::move(owner_id)), last_attempt(started) {}
 
   /// That host's read of the store succeeded at that time.
   void record_read(const host_id& by, timestamp at) {
-    if (at > this->newest) {
-      this->newest = at;
-      this->reader = by;
-      this->known = true;
+    if (at > this->newest_read) {
+      this->newest_read = at;
+      this->newest_reader = by;
+      this->has_read = true;
     }
   }
   /// A read by this host started; the next one is due after `pace` at the earliest.
   void began(timestamp at) {
-    this->tried = at;
-    this->has_tried = true;
+    this->last_attempt = at;
+    this->has_attempted = true;
   }
 
   /// True when this host should read the store. `rank`: this host's position among the live hosts,
   /// from 0.
   [[nodiscard]] bool due(timestamp now, std::size_t rank) const {
-    const duration wait = takeover_wait + rank_step * static_cast<int>(std::min(rank, last_step));
-    if (!this->known) {
-      const duration first = first_wait + rank_step * static_cast<int>(std::min(rank, last_step));
-      return now - this->tried >= (this->has_tried ? pace : first);
+    const duration wait =
+        takeover_wait + rank_step * static_cast<int>(std::min(rank, max_rank_steps));
+    if (!this->has_read) {
+      const duration wait_before_first =
+          initial_wait + rank_step * static_cast<int>(std::min(rank, max_rank_steps));
+      return now - this->last_attempt >= (this->has_attempted ? read_interval : wait_before_first);
     }
-    const bool own_turn = this->reader == this->self;
-    return now - this->newest >= (own_turn ? pace : pace + wait) &&
-           (!this->has_tried || now - this->tried >= pace);
+    const bool is_reader = this->newest_reader == this->self;
+    return now - this->newest_read >= (is_reader ? read_interval : read_interval + wait) &&
+           (!this->has_attempted || now - this->last_attempt >= read_interval);
   }
-  [[nodiscard]] duration age(timestamp now) const { return now - this->newest; }
-  [[nodiscard]] const host_id& last_reader() const { return this->reader; }
-  [[nodiscard]] bool heard() const { return this->known; }
+  [[nodiscard]] duration age(timestamp now) const { return now - this->newest_read; }
+  [[nodiscard]] const host_id& last_reader() const { return this->newest_reader; }
+  [[nodiscard]] bool heard() const { return this->has_read; }
   /// The host whose schedule this is.
   [[nodiscard]] const host_id& owner() const { return this->self; }
 
 private:
   host_id self;
-  host_id reader;
-  timestamp newest{};
-  timestamp tried;
-  bool known = false;
-  bool has_tried = false;
+  host_id newest_reader;
+  timestamp newest_read{};
+  timestamp last_attempt;
+  bool has_read = false;
+  bool has_attempted = false;
 };
 
 }  // namespace hawthornlane
--- a/libs/fleet/test/fleet_test.cc
+++ b/libs/fleet/test/fleet_test.cc
@@ -89,8 +89,8 @@
   struct row {
     const char* what;
     std::uint64_t known;
-    std::uint64_t told;
-    std::uint64_t believed;
+    std::uint64_t reported_start;
+    std::uint64_t resulting;
   };
   const row rows[] = {
       {"the server restarted", 100, 200, 200},
@@ -99,15 +99,15 @@
       {"servers that do not report their start", 0, 0, 0},
       {"a server that starts to report it", 0, 200, 200},
   };
-  const auto told_as = GENERATE("listing", "change", "listing after it lapsed");
+  const auto reported_by = GENERATE("listing", "change", "listing after it lapsed");
   for (const row& item : rows) {
-    INFO(told_as << ": " << item.what);
+    INFO(reported_by << ": " << item.what);
     backend_registry servers;
     servers.apply_listing(store_revision(10), {server("s1", false, item.known)}, at(0s));
-    const backend_entry entry = server("s1", true, item.told);
-    if (std::string(told_as) == "change") {
+    const backend_entry entry = server("s1", true, item.reported_start);
+    if (std::string(reported_by) == "change") {
       CHECK(servers.apply_changes(store_revision(11), {{entry, false}}, at(1s)));
-    } else if (std::string(told_as) == "listing") {
+    } else if (std::string(reported_by) == "listing") {
       CHECK(servers.apply_listing(store_revision(11), {entry}, at(1s)));
     } else {
       servers.defer_removals_until(at(9s));
@@ -115,9 +115,9 @@
       CHECK(servers.apply_listing(store_revision(12), {entry}, at(2s)));
     }
     REQUIRE(servers.listed().size() == 1);
-    const backend_entry& believed = servers.listed().begin()->second;
-    CHECK(believed.start == incarnation(item.believed));
-    CHECK(believed.draining == (item.told >= item.known));
+    const backend_entry& resulting = servers.listed().begin()->second;
+    CHECK(resulting.start == incarnation(item.resulting));
+    CHECK(resulting.draining == (item.reported_start >= item.known));
   }
 }
 
--- a/libs/limits/include/hawthornlane/limits/active_programs.h
+++ b/libs/limits/include/hawthornlane/limits/active_programs.h
@@ -20,19 +20,19 @@
 
 /// Calls are reserved for a program only while it makes calls at least this often. A program makes
 /// calls until it ends, except while its tools run.
-constexpr duration longest_program_silence = std::chrono::seconds(2);
+constexpr duration reservation_timeout = std::chrono::seconds(2);
 /// A program that makes another call within this time counts as admitted: turns and tools may take
 /// several seconds.
-constexpr duration program_memory = std::chrono::seconds(15);
+constexpr duration admission_timeout = std::chrono::seconds(15);
 
 /// Estimates the number of calls per program, over all accounts of a quota manager. The manager
 /// that admits a program is the first to be asked for each of its calls, so it counts all of them,
 /// whichever manager grants them.
 class program_size_estimate {
 public:
-  void note_begin();
+  void record_start();
   /// A program that was counted by `note_begin` asks for another call.
-  void note_call() { this->calls += 1; }
+  void record_call() { this->calls += 1; }
   /// Calls per program; 0 until enough programs have begun.
   [[nodiscard]] double mean() const;
 
@@ -48,24 +48,24 @@
   /// Calls that the manager's bucket must hold to admit another program: the manager's share of a
   /// whole program, and of the calls that the programs in progress have yet to make. `size`: calls
   /// of a whole program. `part`: the manager's share, 0 to 1.
-  [[nodiscard]] double needed(double size, double part, timestamp now) const;
+  [[nodiscard]] double needed(double size, double share, timestamp now) const;
   [[nodiscard]] bool contains(program_key program, timestamp now) const;
   /// The manager has granted a program's first call.
-  void begin(program_key program, timestamp now);
+  void admit(program_key program, timestamp now);
   /// An admitted program asks for another call.
-  void note_call(program_key program, timestamp now);
+  void record_call(program_key program, timestamp now);
   /// An admitted program was granted another call.
-  void note_grant(program_key program);
-  void forget_ended(timestamp now);
+  void record_grant(program_key program);
+  void remove_expired(timestamp now);
   [[nodiscard]] bool empty() const { return this->programs.empty(); }
 
 private:
-  struct under_way {
+  struct program_progress {
     double calls = 1;
     timestamp last{};
   };
 
-  std::unordered_map<program_key, under_way> programs;
+  std::unordered_map<program_key, program_progress> programs;
 };
 
 }  // namespace hawthornlane
--- a/libs/limits/include/hawthornlane/limits/quota_lease.h
+++ b/libs/limits/include/hawthornlane/limits/quota_lease.h
@@ -27,12 +27,12 @@
 /// next set may come into force before this host learns of it. So a member manages the smaller of
 /// its shares in both: one that leaves manages none, and one that joins starts with the next set.
 inline double quota_share(const ledger_set& set, const disk_id& self) {
-  const auto part_in = [&self](const std::vector<disk_id>& disks) {
+  const auto share_in = [&self](const std::vector<disk_id>& disks) {
     const bool is_in = std::find(disks.begin(), disks.end(), self) != disks.end();
     return is_in ? 1.0 / static_cast<double>(disks.size()) : 0.0;
   };
-  const double now = part_in(set.members);
-  return set.joint() ? std::min(now, part_in(set.next)) : now;
+  const double now = share_in(set.members);
+  return set.joint() ? std::min(now, share_in(set.next)) : now;
 }
 
 /// What a member of the set knows about its membership.
@@ -58,13 +58,13 @@
   if (now - view.set_confirmed_at < quota_lease_duration) {
     return true;
   }
-  std::set<disk_id> answering{view.self};
+  std::set<disk_id> responding{view.self};
   for (const member_probe_result& word : view.heard) {
     if (now - word.received_at < quota_lease_duration) {
-      answering.insert(word.disk);
+      responding.insert(word.disk);
     }
   }
-  return ledger_set::majority_of(view.set.members, answering);
+  return ledger_set::majority_of(view.set.members, responding);
 }
 
 }  // namespace hawthornlane
--- a/libs/limits/include/hawthornlane/limits/quota_manager.h
+++ b/libs/limits/include/hawthornlane/limits/quota_manager.h
@@ -44,12 +44,12 @@
   /// not run, so it does not depend on a clock that may be set.
   double age = 0;
   /// Records before this one no longer count.
-  bool begins = false;
+  bool is_reset = false;
   std::vector<quota_bucket_record> bucket_records;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->age, this->begins, this->bucket_records);
+    archive(this->age, this->is_reset, this->bucket_records);
   }
 };
 
@@ -63,7 +63,7 @@
 class quota_manager {
 public:
   quota_manager() = default;
-  explicit quota_manager(quota_tolerance with) : rules(with) {}
+  explicit quota_manager(quota_tolerance permitted) : tolerance(permitted) {}
 
   /// Applies a record of an earlier process. Records are applied in the order in which they were
   /// logged.
@@ -71,8 +71,8 @@
   /// Sets this host's share of each quota: 1 / number of managers, or 0. A host that becomes a
   /// manager starts with empty buckets, since it does not know what was granted before. After a
   /// restart it continues with the restored buckets.
-  void set_share(double part, timestamp now);
-  quota_response ask(const quota_request& question, timestamp now);
+  void set_share(double own_share, timestamp now);
+  quota_response ask(const quota_request& request, timestamp now);
   /// Drops accounts whose buckets are full: a new bucket would be full too.
   void forget_idle(timestamp now);
   /// Returns the buckets that have changed since the last call, to be logged.
@@ -82,7 +82,7 @@
   /// Calls that were refused only because they would have begun a program without room for it.
   [[nodiscard]] std::uint64_t programs_held_back() const { return this->held_back; }
   /// Estimated calls per program; 0: not known yet.
-  [[nodiscard]] double calls_of_a_program() const { return this->size.mean(); }
+  [[nodiscard]] double calls_of_a_program() const { return this->calls_per_program.mean(); }
   /// Number of accounts with a bucket.
   [[nodiscard]] std::size_t accounts() const { return this->buckets.size(); }
 
@@ -92,7 +92,7 @@
     limit_version version;
     /// Calls that may be granted at the age `at`, seconds.
     double level = 0;
-    double at = 0;
+    double refilled_age = 0;
   };
 
   [[nodiscard]] double capacity_of(const account_limit& limit) const;
@@ -100,29 +100,29 @@
   [[nodiscard]] double age(timestamp now) const;
   [[nodiscard]] double level_at(const bucket& from, double age) const;
   /// Level that the bucket must have for the call to be granted, calls.
-  [[nodiscard]] double level_needed(const quota_request& question, const bucket& from,
+  [[nodiscard]] double level_needed(const quota_request& request, const bucket& from,
                                     timestamp now);
   /// Counts the call if its program was admitted here.
-  void note_call(const quota_request& question, timestamp now);
-  void note_grant(const quota_program& program, const client_account& account, timestamp now);
-  bucket& bucket_of(const quota_request& question, timestamp now);
-  [[nodiscard]] static quota_bucket_record mark_of(const client_account& account,
-                                                   const bucket& item);
+  void record_call(const quota_request& request, timestamp now);
+  void record_grant(const quota_program& program, const client_account& account, timestamp now);
+  bucket& refilled_bucket(const quota_request& request, timestamp now);
+  [[nodiscard]] static quota_bucket_record record_of(const client_account& account,
+                                                     const bucket& item);
 
-  quota_tolerance rules;
+  quota_tolerance tolerance;
   /// This host's share of each quota; 0: it is not a manager.
-  double part = 0;
+  double own_share = 0;
   /// Age at `resumed`, seconds.
-  double age_before = 0;
-  timestamp resumed{};
+  double age_at_resume = 0;
+  timestamp resumed_at{};
   std::unordered_map<client_account, bucket> buckets;
   /// By account, for accounts with programs in progress. Not logged: after a restart the programs
   /// in progress go on, and others are admitted besides them.
   std::unordered_map<client_account, active_programs> programs;
-  program_size_estimate size;
+  program_size_estimate calls_per_program;
   std::uint64_t held_back = 0;
   /// Nothing has been logged since this host last became a manager.
-  bool is_new = false;
+  bool reset_is_unlogged = false;
   /// Accounts whose buckets are not logged yet.
   std::set<client_account> changed;
 };
--- a/libs/limits/include/hawthornlane/limits/quota_round.h
+++ b/libs/limits/include/hawthornlane/limits/quota_round.h
@@ -22,7 +22,7 @@
 /// The requests for one call. Managers are numbered from 0 in the order in which they are asked.
 class quota_round {
 public:
-  explicit quota_round(std::size_t keepers) : count(keepers) {}
+  explicit quota_round(std::size_t managers) : count(managers) {}
 
   /// Returns the next manager and counts it as asked; empty when all have been asked.
   std::optional<std::size_t> ask_next() {
@@ -38,7 +38,8 @@
       this->is_granted = true;
     }
     if (answer.outcome == quota_outcome::refused) {
-      this->soonest = std::min(this->soonest.value_or(answer.retry_after), answer.retry_after);
+      this->earliest_retry =
+          std::min(this->earliest_retry.value_or(answer.retry_after), answer.retry_after);
     }
   }
   /// No response will come from a manager that was asked.
@@ -60,11 +61,13 @@
     if (this->is_granted) {
       return quota_decision::granted;
     }
-    return this->soonest ? quota_decision::over_limit : quota_decision::unknown;
+    return this->earliest_retry ? quota_decision::over_limit : quota_decision::unknown;
   }
   /// The shortest time after which a manager can grant the call, counted from its response; zero
   /// when no manager refused.
-  [[nodiscard]] duration retry_after() const { return this->soonest.value_or(duration::zero()); }
+  [[nodiscard]] duration retry_after() const {
+    return this->earliest_retry.value_or(duration::zero());
+  }
 
 private:
   // Invariant: ended <= asked <= count.
@@ -72,7 +75,7 @@
   std::size_t asked = 0;
   std::size_t ended = 0;
   bool is_granted = false;
-  std::optional<duration> soonest;
+  std::optional<duration> earliest_retry;
 };
 
 }  // namespace hawthornlane
--- a/libs/limits/include/hawthornlane/limits/retry_budget.h
+++ b/libs/limits/include/hawthornlane/limits/retry_budget.h
@@ -11,8 +11,8 @@
 public:
   void on_call() {
     constexpr double share = 0.1;
-    constexpr double most = 20;
-    this->tokens = std::min(most, this->tokens + share);
+    constexpr double max_tokens = 20;
+    this->tokens = std::min(max_tokens, this->tokens + share);
   }
   /// Takes a token; false when none is left and the call must not be retried.
   bool try_spend() {
--- a/libs/limits/include/hawthornlane/limits/server_window.h
+++ b/libs/limits/include/hawthornlane/limits/server_window.h
@@ -10,9 +10,9 @@
 
 /// Bounds and targets of a window; sizes in calls.
 struct window_limits {
-  double least = 1;
-  double most = 64;
-  double initial = 8;
+  double min_size = 1;
+  double max_size = 64;
+  double initial_size = 8;
   /// The time between tokens that callers are promised.
   duration token_time_target = std::chrono::milliseconds(29);
 };
@@ -23,27 +23,29 @@
 /// the excess outside.
 class server_window {
 public:
-  explicit server_window(window_limits bounds) : limits(bounds), current(bounds.initial) {}
+  explicit server_window(window_limits configured)
+      : limits(configured), window_size(configured.initial_size) {}
 
   /// A call ended with this mean time between tokens.
   void on_finished(duration token_time, bool window_was_full) {
-    constexpr double decrease = 0.93;
+    constexpr double decrease_factor = 0.93;
     constexpr double slack = 0.9;
     if (token_time > this->limits.token_time_target) {
-      this->current = std::max(this->limits.least, this->current * decrease);
+      this->window_size = std::max(this->limits.min_size, this->window_size * decrease_factor);
     } else if (window_was_full && token_time < this->limits.token_time_target * slack) {
-      this->current = std::min(this->limits.most, this->current + 1.0 / this->current);
+      this->window_size =
+          std::min(this->limits.max_size, this->window_size + 1.0 / this->window_size);
     }
   }
   /// The server failed or has just come back: halve the window.
-  void on_failed() { this->current = std::max(this->limits.least, this->current / 2); }
+  void on_failed() { this->window_size = std::max(this->limits.min_size, this->window_size / 2); }
 
-  [[nodiscard]] std::int64_t size() const { return static_cast<std::int64_t>(this->current); }
+  [[nodiscard]] std::int64_t size() const { return static_cast<std::int64_t>(this->window_size); }
 
 private:
   window_limits limits;
   /// Calls. Invariant: between `least` and `most`.
-  double current;
+  double window_size;
 };
 
 }  // namespace hawthornlane
--- a/libs/limits/src/credit_split.cc
+++ b/libs/limits/src/credit_split.cc
@@ -8,35 +8,35 @@
 std::vector<credit_grant> split_window(std::int64_t window,
                                        const std::vector<credit_demand>& demands) {
   std::vector<credit_grant> grants;
-  std::int64_t left = window;
+  std::int64_t remaining = window;
   grants.reserve(demands.size());
   for (const credit_demand& demand : demands) {
     grants.push_back({demand.host, 0});
   }
   // Raise every host with unmet demand by an equal step until nothing is left.
-  while (left > 0) {
-    std::vector<std::size_t> wanting;
+  while (remaining > 0) {
+    std::vector<std::size_t> unsatisfied;
     for (std::size_t at = 0; at < demands.size(); ++at) {
       if (grants[at].credits < demands[at].inside + demands[at].waiting) {
-        wanting.push_back(at);
+        unsatisfied.push_back(at);
       }
     }
-    if (wanting.empty()) {
+    if (unsatisfied.empty()) {
       break;
     }
-    const auto count = static_cast<std::int64_t>(wanting.size());
-    const std::int64_t step = std::max<std::int64_t>(1, left / count);
-    for (const std::size_t at : wanting) {
-      const std::int64_t wants = demands[at].inside + demands[at].waiting - grants[at].credits;
-      const std::int64_t given = std::min({step, wants, left});
-      grants[at].credits += given;
-      left -= given;
+    const auto count = static_cast<std::int64_t>(unsatisfied.size());
+    const std::int64_t step = std::max<std::int64_t>(1, remaining / count);
+    for (const std::size_t at : unsatisfied) {
+      const std::int64_t unmet = demands[at].inside + demands[at].waiting - grants[at].credits;
+      const std::int64_t granted = std::min({step, unmet, remaining});
+      grants[at].credits += granted;
+      remaining -= granted;
     }
   }
   // Spread what is left, so that a new call can be sent without a request for credits.
-  for (std::size_t at = 0; left > 0 && !grants.empty(); at = (at + 1) % grants.size()) {
+  for (std::size_t at = 0; remaining > 0 && !grants.empty(); at = (at + 1) % grants.size()) {
     ++grants[at].credits;
-    --left;
+    --remaining;
   }
   return grants;
 }
--- a/libs/limits/src/quota_manager.cc
+++ b/libs/limits/src/quota_manager.cc
@@ -11,166 +11,168 @@
 /// programs come in groups larger than a small account's burst, and one manager's bucket may
 /// overflow while another one is empty. The rest of the tolerance is for a change of managers, when
 /// two may grant the same share for a short time.
-constexpr double used_tolerance = 0.9;
+constexpr double tolerance_in_capacity = 0.9;
 /// Rounding error allowed in sums of fractions of a call, calls.
-constexpr double least_difference = 1e-6;
+constexpr double rounding_error = 1e-6;
 
 }  // namespace
 
 void quota_manager::restore(const quota_record& record) {
-  if (record.begins) {
+  if (record.is_reset) {
     this->buckets.clear();
-    this->age_before = 0;
+    this->age_at_resume = 0;
   }
-  this->age_before = std::max(this->age_before, record.age);
-  for (const quota_bucket_record& mark : record.bucket_records) {
-    this->buckets[mark.account] = {mark.limit, mark.version, mark.level, record.age};
+  this->age_at_resume = std::max(this->age_at_resume, record.age);
+  for (const quota_bucket_record& bucket_record : record.bucket_records) {
+    this->buckets[bucket_record.account] = {bucket_record.limit, bucket_record.version,
+                                            bucket_record.level, record.age};
   }
 }
 
 void quota_manager::set_share(double share, timestamp now) {
-  const bool begins = this->part == 0 && share != 0;
+  const bool becomes_manager = this->own_share == 0 && share != 0;
   if (share == 0) {
     this->buckets.clear();
     this->programs.clear();
     this->changed.clear();
-    this->age_before = 0;
-    this->is_new = true;
-  } else if (begins) {
-    this->resumed = now;
+    this->age_at_resume = 0;
+    this->reset_is_unlogged = true;
+  } else if (becomes_manager) {
+    this->resumed_at = now;
   }
   // Fill the buckets at the old share up to now.
   const double age = this->age(now);
   for (auto& [name, item] : this->buckets) {
-    item.level = begins ? item.level : this->level_at(item, age);
-    item.at = begins ? item.at : age;
+    item.level = becomes_manager ? item.level : this->level_at(item, age);
+    item.refilled_age = becomes_manager ? item.refilled_age : age;
   }
-  this->part = share;
+  this->own_share = share;
 }
 
 double quota_manager::capacity_of(const account_limit& limit) const {
-  const double in_window = limit.calls_per_second * to_seconds(this->rules.window) + limit.burst;
-  const double tolerated = in_window * this->rules.excess + this->rules.slack;
+  const double in_window =
+      limit.calls_per_second * to_seconds(this->tolerance.window) + limit.burst;
+  const double tolerated = in_window * this->tolerance.excess + this->tolerance.slack;
   // A bucket with room for less than one call could never grant any.
-  return std::max(1.0, this->part * (limit.burst + used_tolerance * tolerated));
+  return std::max(1.0, this->own_share * (limit.burst + tolerance_in_capacity * tolerated));
 }
 
 double quota_manager::rate_of(const account_limit& limit) const {
-  return limit.calls_per_second * this->part;
+  return limit.calls_per_second * this->own_share;
 }
 
 double quota_manager::age(timestamp now) const {
-  return this->age_before + to_seconds(now - this->resumed);
+  return this->age_at_resume + to_seconds(now - this->resumed_at);
 }
 
 double quota_manager::level_at(const bucket& from, double age) const {
-  const double filled = from.level + this->rate_of(from.limit) * (age - from.at);
+  const double filled = from.level + this->rate_of(from.limit) * (age - from.refilled_age);
   return std::min(filled, this->capacity_of(from.limit));
 }
 
-quota_manager::bucket& quota_manager::bucket_of(const quota_request& question, timestamp now) {
-  const auto [found, is_new] = this->buckets.try_emplace(question.account);
+quota_manager::bucket& quota_manager::refilled_bucket(const quota_request& request, timestamp now) {
+  const auto [found, is_new] = this->buckets.try_emplace(request.account);
   bucket& item = found->second;
   if (is_new) {
     // The state of an account that has requested nothing since this host became a manager.
-    item = {question.limit, question.version, 0, 0};
+    item = {request.limit, request.version, 0, 0};
   }
   const double age = this->age(now);
   item.level = this->level_at(item, age);
-  item.at = age;
-  if (question.version > item.version) {
-    item.limit = question.limit;
-    item.version = question.version;
+  item.refilled_age = age;
+  if (request.version > item.version) {
+    item.limit = request.limit;
+    item.version = request.version;
     item.level = std::min(item.level, this->capacity_of(item.limit));
   }
   return item;
 }
 
-quota_response quota_manager::ask(const quota_request& question, timestamp now) {
-  if (this->part == 0) {
+quota_response quota_manager::ask(const quota_request& request, timestamp now) {
+  if (this->own_share == 0) {
     return {quota_outcome::not_kept, {}};
   }
-  bucket& item = this->bucket_of(question, now);
+  bucket& item = this->refilled_bucket(request, now);
   if (!item.limit.limits()) {
     return {quota_outcome::granted, {}};
   }
-  const double needed = this->level_needed(question, item, now);
-  this->note_call(question, now);
-  if (item.level >= needed - least_difference) {
+  const double needed = this->level_needed(request, item, now);
+  this->record_call(request, now);
+  if (item.level >= needed - rounding_error) {
     item.level -= 1;
-    this->changed.insert(question.account);
-    if (question.program) {
-      this->note_grant(*question.program, question.account, now);
+    this->changed.insert(request.account);
+    if (request.program) {
+      this->record_grant(*request.program, request.account, now);
     }
     return {quota_outcome::granted, {}};
   }
-  this->held_back += item.level >= 1 - least_difference ? 1 : 0;
+  this->held_back += item.level >= 1 - rounding_error ? 1 : 0;
   return {quota_outcome::refused, from_seconds((needed - item.level) / this->rate_of(item.limit))};
 }
 
-double quota_manager::level_needed(const quota_request& question, const bucket& from,
+double quota_manager::level_needed(const quota_request& request, const bucket& from,
                                    timestamp now) {
-  if (!question.program || !question.program->begins) {
+  if (!request.program || !request.program->begins) {
     return 1;
   }
-  active_programs& begun = this->programs[question.account];
-  begun.forget_ended(now);
-  if (begun.contains(question.program->key, now)) {
+  active_programs& begun = this->programs[request.account];
+  begun.remove_expired(now);
+  if (begun.contains(request.program->key, now)) {
     return 1;
   }
   // A full bucket admits any program.
-  const double needed = begun.needed(this->size.mean(), this->part, now);
+  const double needed = begun.needed(this->calls_per_program.mean(), this->own_share, now);
   return std::clamp(needed, 1.0, this->capacity_of(from.limit));
 }
 
-void quota_manager::note_call(const quota_request& question, timestamp now) {
-  const auto begun = this->programs.find(question.account);
-  if (!question.program || begun == this->programs.end() ||
-      !begun->second.contains(question.program->key, now)) {
+void quota_manager::record_call(const quota_request& request, timestamp now) {
+  const auto begun = this->programs.find(request.account);
+  if (!request.program || begun == this->programs.end() ||
+      !begun->second.contains(request.program->key, now)) {
     return;
   }
-  begun->second.note_call(question.program->key, now);
-  this->size.note_call();
+  begun->second.record_call(request.program->key, now);
+  this->calls_per_program.record_call();
 }
 
-void quota_manager::note_grant(const quota_program& program, const client_account& account,
-                               timestamp now) {
+void quota_manager::record_grant(const quota_program& program, const client_account& account,
+                                 timestamp now) {
   active_programs& begun = this->programs[account];
   if (begun.contains(program.key, now)) {
-    begun.note_grant(program.key);
+    begun.record_grant(program.key);
   } else if (program.begins) {
-    begun.begin(program.key, now);
-    this->size.note_begin();
+    begun.admit(program.key, now);
+    this->calls_per_program.record_start();
   }
 }
 
 void quota_manager::forget_idle(timestamp now) {
   const double age = this->age(now);
   for (auto& [account, begun] : this->programs) {
-    begun.forget_ended(now);
+    begun.remove_expired(now);
   }
   std::erase_if(this->buckets, [&](const auto& entry) {
     const bucket& item = entry.second;
-    const double full = this->capacity_of(item.limit) - least_difference;
+    const double full = this->capacity_of(item.limit) - rounding_error;
     return !this->changed.contains(entry.first) && this->rate_of(item.limit) * age >= full &&
            this->level_at(item, age) >= full;
   });
   std::erase_if(this->programs, [](const auto& entry) { return entry.second.empty(); });
 }
 
-quota_bucket_record quota_manager::mark_of(const client_account& account, const bucket& item) {
+quota_bucket_record quota_manager::record_of(const client_account& account, const bucket& item) {
   return {account, item.limit, item.version, item.level};
 }
 
 quota_record quota_manager::take_changes(timestamp now) {
   quota_record record;
   record.age = this->age(now);
-  record.begins = std::exchange(this->is_new, false);
+  record.is_reset = std::exchange(this->reset_is_unlogged, false);
   for (const client_account& account : this->changed) {
     bucket& item = this->buckets.at(account);
     item.level = this->level_at(item, record.age);
-    item.at = record.age;
-    record.bucket_records.push_back(mark_of(account, item));
+    item.refilled_age = record.age;
+    record.bucket_records.push_back(record_of(account, item));
   }
   this->changed.clear();
   return record;
@@ -178,12 +180,12 @@
 
 quota_record quota_manager::whole(timestamp now) const {
   quota_record record;
-  record.age = this->part == 0 ? this->age_before : this->age(now);
-  record.begins = true;
+  record.age = this->own_share == 0 ? this->age_at_resume : this->age(now);
+  record.is_reset = true;
   for (const auto& [account, item] : this->buckets) {
     bucket filled = item;
     filled.level = this->level_at(item, record.age);
-    record.bucket_records.push_back(mark_of(account, filled));
+    record.bucket_records.push_back(record_of(account, filled));
   }
   return record;
 }
--- a/libs/limits/test/limits_test.cc
+++ b/libs/limits/test/limits_test.cc
@@ -89,16 +89,16 @@
   }
   const auto grants = split_window(window, demands);
   std::int64_t sum = 0;
-  std::int64_t wanting = 0;
+  std::int64_t unsatisfied = 0;
   std::int64_t served = 0;
   for (std::size_t at = 0; at < grants.size(); ++at) {
     sum += grants[at].credits;
-    wanting += demands[at].waiting > 0 ? 1 : 0;
+    unsatisfied += demands[at].waiting > 0 ? 1 : 0;
     served += demands[at].waiting > 0 && grants[at].credits > 0 ? 1 : 0;
   }
   CAPTURE(window, hosts);
   CHECK(sum == (hosts == 0 ? 0 : window));
-  CHECK(served == std::min(wanting, window));
+  CHECK(served == std::min(unsatisfied, window));
 }
 
 TEST_CASE("a window shrinks when tokens are late and grows only while it is full") {
--- a/libs/limits/test/quota_faults.h
+++ b/libs/limits/test/quota_faults.h
@@ -28,7 +28,7 @@
   /// The operator changes the limit.
   change_limit,
   /// The account requests many times its quota.
-  rush,
+  overload,
 };
 
 struct fault {
@@ -40,40 +40,42 @@
 };
 
 /// Bugs planted in a quota manager, to show that the checks detect them.
-enum class planted_fault {
+enum class injected_bug {
   none,
   /// A restart restores for how long quotas were managed, but not what was granted.
-  forgets_grants,
+  loses_grants,
   /// A host that was replaced continues until it learns of it from the store.
   ignores_lease,
   /// A host continues while a majority responds, even if responders know a newer set.
   ignores_fences,
   /// A leaving host manages its share until the next set is in force.
-  stays_to_the_end,
+  keeps_share_while_leaving,
   /// A refused call is deducted from the quota.
-  counts_refusals,
+  deducts_refusals,
 };
 
 /// The operator's tolerance.
-inline constexpr quota_tolerance rules{std::chrono::seconds(5), 0.1, 20};
+inline constexpr quota_tolerance tolerance{std::chrono::seconds(5), 0.1, 20};
 
 /// Which links between two hosts are cut, slow or duplicating, and until when.
 class fake_links {
 public:
-  void cut(int from, int to, timestamp until) { this->cut_until[{from, to}] = until; }
-  void delay(int to, timestamp until) { this->late_until[to] = until; }
-  void duplicate(int to, timestamp until) { this->twice_until[to] = until; }
+  void cut(int from, int to, timestamp until) { this->cut_end[{from, to}] = until; }
+  void delay(int to, timestamp until) { this->delay_end[to] = until; }
+  void duplicate(int to, timestamp until) { this->duplication_end[to] = until; }
 
   [[nodiscard]] bool is_cut(int from, int to, timestamp now) {
-    return this->cut_until[{from, to}] > now;
+    return this->cut_end[{from, to}] > now;
+  }
+  [[nodiscard]] bool is_delayed(int to, timestamp now) { return this->delay_end[to] > now; }
+  [[nodiscard]] bool is_duplicating(int to, timestamp now) {
+    return this->duplication_end[to] > now;
   }
-  [[nodiscard]] bool is_late(int to, timestamp now) { return this->late_until[to] > now; }
-  [[nodiscard]] bool sends_twice(int to, timestamp now) { return this->twice_until[to] > now; }
 
 private:
-  std::map<std::pair<int, int>, timestamp> cut_until;
-  std::map<int, timestamp> late_until;
-  std::map<int, timestamp> twice_until;
+  std::map<std::pair<int, int>, timestamp> cut_end;
+  std::map<int, timestamp> delay_end;
+  std::map<int, timestamp> duplication_end;
 };
 
 inline void showValue(const fault& item, std::ostream& out) {
--- a/libs/limits/test/quota_grants.h
+++ b/libs/limits/test/quota_grants.h
@@ -10,15 +10,17 @@
 namespace hawthornlane::quota_test {
 
 /// Time until every front host knows a change of the limit.
-inline constexpr duration limit_spread = std::chrono::milliseconds(500);
+inline constexpr duration limit_propagation = std::chrono::milliseconds(500);
 /// Longest time from sending a request to its response.
-inline constexpr duration longest_way = std::chrono::milliseconds(700);
+inline constexpr duration max_round_trip = std::chrono::milliseconds(700);
 
 class grant_history {
 public:
   /// A call was granted at that time, and the asker was told.
-  void note_grant(timestamp at) { this->granted.push_back(at); }
-  void note_limit(account_limit limit, timestamp at) { this->limits.push_back({limit, at}); }
+  void record_grant(timestamp at) { this->granted.push_back(at); }
+  void record_limit_change(account_limit limit, timestamp at) {
+    this->limits.push_back({limit, at});
+  }
   [[nodiscard]] std::size_t limit_changes() const { return this->limits.size(); }
   [[nodiscard]] account_limit newest_limit() const { return this->limits.back().limit; }
 
@@ -28,7 +30,7 @@
     double worst = -1e9;
     std::size_t first = 0;
     for (std::size_t last = 0; last < this->granted.size(); ++last) {
-      while (this->granted[last] - this->granted[first] > rules.window) {
+      while (this->granted[last] - this->granted[first] > tolerance.window) {
         ++first;
       }
       const double most = this->allowed(this->granted[first], this->granted[last]);
@@ -49,7 +51,8 @@
     account_limit most;
     for (std::size_t index = 0; index < this->limits.size(); ++index) {
       const bool is_last = index + 1 == this->limits.size();
-      const bool ended = !is_last && this->limits[index + 1].at + limit_spread + longest_way < from;
+      const bool ended =
+          !is_last && this->limits[index + 1].at + limit_propagation + max_round_trip < from;
       if (ended || this->limits[index].at > to) {
         continue;
       }
@@ -57,8 +60,8 @@
       most.calls_per_second = std::max(most.calls_per_second, limit.calls_per_second);
       most.burst = std::max(most.burst, limit.burst);
     }
-    const double owed = most.calls_per_second * to_seconds(rules.window) + most.burst;
-    return owed * (1 + rules.excess) + rules.slack;
+    const double quota_calls = most.calls_per_second * to_seconds(tolerance.window) + most.burst;
+    return quota_calls * (1 + tolerance.excess) + tolerance.slack;
   }
 
   std::vector<limit_change> limits;
--- a/libs/limits/test/quota_history_test.cc
+++ b/libs/limits/test/quota_history_test.cc
@@ -21,39 +21,40 @@
 constexpr int first_moment_ms = 10'000;
 constexpr int last_moment_ms = 25'000;
 /// Most faults begin within this time, so that they overlap.
-constexpr int spread_ms = 8'000;
+constexpr int fault_window_ms = 8'000;
 constexpr int short_fault_ms = 1'000;
 constexpr int long_fault_ms = 12'000;
-constexpr int most_faults = 14;
+constexpr int max_faults = 14;
 
 timestamp at(duration since_start) { return timestamp{} + since_start; }
 
 /// Any number from `begin` to below `end`, uniformly and whatever size RapidCheck asks for.
-rc::Gen<int> any_of(int begin, int end) {
+rc::Gen<int> uniform_number(int begin, int end) {
   return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(begin, end));
 }
 
-rc::Gen<fault> fault_near(int moment_ms) {
+rc::Gen<fault> random_fault(int moment_ms) {
   using enum fault_kind;
   return rc::gen::build<fault>(
       rc::gen::set(&fault::kind,
                    rc::gen::element(kill, kill, kill, pause, cut, cut, cut_store, cut_store, delay,
-                                    duplicate, retire, change_limit, rush)),
-      rc::gen::set(&fault::at_ms, any_of(moment_ms, moment_ms + spread_ms)),
-      rc::gen::set(&fault::length_ms,
-                   rc::gen::oneOf(any_of(0, short_fault_ms), any_of(0, long_fault_ms))),
-      rc::gen::set(&fault::host, any_of(0, world::disk_hosts)),
-      rc::gen::set(&fault::other, any_of(0, world::disk_hosts + world::front_hosts)));
+                                    duplicate, retire, change_limit, overload)),
+      rc::gen::set(&fault::at_ms, uniform_number(moment_ms, moment_ms + fault_window_ms)),
+      rc::gen::set(&fault::length_ms, rc::gen::oneOf(uniform_number(0, short_fault_ms),
+                                                     uniform_number(0, long_fault_ms))),
+      rc::gen::set(&fault::host, uniform_number(0, simulation::disk_hosts)),
+      rc::gen::set(&fault::other,
+                   uniform_number(0, simulation::disk_hosts + simulation::front_hosts)));
 }
 
 /// Faults around one time, during which the account requests much more than its quota.
-std::vector<fault> any_history() {
-  const int moment_ms = *any_of(first_moment_ms, last_moment_ms);
-  const int count = *any_of(0, most_faults);
-  std::vector<fault> history{
-      {fault_kind::rush, moment_ms + *any_of(0, spread_ms), *any_of(0, long_fault_ms), 0, 0}};
+std::vector<fault> random_history() {
+  const int moment_ms = *uniform_number(first_moment_ms, last_moment_ms);
+  const int count = *uniform_number(0, max_faults);
+  std::vector<fault> history{{fault_kind::overload, moment_ms + *uniform_number(0, fault_window_ms),
+                              *uniform_number(0, long_fault_ms), 0, 0}};
   for (int number = 0; number < count; ++number) {
-    history.push_back(*fault_near(moment_ms));
+    history.push_back(*random_fault(moment_ms));
   }
   return history;
 }
@@ -69,51 +70,51 @@
   return fixed;
 }
 
-fault rush(int at_ms, int length_ms) { return {fault_kind::rush, at_ms, length_ms, 0, 0}; }
+fault overload(int at_ms, int length_ms) { return {fault_kind::overload, at_ms, length_ms, 0, 0}; }
 
 /// The host can reach neither the store nor any other disk host.
 std::vector<fault> cut_off(int host, int at_ms, int length_ms) {
   std::vector<fault> history{{fault_kind::cut_store, at_ms, length_ms, host, 0}};
-  for (int other = 0; other < world::disk_hosts; ++other) {
+  for (int other = 0; other < simulation::disk_hosts; ++other) {
     history.push_back({fault_kind::cut, at_ms, length_ms, host, other});
     history.push_back({fault_kind::cut, at_ms, length_ms, other, host});
   }
-  history.push_back(rush(at_ms + 5'000, 8'000));
+  history.push_back(overload(at_ms + 5'000, 8'000));
   return history;
 }
 
 /// All managers restart during a burst, when their buckets are used up.
-std::vector<fault> killed_in_a_rush() {
-  std::vector<fault> history{rush(15'000, 8'000)};
-  for (int host = 0; host < world::keepers; ++host) {
+std::vector<fault> restarts_in_overload() {
+  std::vector<fault> history{overload(15'000, 8'000)};
+  for (int host = 0; host < simulation::managers; ++host) {
     history.push_back({fault_kind::kill, 17'000 + 100 * host, 100, host, 0});
   }
   return history;
 }
 
 /// A host that the operator drains cannot reach the store; all other hosts respond to it.
-std::vector<fault> replaced_unawares() {
+std::vector<fault> replaced_while_cut_off() {
   return {{fault_kind::cut_store, 14'000, 20'000, 0, 0},
           {fault_kind::retire, 15'000, 0, 0, 0},
-          rush(17'000, 8'000)};
+          overload(17'000, 8'000)};
 }
 
 /// A host is cut off from the store and from the only host that can replace it.
-std::vector<fault> lost_to_one() {
+std::vector<fault> cut_off_from_replacement() {
   return {{fault_kind::cut_store, 14'000, 20'000, 0, 0},
-          {fault_kind::cut, 14'000, 20'000, 0, world::keepers},
-          {fault_kind::cut, 14'000, 20'000, world::keepers, 0},
-          rush(18'500, 8'000)};
+          {fault_kind::cut, 14'000, 20'000, 0, simulation::managers},
+          {fault_kind::cut, 14'000, 20'000, simulation::managers, 0},
+          overload(18'500, 8'000)};
 }
 
 /// A host is cut off from the store when it is about to leave the set, and its replacement needs
 /// several seconds to copy.
-std::vector<fault> leaving_unawares() {
+std::vector<fault> leaving_while_cut_off() {
   std::vector<fault> history{{fault_kind::retire, 15'000, 0, 0, 0},
                              {fault_kind::cut_store, 16'000, 20'000, 0, 0},
-                             rush(19'500, 8'000)};
-  for (int member = 0; member < world::keepers; ++member) {
-    history.push_back({fault_kind::cut, 15'000, 3'000, world::keepers, member});
+                             overload(19'500, 8'000)};
+  for (int member = 0; member < simulation::managers; ++member) {
+    history.push_back({fault_kind::cut, 15'000, 3'000, simulation::managers, member});
   }
   return history;
 }
@@ -122,30 +123,30 @@
 
 TEST_CASE("no history of faults leads to more calls in a window than the operator tolerates") {
   const auto property = [] {
-    const int seed = *any_of(1, 1'000'000);
-    const int rate = *any_of(5, 40);
-    const int burst = *any_of(1, 30);
-    const std::vector<fault> history = any_history();
+    const int seed = *uniform_number(1, 1'000'000);
+    const int rate = *uniform_number(5, 40);
+    const int burst = *uniform_number(1, 30);
+    const std::vector<fault> history = random_history();
     const account_limit limit{static_cast<double>(rate), static_cast<double>(burst)};
-    world all(static_cast<std::uint64_t>(seed), limit, planted_fault::none);
+    simulation all(static_cast<std::uint64_t>(seed), limit, injected_bug::none);
     all.play(history, history_length);
     RC_ASSERT(all.worst_excess() <= 0);
   };
-  rc::detail::TestMetadata about;
-  about.id = "quota histories";
-  about.description = about.id;
-  const auto result = rc::detail::checkTestable(property, about, parameters());
-  std::ostringstream told;
-  rc::detail::printResultMessage(result, told);
-  INFO(told.str());
+  rc::detail::TestMetadata metadata;
+  metadata.id = "quota histories";
+  metadata.description = metadata.id;
+  const auto result = rc::detail::checkTestable(property, metadata, parameters());
+  std::ostringstream diagnostic;
+  rc::detail::printResultMessage(result, diagnostic);
+  INFO(diagnostic.str());
   CHECK(result.is<rc::detail::SuccessResult>());
 }
 
 TEST_CASE("an account that requests more than its quota still gets the whole quota") {
   const account_limit limit =
       GENERATE(account_limit{5, 5}, account_limit{20, 1}, account_limit{40, 30});
-  world all(1, limit, planted_fault::none);
-  all.play({rush(10'000, 30'000)}, history_length);
+  simulation all(1, limit, injected_bug::none);
+  all.play({overload(10'000, 30'000)}, history_length);
   CHECK(all.worst_excess() <= 0);
   // Managers start with empty buckets.
   const std::size_t served = all.served_between(at(10s), at(40s));
@@ -155,7 +156,7 @@
 TEST_CASE("the checks detect bugs planted in a quota manager") {
   struct row {
     const char* what;
-    planted_fault mistake;
+    injected_bug enabled_bug;
     std::vector<fault> history;
     /// Some window exceeds the tolerance; without faults the account gets less than its quota.
     bool too_many;
@@ -163,45 +164,54 @@
     /// The history changes the set of managers.
     bool changes_set;
   };
-  using enum planted_fault;
+  using enum injected_bug;
   const row item = GENERATE(values<row>({
-      {"managers restart", none, killed_in_a_rush(), false, false, false},
-      {"managers restart without their grants", forgets_grants, killed_in_a_rush(), true, false,
+      {"managers restart", none, restarts_in_overload(), false, false, false},
+      {"managers restart without their grants", loses_grants, restarts_in_overload(), true, false,
        false},
       {"a host is cut off", none, cut_off(0, 15'000, 20'000), false, false, true},
       {"a host that is cut off ignores its lease", ignores_lease, cut_off(0, 15'000, 20'000), true,
        false, true},
-      {"a drained host is cut off from the store", none, replaced_unawares(), false, false, true},
-      {"a drained host ignores its lease", ignores_lease, replaced_unawares(), true, false, true},
-      {"a host is cut off from the store and its replacement", none, lost_to_one(), false, false,
+      {"a drained host is cut off from the store", none, replaced_while_cut_off(), false, false,
        true},
-      {"a host cut off from its replacement ignores its lease", ignores_lease, lost_to_one(), true,
-       false, true},
-      {"a drained host ignores fences", ignores_fences, replaced_unawares(), true, false, true},
-      {"a host cut off from its replacement ignores fences", ignores_fences, lost_to_one(), true,
-       false, true},
-      {"a leaving host is cut off from the store", none, leaving_unawares(), false, false, true},
-      {"a leaving host keeps its share until the next set", stays_to_the_end, leaving_unawares(),
-       true, false, true},
+      {"a drained host ignores its lease", ignores_lease, replaced_while_cut_off(), true, false,
+       true},
+      {"a host is cut off from the store and its replacement", none, cut_off_from_replacement(),
+       false, false, true},
+      {"a host cut off from its replacement ignores its lease", ignores_lease,
+       cut_off_from_replacement(), true, false, true},
+      {"a drained host ignores fences", ignores_fences, replaced_while_cut_off(), true, false,
+       true},
+      {"a host cut off from its replacement ignores fences", ignores_fences,
+       cut_off_from_replacement(), true, false, true},
+      {"a leaving host is cut off from the store", none, leaving_while_cut_off(), false, false,
+       true},
+      {"a leaving host keeps its share until the next set", keeps_share_while_leaving,
+       leaving_while_cut_off(), true, false, true},
       {"a host is suspended for longer than a lease",
        none,
        {{fault_kind::pause, 15'000, 9'000, 0, 0}},
        false,
        false,
        true},
-      {"no fault", none, {rush(9'000, 8'000)}, false, false, false},
-      {"refused calls are deducted", counts_refusals, {rush(9'000, 8'000)}, false, true, false},
+      {"no fault", none, {overload(9'000, 8'000)}, false, false, false},
+      {"refused calls are deducted",
+       deducts_refusals,
+       {overload(9'000, 8'000)},
+       false,
+       true,
+       false},
   }));
   INFO(item.what);
   const account_limit limit{40, 30};
-  world all(7, limit, item.mistake);
+  simulation all(7, limit, item.enabled_bug);
   all.play(item.history, history_length);
   INFO("beyond the limit by " << all.worst_excess());
   CHECK((all.worst_excess() > 0) == item.too_many);
-  if (item.history.front().kind == fault_kind::rush && item.history.size() == 1) {
-    const double owed = 5 * limit.calls_per_second;
+  if (item.history.front().kind == fault_kind::overload && item.history.size() == 1) {
+    const double quota_calls = 5 * limit.calls_per_second;
     const auto served = static_cast<double>(all.served_between(at(11s), at(16s)));
-    CHECK((served < 0.9 * owed) == item.too_few);
+    CHECK((served < 0.9 * quota_calls) == item.too_few);
   }
   CHECK((all.set_changes() > 0) == item.changes_set);
 }
--- a/libs/limits/test/quota_lease_test.cc
+++ b/libs/limits/test/quota_lease_test.cc
@@ -30,8 +30,8 @@
     std::string members;
     std::string next;
     /// Shares of `a` and of `e` under the joint set.
-    double part_of_a;
-    double part_of_e;
+    double share_of_a;
+    double share_of_e;
   };
   const row item = GENERATE(values<row>({
       {"the set does not change", "abc", "", 1.0 / 3, 0},
@@ -44,8 +44,8 @@
   const ledger_set before{set_epoch(1), disks(item.members), {}};
   const ledger_set joint{set_epoch(2), disks(item.members), disks(item.next)};
   const ledger_set after{set_epoch(3), disks(item.next.empty() ? item.members : item.next), {}};
-  CHECK(quota_share(joint, disk('a')) == Approx(item.part_of_a));
-  CHECK(quota_share(joint, disk('e')) == Approx(item.part_of_e));
+  CHECK(quota_share(joint, disk('a')) == Approx(item.share_of_a));
+  CHECK(quota_share(joint, disk('e')) == Approx(item.share_of_e));
   // Each host knows the joint set, the one before it or the one after it.
   for (const ledger_set& other : {before, after}) {
     double most = 0;
@@ -59,10 +59,10 @@
 TEST_CASE("a lease is not held without a recent confirmation or when a newer set is known") {
   struct row {
     const char* what;
-    duration told;
+    duration set_confirmed;
     /// When `b` and `c` last responded, and the fence that `b` reported.
-    duration b;
-    duration c;
+    duration b_responded;
+    duration c_responded;
     std::uint64_t fence_of_b;
     bool holds;
   };
@@ -77,8 +77,8 @@
   }));
   INFO(item.what);
   const ledger_set set{set_epoch(4), disks("abc"), {}};
-  quota_lease_view view{disk('a'), set, at(item.told), {}};
-  view.heard = {{disk('b'), at(item.b), set_epoch(item.fence_of_b)},
-                {disk('c'), at(item.c), set_epoch(0)}};
+  quota_lease_view view{disk('a'), set, at(item.set_confirmed), {}};
+  view.heard = {{disk('b'), at(item.b_responded), set_epoch(item.fence_of_b)},
+                {disk('c'), at(item.c_responded), set_epoch(0)}};
   CHECK(holds_quota_lease(view, at(10s)) == item.holds);
 }
--- a/libs/limits/test/quota_manager_test.cc
+++ b/libs/limits/test/quota_manager_test.cc
@@ -18,29 +18,29 @@
 const client_account north("north");
 
 constexpr double window = 5;
-constexpr quota_tolerance tolerant{5s, 0.1, 20};
+constexpr quota_tolerance tolerance{5s, 0.1, 20};
 
 timestamp at(double seconds) { return timestamp(from_seconds(seconds)); }
 
-quota_request question_of(account_limit limit, std::uint64_t version = 1) {
+quota_request request_for(account_limit limit, std::uint64_t version = 1) {
   return {north, limit, limit_version(version)};
 }
 
-bool is_granted(quota_manager& keeper, account_limit limit, double seconds,
+bool is_granted(quota_manager& manager, account_limit limit, double seconds,
                 std::uint64_t version = 1) {
-  return keeper.ask(question_of(limit, version), at(seconds)).outcome == quota_outcome::granted;
+  return manager.ask(request_for(limit, version), at(seconds)).outcome == quota_outcome::granted;
 }
 
-int granted_of(quota_manager& keeper, account_limit limit, double seconds, int calls) {
+int granted_of(quota_manager& manager, account_limit limit, double seconds, int calls) {
   int granted = 0;
   for (int call = 0; call < calls; ++call) {
-    granted += is_granted(keeper, limit, seconds) ? 1 : 0;
+    granted += is_granted(manager, limit, seconds) ? 1 : 0;
   }
   return granted;
 }
 
 /// The largest number of calls in any span of that length.
-std::size_t most_in_a_span(std::vector<double> times, double span) {
+std::size_t max_calls_in_span(std::vector<double> times, double span) {
   std::sort(times.begin(), times.end());
   std::size_t most = 0;
   std::size_t first = 0;
@@ -56,48 +56,48 @@
 }  // namespace
 
 TEST_CASE("a manager grants no more than its share of the burst and then of the rate") {
-  quota_manager keeper;
-  keeper.set_share(0.2, at(0));
+  quota_manager manager;
+  manager.set_share(0.2, at(0));
   const account_limit limit{50, 20};
-  CHECK(granted_of(keeper, limit, 100, 100) == 4);
-  CHECK(granted_of(keeper, limit, 100.4, 100) == 4);
-  CHECK(granted_of(keeper, limit, 100.5, 100) == 1);
+  CHECK(granted_of(manager, limit, 100, 100) == 4);
+  CHECK(granted_of(manager, limit, 100.4, 100) == 4);
+  CHECK(granted_of(manager, limit, 100.5, 100) == 1);
 }
 
 TEST_CASE("a manager uses its share of the operator's tolerance") {
-  quota_manager keeper(tolerant);
-  keeper.set_share(0.2, at(0));
+  quota_manager manager(tolerance);
+  manager.set_share(0.2, at(0));
   // (50 * 5 + 20) / 10 + 20 calls are tolerated, and 0.9 of them used.
-  CHECK(granted_of(keeper, {50, 20}, 100, 100) == 12);
+  CHECK(granted_of(manager, {50, 20}, 100, 100) == 12);
 }
 
 TEST_CASE("a call retried after the time given in a refusal is granted") {
-  quota_manager keeper;
-  keeper.set_share(0.5, at(0));
+  quota_manager manager;
+  manager.set_share(0.5, at(0));
   const account_limit limit{4, 2};
-  REQUIRE(is_granted(keeper, limit, 10));
-  const quota_response answer = keeper.ask(question_of(limit), at(10));
+  REQUIRE(is_granted(manager, limit, 10));
+  const quota_response answer = manager.ask(request_for(limit), at(10));
   REQUIRE(answer.outcome == quota_outcome::refused);
   CHECK(answer.retry_after == duration(500ms));
-  CHECK(is_granted(keeper, limit, 10.5));
+  CHECK(is_granted(manager, limit, 10.5));
 }
 
 TEST_CASE("a host that is not a quota manager grants nothing") {
-  quota_manager keeper;
-  CHECK(keeper.ask(question_of({5, 5}), at(10)).outcome == quota_outcome::not_kept);
-  keeper.set_share(0.5, at(10));
-  keeper.set_share(0, at(11));
-  CHECK(keeper.ask(question_of({5, 5}), at(20)).outcome == quota_outcome::not_kept);
+  quota_manager manager;
+  CHECK(manager.ask(request_for({5, 5}), at(10)).outcome == quota_outcome::not_kept);
+  manager.set_share(0.5, at(10));
+  manager.set_share(0, at(11));
+  CHECK(manager.ask(request_for({5, 5}), at(20)).outcome == quota_outcome::not_kept);
 }
 
 // A new manager does not know what its predecessor granted. If it started with full buckets, the
 // same share would be granted twice.
 TEST_CASE("a new quota manager does not grant again what others granted before") {
-  quota_manager keeper;
-  keeper.set_share(0.5, at(10));
+  quota_manager manager;
+  manager.set_share(0.5, at(10));
   const account_limit limit{10, 100};
-  CHECK(granted_of(keeper, limit, 10, 100) == 0);
-  CHECK(granted_of(keeper, limit, 11, 100) == 5);
+  CHECK(granted_of(manager, limit, 10, 100) == 0);
+  CHECK(granted_of(manager, limit, 11, 100) == 5);
 }
 
 // Without the log, each restart would grant the burst once more.
@@ -125,10 +125,10 @@
   CHECK(after.ask({client_account("east"), limit, limit_version(1)}, at(7)).outcome ==
         quota_outcome::granted);
 
-  quota_manager from_whole;
-  from_whole.restore(before.whole(at(100.3)));
-  from_whole.set_share(1, at(1));
-  CHECK(granted_of(from_whole, limit, 1, 10) == 3);
+  quota_manager from_snapshot;
+  from_snapshot.restore(before.whole(at(100.3)));
+  from_snapshot.set_share(1, at(1));
+  CHECK(granted_of(from_snapshot, limit, 1, 10) == 3);
 }
 
 // Another host granted the share in the meantime, so the old levels are obsolete.
@@ -168,30 +168,30 @@
       {"lifted", {2, 2}, {0, 0}, 2, 50},
   }));
   INFO(item.what);
-  quota_manager keeper;
-  keeper.set_share(1, at(0));
-  REQUIRE(is_granted(keeper, item.first, 100, 1));
+  quota_manager manager;
+  manager.set_share(1, at(0));
+  REQUIRE(is_granted(manager, item.first, 100, 1));
   int granted = 0;
   for (int call = 0; call < 50; ++call) {
-    granted += is_granted(keeper, item.second, 100, item.second_version) ? 1 : 0;
+    granted += is_granted(manager, item.second, 100, item.second_version) ? 1 : 0;
   }
   CHECK(granted == item.granted);
 }
 
 TEST_CASE("dropping an idle account neither refunds nor costs calls") {
-  quota_manager keeper;
-  keeper.set_share(0.5, at(0));
+  quota_manager manager;
+  manager.set_share(0.5, at(0));
   const account_limit limit{10, 10};
-  REQUIRE(granted_of(keeper, limit, 100, 5) == 5);
-  keeper.forget_idle(at(100.5));
-  CHECK(keeper.accounts() == 1);
-  keeper.forget_idle(at(101));
+  REQUIRE(granted_of(manager, limit, 100, 5) == 5);
+  manager.forget_idle(at(100.5));
+  CHECK(manager.accounts() == 1);
+  manager.forget_idle(at(101));
   // The grants are not logged yet.
-  CHECK(keeper.accounts() == 1);
-  keeper.take_changes(at(101));
-  keeper.forget_idle(at(101));
-  CHECK(keeper.accounts() == 0);
-  CHECK(granted_of(keeper, limit, 101, 10) == 5);
+  CHECK(manager.accounts() == 1);
+  manager.take_changes(at(101));
+  manager.forget_idle(at(101));
+  CHECK(manager.accounts() == 0);
+  CHECK(granted_of(manager, limit, 101, 10) == 5);
 }
 
 TEST_CASE("a round does not end before a grant or the last response") {
@@ -212,8 +212,8 @@
   quota_round round(item.replies.size());
   for (const reply& kind : item.replies) {
     REQUIRE(round.decision() == quota_decision::undecided);
-    const auto keeper = round.ask_next();
-    REQUIRE(keeper);
+    const auto manager = round.ask_next();
+    REQUIRE(manager);
     switch (kind) {
       case reply::grant:
         round.answered({quota_outcome::granted, {}});
@@ -235,34 +235,34 @@
 namespace {
 
 /// Quota managers, the front hosts that ask them, and message loss between them.
-class quota_world {
+class lossy_deployment {
 public:
-  quota_world(std::uint64_t seed, std::size_t count)
-      : random(seed), keepers(count, quota_manager(tolerant)) {
-    for (quota_manager& keeper : this->keepers) {
-      keeper.set_share(this->part(), at(0));
+  lossy_deployment(std::uint64_t seed, std::size_t count)
+      : random(seed), managers(count, quota_manager(tolerance)) {
+    for (quota_manager& manager : this->managers) {
+      manager.set_share(this->share(), at(0));
     }
   }
 
   /// A call at a front host that reaches each manager with probability `reach` and loses each
   /// response with probability `loss`.
-  bool call(account_limit limit, double seconds, double reach, double loss,
+  bool call(account_limit limit, double seconds, double delivery_rate, double response_loss_rate,
             std::uint64_t version = 1) {
-    std::vector<std::size_t> order(this->keepers.size());
+    std::vector<std::size_t> order(this->managers.size());
     for (std::size_t index = 0; index < order.size(); ++index) {
       order[index] = index;
     }
     std::shuffle(order.begin(), order.end(), this->random);
     quota_round round(order.size());
     while (round.decision() == quota_decision::undecided) {
-      const std::size_t keeper = *round.ask_next();
-      if (!this->happens(reach)) {
+      const std::size_t manager = *round.ask_next();
+      if (!this->happens(delivery_rate)) {
         round.failed();
         continue;
       }
       const quota_response answer =
-          this->keepers[order[keeper]].ask(question_of(limit, version), at(seconds));
-      if (this->happens(loss)) {
+          this->managers[order[manager]].ask(request_for(limit, version), at(seconds));
+      if (this->happens(response_loss_rate)) {
         round.failed();
       } else {
         round.answered(answer);
@@ -271,59 +271,61 @@
     return round.decision() == quota_decision::granted;
   }
   void restart_some(double seconds, double chance) {
-    for (quota_manager& keeper : this->keepers) {
+    for (quota_manager& manager : this->managers) {
       if (this->happens(chance)) {
         // The grants and the age are logged by then.
-        const quota_record known = keeper.whole(at(seconds));
-        keeper = quota_manager(tolerant);
+        const quota_record snapshot = manager.whole(at(seconds));
+        manager = quota_manager(tolerance);
         if (this->happens(0.7)) {
-          keeper.restore(known);
+          manager.restore(snapshot);
         }
-        keeper.set_share(this->part(), at(seconds));
+        manager.set_share(this->share(), at(seconds));
       }
     }
   }
   bool happens(double chance) {
     return std::uniform_real_distribution<double>(0, 1)(this->random) < chance;
   }
-  double pause(double rate) { return std::exponential_distribution<double>(rate)(this->random); }
+  double random_pause(double rate) {
+    return std::exponential_distribution<double>(rate)(this->random);
+  }
 
 private:
-  [[nodiscard]] double part() const { return 1.0 / static_cast<double>(this->keepers.size()); }
+  [[nodiscard]] double share() const { return 1.0 / static_cast<double>(this->managers.size()); }
 
   std::mt19937_64 random;
-  std::vector<quota_manager> keepers;
+  std::vector<quota_manager> managers;
 };
 
 /// Calls that the operator allows in a window.
-double most_in_window(account_limit limit) {
-  const double owed = limit.calls_per_second * window + limit.burst;
-  return owed * (1 + tolerant.excess) + tolerant.slack;
+double max_calls_in_window(account_limit limit) {
+  const double quota_calls = limit.calls_per_second * window + limit.burst;
+  return quota_calls * (1 + tolerance.excess) + tolerance.slack;
 }
 
 }  // namespace
 
 TEST_CASE("lost messages and restarts do not lead to more calls than the quota in any span") {
   const std::uint64_t seed = GENERATE(range(1, 41));
-  quota_world world(seed, seed % 2 == 0 ? 5 : 3);
+  lossy_deployment deployment(seed, seed % 2 == 0 ? 5 : 3);
   const account_limit limit{10.0 + static_cast<double>(seed), static_cast<double>(seed)};
   std::vector<double> granted;
   double now = 20;
   while (now < 80) {
-    now += world.pause(limit.calls_per_second * 6);
-    const double reach = now < 40 ? 1 : 0.5;
-    if (world.call(limit, now, reach, 0.1)) {
+    now += deployment.random_pause(limit.calls_per_second * 6);
+    const double delivery_rate = now < 40 ? 1 : 0.5;
+    if (deployment.call(limit, now, delivery_rate, 0.1)) {
       granted.push_back(now);
     }
-    world.restart_some(now, 0.001);
+    deployment.restart_some(now, 0.001);
   }
-  const double most = most_in_window(limit);
+  const double most = max_calls_in_window(limit);
   INFO("seed " << seed);
-  CHECK(static_cast<double>(most_in_a_span(granted, window)) <= most);
+  CHECK(static_cast<double>(max_calls_in_span(granted, window)) <= most);
   // The quota is used: the first twenty seconds have no faults but lost responses.
-  const auto in_calm =
+  const auto before_message_loss =
       std::count_if(granted.begin(), granted.end(), [](double time) { return time < 40; });
-  CHECK(static_cast<double>(in_calm) >= 0.8 * limit.calls_per_second * 20);
+  CHECK(static_cast<double>(before_message_loss) >= 0.8 * limit.calls_per_second * 20);
 }
 
 // A divided quota can refuse a call while its tokens are spread over several managers, each of
@@ -332,17 +334,17 @@
   const double rate = GENERATE(2.0, 8.0, 30.0, 200.0);
   quota_manager exact;
   exact.set_share(1, at(0));
-  quota_world world(static_cast<std::uint64_t>(rate), 5);
+  lossy_deployment deployment(static_cast<std::uint64_t>(rate), 5);
   const account_limit limit{1.6 * rate, 1.6 * rate};
   int calls = 0;
   int refused = 0;
   double now = 100;
   while (now < 400) {
-    now += world.pause(rate);
+    now += deployment.random_pause(rate);
     ++calls;
-    const bool is_owed = is_granted(exact, limit, now);
-    const bool is_served = world.call(limit, now, 1, 0);
-    refused += is_owed && !is_served ? 1 : 0;
+    const bool is_granted_exactly = is_granted(exact, limit, now);
+    const bool is_granted_divided = deployment.call(limit, now, 1, 0);
+    refused += is_granted_exactly && !is_granted_divided ? 1 : 0;
   }
   INFO(rate << ": " << refused << " of " << calls);
   CHECK(refused <= calls / 100);
@@ -350,17 +352,18 @@
 
 // Their requests carry the old limit; a manager must apply the newest limit to all requests.
 TEST_CASE("hosts that do not know a lowered limit yet cannot exceed it") {
-  quota_world world(3, 5);
+  lossy_deployment deployment(3, 5);
   const account_limit before{100, 100};
   const account_limit after{10, 10};
   double now = 50;
   std::vector<double> granted;
   while (now < 70) {
-    now += world.pause(300);
-    const bool knows = now > 52 && world.happens(0.5);
-    if (world.call(knows ? after : before, now, 1, 0, knows ? 2 : 1) && now > 52.1) {
+    now += deployment.random_pause(300);
+    const bool knows_new_limit = now > 52 && deployment.happens(0.5);
+    if (deployment.call(knows_new_limit ? after : before, now, 1, 0, knows_new_limit ? 2 : 1) &&
+        now > 52.1) {
       granted.push_back(now);
     }
   }
-  CHECK(static_cast<double>(most_in_a_span(granted, window)) <= most_in_window(after));
+  CHECK(static_cast<double>(max_calls_in_span(granted, window)) <= max_calls_in_window(after));
 }
--- a/libs/limits/test/quota_simulation.h
+++ b/libs/limits/test/quota_simulation.h
@@ -22,20 +22,20 @@
 
 namespace hawthornlane::quota_test {
 
-class world {
+class simulation {
 public:
   static constexpr int disk_hosts = 7;
   static constexpr int front_hosts = 3;
-  static constexpr int keepers = 5;
+  static constexpr int managers = 5;
 
-  world(std::uint64_t seed, account_limit first, planted_fault mistake)
-      : random(seed), planted(mistake) {
+  simulation(std::uint64_t seed, account_limit first, injected_bug enabled_bug)
+      : random(seed), bug(enabled_bug) {
     for (int front = 0; front < front_hosts; ++front) {
       this->known_limits[front] = {first, limit_version(1)};
     }
-    this->grants.note_limit(first, timestamp{});
+    this->grants.record_limit_change(first, timestamp{});
     this->stored = {set_epoch(1), {}, {}};
-    for (int host = 0; host < keepers; ++host) {
+    for (int host = 0; host < managers; ++host) {
       this->stored.members.push_back(name_of(host));
     }
     this->known_members.fill(this->stored.members);
@@ -47,9 +47,9 @@
   /// Runs the history; between bursts the account requests less than its quota.
   void play(const std::vector<fault>& history, duration length) {
     for (const fault& item : history) {
-      this->after(std::chrono::milliseconds(item.at_ms), [this, item] { this->harm(item); });
+      this->after(std::chrono::milliseconds(item.at_ms), [this, item] { this->inject(item); });
     }
-    this->call_again();
+    this->schedule_next_call();
     const timestamp end = timestamp{} + length;
     while (!this->events.empty() && this->events.begin()->first <= end) {
       const auto next = this->events.begin();
@@ -71,57 +71,57 @@
   [[nodiscard]] std::uint64_t set_changes() const { return this->stored.epoch.get() - 1; }
 
 private:
-  struct disk_host {
+  struct host_state {
     bool up = false;
     /// Number of starts; pending work of an earlier process is dropped.
-    int life = 0;
+    int start_count = 0;
     timestamp paused_until{};
     /// How far the process's clock is ahead of the simulated time.
     duration clock{};
-    std::unique_ptr<quota_manager> keeper;
+    std::unique_ptr<quota_manager> manager;
     std::vector<quota_record> log;
-    std::vector<std::function<void()>> unwritten;
+    std::vector<std::function<void()>> unsent_replies;
     bool writing = false;
     std::optional<ledger_set> set;
-    timestamp told_at{};
+    timestamp set_confirmed_at{};
     std::map<int, member_probe_result> heard;
     /// Like `heard`, but also set for hosts that have never responded.
     std::map<int, timestamp> alive_at;
     set_epoch fence;
     set_epoch copied;
-    timestamp due_since{};
-    set_epoch due_at;
+    timestamp change_pending_since{};
+    set_epoch change_pending_at;
     bool retiring = false;
     bool must_leave = false;
   };
-  struct known_limit {
+  struct versioned_limit {
     account_limit limit;
     limit_version version;
   };
-  struct asked_call {
-    explicit asked_call(std::vector<disk_id> order)
-        : keepers(std::move(order)), round(keepers.size()) {}
-    std::vector<disk_id> keepers;
+  struct pending_call {
+    explicit pending_call(std::vector<disk_id> order)
+        : managers(std::move(order)), round(managers.size()) {}
+    std::vector<disk_id> managers;
     quota_round round;
     timestamp next_at{};
     bool ended = false;
   };
 
   static constexpr int store = disk_hosts + front_hosts;
-  static constexpr duration probe_pause = std::chrono::milliseconds(250);
-  static constexpr duration duty_pause = std::chrono::milliseconds(200);
-  static constexpr duration store_pause = std::chrono::milliseconds(50);
-  static constexpr duration silence_of_lost = std::chrono::milliseconds(3500);
-  static constexpr duration time_for_each = std::chrono::milliseconds(1000);
-  static constexpr duration longest_sync = std::chrono::milliseconds(20);
-  static constexpr duration keeper_patience = std::chrono::milliseconds(40);
-  static constexpr duration longest_round = std::chrono::milliseconds(400);
+  static constexpr duration probe_interval = std::chrono::milliseconds(250);
+  static constexpr duration membership_interval = std::chrono::milliseconds(200);
+  static constexpr duration store_poll_interval = std::chrono::milliseconds(50);
+  static constexpr duration failure_timeout = std::chrono::milliseconds(3500);
+  static constexpr duration candidate_timeout = std::chrono::milliseconds(1000);
+  static constexpr duration max_sync_time = std::chrono::milliseconds(20);
+  static constexpr duration response_timeout = std::chrono::milliseconds(40);
+  static constexpr duration round_timeout = std::chrono::milliseconds(400);
   /// Longest time until front hosts know a change of the managers; the store may reach them late.
-  static constexpr duration set_spread = std::chrono::seconds(5);
+  static constexpr duration set_propagation = std::chrono::seconds(5);
   /// Requested rate as a multiple of the quota's rate, in a burst and otherwise.
-  static constexpr double rush_demand = 6;
+  static constexpr double overload_demand = 6;
   static constexpr double usual_demand = 0.5;
-  static constexpr std::size_t longest_log = 200;
+  static constexpr std::size_t max_log_records = 200;
 
   static disk_id name_of(int host) {
     return disk_id(std::string(1, static_cast<char>('a' + host)));
@@ -136,22 +136,23 @@
   }
   /// Runs work of a process: drops it if the process has ended, and delays it while the process is
   /// suspended.
-  void run_at(int host, int life, const std::function<void()>& work) {
-    disk_host& item = this->hosts.at(host);
-    if (!item.up || item.life != life) {
+  void run_at(int host, int start_count, const std::function<void()>& work) {
+    host_state& item = this->hosts.at(host);
+    if (!item.up || item.start_count != start_count) {
       return;
     }
     if (this->now < item.paused_until) {
-      this->after(item.paused_until - this->now, [=, this] { this->run_at(host, life, work); });
+      this->after(item.paused_until - this->now,
+                  [=, this] { this->run_at(host, start_count, work); });
       return;
     }
     work();
   }
-  void repeat_at(int host, int life, duration pause, const std::function<void()>& work) {
+  void repeat_at(int host, int start_count, duration pause, const std::function<void()>& work) {
     this->after(pause, [=, this] {
-      this->run_at(host, life, [=, this] {
+      this->run_at(host, start_count, [=, this] {
         work();
-        this->repeat_at(host, life, pause, work);
+        this->repeat_at(host, start_count, pause, work);
       });
     });
   }
@@ -160,37 +161,38 @@
     if (this->links.is_cut(from, to, this->now)) {
       return;
     }
-    const int copies = this->links.sends_twice(to, this->now) ? 2 : 1;
+    const int copies = this->links.is_duplicating(to, this->now) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      duration way =
+      duration transit_time =
           std::chrono::microseconds(200) + this->random_time(std::chrono::milliseconds(1));
-      if (this->links.is_late(to, this->now)) {
-        way += this->random_time(std::chrono::milliseconds(250));
+      if (this->links.is_delayed(to, this->now)) {
+        transit_time += this->random_time(std::chrono::milliseconds(250));
       }
       if (to >= disk_hosts) {
-        this->after(way, arrive);
+        this->after(transit_time, arrive);
         continue;
       }
-      this->after(way, [=, this] { this->run_at(to, this->hosts.at(to).life, arrive); });
+      this->after(transit_time,
+                  [=, this] { this->run_at(to, this->hosts.at(to).start_count, arrive); });
     }
   }
 
-  timestamp clock_of(const disk_host& host) const { return this->now + host.clock; }
+  timestamp clock_of(const host_state& host) const { return this->now + host.clock; }
 
   void start(int host) {
-    disk_host& item = this->hosts.at(host);
+    host_state& item = this->hosts.at(host);
     item.up = true;
     item.paused_until = {};
-    ++item.life;
+    ++item.start_count;
     item.clock = this->random_time(std::chrono::hours(1));
-    item.keeper = std::make_unique<quota_manager>(rules);
+    item.manager = std::make_unique<quota_manager>(tolerance);
     for (quota_record record : item.log) {
-      if (this->planted == planted_fault::forgets_grants) {
+      if (this->bug == injected_bug::loses_grants) {
         record.bucket_records.clear();
       }
-      item.keeper->restore(record);
+      item.manager->restore(record);
     }
-    item.unwritten.clear();
+    item.unsent_replies.clear();
     item.writing = false;
     item.set.reset();
     item.heard.clear();
@@ -199,29 +201,31 @@
       item.alive_at[other] = this->clock_of(item);
     }
     this->read_store(host);
-    this->repeat_at(host, item.life, store_pause, [=, this] { this->read_store(host); });
-    this->repeat_at(host, item.life, probe_pause, [=, this] { this->probe(host); });
-    this->repeat_at(host, item.life, duty_pause, [=, this] { this->do_duty(host); });
+    this->repeat_at(host, item.start_count, store_poll_interval,
+                    [=, this] { this->read_store(host); });
+    this->repeat_at(host, item.start_count, probe_interval, [=, this] { this->probe(host); });
+    this->repeat_at(host, item.start_count, membership_interval,
+                    [=, this] { this->update_membership(host); });
   }
 
   [[nodiscard]] bool reaches_store(int host) { return !this->links.is_cut(host, store, this->now); }
   void read_store(int host) {
-    disk_host& item = this->hosts.at(host);
+    host_state& item = this->hosts.at(host);
     if (!this->reaches_store(host) || (item.set && item.set->epoch >= this->stored.epoch)) {
       return;
     }
     item.set = this->stored;
-    item.told_at = this->clock_of(item);
-    item.keeper->set_share(this->part_of(*item.set, name_of(host)), this->clock_of(item));
+    item.set_confirmed_at = this->clock_of(item);
+    item.manager->set_share(this->share_of(*item.set, name_of(host)), this->clock_of(item));
   }
-  [[nodiscard]] double part_of(ledger_set set, const disk_id& disk) const {
-    if (this->planted == planted_fault::stays_to_the_end) {
+  [[nodiscard]] double share_of(ledger_set set, const disk_id& disk) const {
+    if (this->bug == injected_bug::keeps_share_while_leaving) {
       set.next.clear();
     }
     return quota_share(set, disk);
   }
   void probe(int host) {
-    const int life = this->hosts.at(host).life;
+    const int start_count = this->hosts.at(host).start_count;
     for (int other = 0; other < disk_hosts; ++other) {
       if (other == host) {
         continue;
@@ -230,8 +234,8 @@
         const set_epoch fence = this->hosts.at(other).fence;
         const set_epoch copied = this->hosts.at(other).copied;
         this->send(other, host, [=, this] {
-          disk_host& asker = this->hosts.at(host);
-          if (asker.life != life) {
+          host_state& asker = this->hosts.at(host);
+          if (asker.start_count != start_count) {
             return;
           }
           asker.heard[other] = {name_of(other), this->clock_of(asker), fence};
@@ -243,34 +247,35 @@
   }
 
   set_view view_of(int host) {
-    disk_host& item = this->hosts.at(host);
+    host_state& item = this->hosts.at(host);
     set_view view;
     view.self = name_of(host);
     view.set = item.set;
-    view.target_size = keepers;
+    view.target_size = managers;
     for (int other = 0; other < disk_hosts; ++other) {
       const bool is_self = other == host;
       const bool reachable =
-          is_self || this->clock_of(item) - item.alive_at[other] < silence_of_lost;
-      const disk_host& seen = this->hosts.at(other);
+          is_self || this->clock_of(item) - item.alive_at[other] < failure_timeout;
+      const host_state& seen = this->hosts.at(other);
       view.disks.push_back({name_of(other), reachable, seen.retiring, seen.must_leave,
                             is_self ? item.copied : this->copied_of[{host, other}]});
     }
     return view;
   }
   std::size_t skipped_candidates(int host, set_view view) {
-    disk_host& item = this->hosts.at(host);
+    host_state& item = this->hosts.at(host);
     view.skipped_candidates = view.disks.size();
     const bool due = decide_set_change(view).step == set_step::propose;
-    if (!due || item.set->epoch != item.due_at) {
-      item.due_at = item.set->epoch;
-      item.due_since = this->clock_of(item);
+    if (!due || item.set->epoch != item.change_pending_at) {
+      item.change_pending_at = item.set->epoch;
+      item.change_pending_since = this->clock_of(item);
       return 0;
     }
-    return static_cast<std::size_t>((this->clock_of(item) - item.due_since) / time_for_each);
+    return static_cast<std::size_t>((this->clock_of(item) - item.change_pending_since) /
+                                    candidate_timeout);
   }
-  void do_duty(int host) {
-    disk_host& item = this->hosts.at(host);
+  void update_membership(int host) {
+    host_state& item = this->hosts.at(host);
     if (!item.set) {
       return;
     }
@@ -284,26 +289,26 @@
     if (decision.step == set_step::propose && this->reaches_store(host) && is_newest) {
       this->stored = decision.proposed;
       this->read_store(host);
-      this->tell_front_hosts();
+      this->notify_front_hosts();
     }
   }
-  void tell_front_hosts() {
+  void notify_front_hosts() {
     for (int front = 0; front < front_hosts; ++front) {
-      this->after(this->random_time(set_spread), [=, this, members = this->stored.members] {
+      this->after(this->random_time(set_propagation), [=, this, members = this->stored.members] {
         this->known_members.at(front) = members;
       });
     }
   }
   void copy(int host) {
     const ledger_set joint = *this->hosts.at(host).set;
-    const auto raised = std::make_shared<std::set<disk_id>>();
+    const auto fenced_members = std::make_shared<std::set<disk_id>>();
     for (const disk_id& member : joint.members) {
       this->send(host, host_of(member), [=, this] {
-        disk_host& old = this->hosts.at(host_of(member));
-        old.fence = std::max(old.fence, joint.epoch);
+        host_state& member_state = this->hosts.at(host_of(member));
+        member_state.fence = std::max(member_state.fence, joint.epoch);
         this->send(host_of(member), host, [=, this] {
-          raised->insert(member);
-          if (raised->size() >= read_quorum(joint.members)) {
+          fenced_members->insert(member);
+          if (fenced_members->size() >= read_quorum(joint.members)) {
             this->hosts.at(host).copied = joint.epoch;
           }
         });
@@ -311,71 +316,70 @@
     }
   }
 
-  [[nodiscard]] bool holds_lease(const disk_host& host, int number) const {
+  [[nodiscard]] bool holds_lease(const host_state& host, int number) const {
     if (!host.set) {
       return false;
     }
-    quota_lease_view view{name_of(number), *host.set, host.told_at, {}};
+    quota_lease_view view{name_of(number), *host.set, host.set_confirmed_at, {}};
     for (const auto& [other, word] : host.heard) {
       view.heard.push_back(word);
-      if (this->planted == planted_fault::ignores_fences) {
+      if (this->bug == injected_bug::ignores_fences) {
         view.heard.back().fence = set_epoch(0);
       }
     }
-    return this->planted == planted_fault::ignores_lease ||
+    return this->bug == injected_bug::ignores_lease ||
            holds_quota_lease(view, this->clock_of(host));
   }
-  void ask_keeper(int host, const quota_request& question,
+  void ask_keeper(int host, const quota_request& request,
                   const std::function<void(const quota_response&)>& reply) {
-    disk_host& item = this->hosts.at(host);
+    host_state& item = this->hosts.at(host);
     quota_response answer;
     if (this->holds_lease(item, host)) {
-      answer = item.keeper->ask(question, this->clock_of(item));
+      answer = item.manager->ask(request, this->clock_of(item));
     }
     if (answer.outcome != quota_outcome::granted) {
-      if (this->planted == planted_fault::counts_refusals &&
-          answer.outcome == quota_outcome::refused) {
-        this->take_one(item);
+      if (this->bug == injected_bug::deducts_refusals && answer.outcome == quota_outcome::refused) {
+        this->deduct_call(item);
       }
       reply(answer);
       return;
     }
-    item.unwritten.push_back([=, this, at = this->now] {
-      this->grants.note_grant(at);
+    item.unsent_replies.push_back([=, this, at = this->now] {
+      this->grants.record_grant(at);
       reply(answer);
     });
     this->write(host);
   }
-  void take_one(disk_host& host) {
-    quota_record record = host.keeper->whole(this->clock_of(host));
-    for (quota_bucket_record& mark : record.bucket_records) {
-      mark.level -= 1;
-    }
-    host.keeper = std::make_unique<quota_manager>(rules);
-    host.keeper->restore(record);
-    host.keeper->set_share(1.0 / keepers, this->clock_of(host));
+  void deduct_call(host_state& host) {
+    quota_record record = host.manager->whole(this->clock_of(host));
+    for (quota_bucket_record& bucket_record : record.bucket_records) {
+      bucket_record.level -= 1;
+    }
+    host.manager = std::make_unique<quota_manager>(tolerance);
+    host.manager->restore(record);
+    host.manager->set_share(1.0 / managers, this->clock_of(host));
   }
   /// Answers a granted call once the grant is in the log.
   void write(int host) {
-    disk_host& item = this->hosts.at(host);
-    if (item.writing || item.unwritten.empty()) {
+    host_state& item = this->hosts.at(host);
+    if (item.writing || item.unsent_replies.empty()) {
       return;
     }
     item.writing = true;
-    const quota_record record = item.keeper->take_changes(this->clock_of(item));
-    const auto told =
-        std::make_shared<std::vector<std::function<void()>>>(std::exchange(item.unwritten, {}));
-    this->after(std::chrono::milliseconds(1) + this->random_time(longest_sync),
-                [=, this, life = item.life] {
-                  this->run_at(host, life, [=, this] {
-                    disk_host& writer = this->hosts.at(host);
+    const quota_record record = item.manager->take_changes(this->clock_of(item));
+    const auto diagnostic = std::make_shared<std::vector<std::function<void()>>>(
+        std::exchange(item.unsent_replies, {}));
+    this->after(std::chrono::milliseconds(1) + this->random_time(max_sync_time),
+                [=, this, start_count = item.start_count] {
+                  this->run_at(host, start_count, [=, this] {
+                    host_state& writer = this->hosts.at(host);
                     writer.log.push_back(record);
-                    if (writer.log.size() > longest_log) {
-                      writer.keeper->forget_idle(this->clock_of(writer));
-                      writer.log = {writer.keeper->whole(this->clock_of(writer))};
+                    if (writer.log.size() > max_log_records) {
+                      writer.manager->forget_idle(this->clock_of(writer));
+                      writer.log = {writer.manager->whole(this->clock_of(writer))};
                     }
-                    for (const std::function<void()>& tell : *told) {
-                      tell();
+                    for (const std::function<void()>& send_reply : *diagnostic) {
+                      send_reply();
                     }
                     writer.writing = false;
                     this->write(host);
@@ -383,20 +387,21 @@
                 });
   }
 
-  void call_again() {
-    const double times = this->now < this->rush_until ? rush_demand : usual_demand;
+  void schedule_next_call() {
+    const double times = this->now < this->overload_end ? overload_demand : usual_demand;
     const double rate = times * this->grants.newest_limit().calls_per_second;
     this->after(from_seconds(std::exponential_distribution<double>(rate)(this->random)), [this] {
       this->begin_call(static_cast<int>(this->random() % front_hosts));
-      this->call_again();
+      this->schedule_next_call();
     });
   }
   void begin_call(int front) {
     std::vector<disk_id> order = this->known_members.at(front);
     std::shuffle(order.begin(), order.end(), this->random);
-    this->go_on(front, std::make_shared<asked_call>(std::move(order)), this->now + longest_round);
+    this->continue_call(front, std::make_shared<pending_call>(std::move(order)),
+                        this->now + round_timeout);
   }
-  void go_on(int front, const std::shared_ptr<asked_call>& call, timestamp until) {
+  void continue_call(int front, const std::shared_ptr<pending_call>& call, timestamp until) {
     if (call->ended) {
       return;
     }
@@ -412,27 +417,28 @@
     if (!next) {
       return;
     }
-    call->next_at = this->now + keeper_patience;
-    const int keeper = host_of(call->keepers[*next]);
-    const known_limit& known = this->known_limits.at(front);
-    const quota_request question{client_account("north"), known.limit, known.version};
+    call->next_at = this->now + response_timeout;
+    const int manager = host_of(call->managers[*next]);
+    const versioned_limit& known = this->known_limits.at(front);
+    const quota_request request{client_account("north"), known.limit, known.version};
     const auto answered = std::make_shared<bool>(false);
-    const auto hear = [=, this](const quota_response& answer) {
-      this->send(keeper, disk_hosts + front, [=, this] {
+    const auto deliver_response = [=, this](const quota_response& answer) {
+      this->send(manager, disk_hosts + front, [=, this] {
         if (!std::exchange(*answered, true)) {
           call->round.answered(answer);
-          this->go_on(front, call, until);
+          this->continue_call(front, call, until);
         }
       });
     };
-    this->send(disk_hosts + front, keeper, [=, this] { this->ask_keeper(keeper, question, hear); });
-    this->after(keeper_patience, [=, this] { this->go_on(front, call, until); });
+    this->send(disk_hosts + front, manager,
+               [=, this] { this->ask_keeper(manager, request, deliver_response); });
+    this->after(response_timeout, [=, this] { this->continue_call(front, call, until); });
   }
 
-  void harm(const fault& item) {
+  void inject(const fault& item) {
     const duration length = std::chrono::milliseconds(item.length_ms);
     const timestamp until = this->now + length;
-    disk_host& host = this->hosts.at(item.host);
+    host_state& host = this->hosts.at(item.host);
     switch (item.kind) {
       case fault_kind::kill:
         host.up = false;
@@ -464,17 +470,17 @@
       case fault_kind::change_limit:
         this->change_limit({5.0 + item.length_ms % 35, 1.0 + item.length_ms % 30});
         break;
-      case fault_kind::rush:
-        this->rush_until = std::max(this->rush_until, until);
+      case fault_kind::overload:
+        this->overload_end = std::max(this->overload_end, until);
         break;
     }
   }
   void change_limit(account_limit limit) {
-    this->grants.note_limit(limit, this->now);
+    this->grants.record_limit_change(limit, this->now);
     const limit_version version(this->grants.limit_changes());
     for (int front = 0; front < front_hosts; ++front) {
-      this->after(this->random_time(limit_spread), [=, this] {
-        known_limit& known = this->known_limits.at(front);
+      this->after(this->random_time(limit_propagation), [=, this] {
+        versioned_limit& known = this->known_limits.at(front);
         if (known.version < version) {
           known = {limit, version};
         }
@@ -482,16 +488,16 @@
     }
   }
   std::mt19937_64 random;
-  planted_fault planted;
+  injected_bug bug;
   timestamp now{};
   std::multimap<timestamp, std::function<void()>> events;
-  timestamp rush_until{};
-  std::array<disk_host, disk_hosts> hosts;
+  timestamp overload_end{};
+  std::array<host_state, disk_hosts> hosts;
   ledger_set stored;
   fake_links links;
   std::map<std::pair<int, int>, set_epoch> copied_of;
   grant_history grants;
-  std::array<known_limit, front_hosts> known_limits;
+  std::array<versioned_limit, front_hosts> known_limits;
   std::array<std::vector<disk_id>, front_hosts> known_members;
   /// When front hosts received grants.
   std::vector<timestamp> served;
--- a/libs/routing/include/hawthornlane/routing/scheduler.h
+++ b/libs/routing/include/hawthornlane/routing/scheduler.h
@@ -63,14 +63,14 @@
 struct scheduler_settings {
   /// A call whose first token takes longer than this multiple of the predicted time counts as hung.
   double hung_factor = 8;
-  duration hung_least = std::chrono::seconds(10);
+  duration min_hung_time = std::chrono::seconds(10);
   duration exclusion = std::chrono::seconds(10);
   /// Servers considered for a call besides the one with its prefix; never all.
   std::size_t candidates = 4;
   /// A new program does not evict a prefix used less than this long ago...
-  duration protect = std::chrono::seconds(40);
+  duration protected_age = std::chrono::seconds(40);
   /// ...unless the program has waited this long.
-  duration longest_hold_back = std::chrono::seconds(600);
+  duration max_prefix_wait = std::chrono::seconds(600);
   /// Seconds of service already used that one second since the program's start compensates.
   double ageing_rate = 0.5;
   /// Cache size of one server, tokens.
@@ -81,7 +81,7 @@
 /// decision considers a bounded number of servers.
 class scheduler {
 public:
-  scheduler(window_limits window, scheduler_settings times, policy_features parts);
+  scheduler(window_limits window, scheduler_settings settings, policy_features features);
 
   void add_server(const backend_server_id& server, timestamp now);
   /// The server gets no new calls; those waiting for it move to other servers.
@@ -119,8 +119,8 @@
     server_window window;
     /// Calls whose prefix the server has cached, and calls whose whole prompt it must prefill.
     fair_queue queue;
-    fair_queue newcomers;
-    prefix_cache_model mirror;
+    fair_queue uncached_queue;
+    prefix_cache_model cache_model;
     speed_model speed;
     std::int64_t inside = 0;
     std::optional<std::int64_t> credits;
@@ -143,10 +143,10 @@
   [[nodiscard]] bool holds_prefix(const backend_server_id& id, const server_state& server,
                                   const program_id& program) const;
   [[nodiscard]] std::optional<waiting_call> take_next(server_state& server, timestamp now);
-  [[nodiscard]] static std::size_t queued(const server_state& server);
+  [[nodiscard]] static std::size_t queued_calls(const server_state& server);
   void leave_queue(waiting_id id);
   [[nodiscard]] bool usable(const server_state& server, timestamp now) const;
-  [[nodiscard]] std::int64_t room(const server_state& server) const;
+  [[nodiscard]] std::int64_t free_credits(const server_state& server) const;
   [[nodiscard]] double predicted_service(const server_state& server,
                                          const schedule_request& request, bool holds) const;
   [[nodiscard]] double predicted_completion(const server_state& server,
@@ -165,18 +165,18 @@
   void reindex(const backend_server_id& id, server_state& server);
 
   window_limits limits;
-  scheduler_settings times;
-  policy_features parts;
+  scheduler_settings settings;
+  policy_features features;
   std::map<backend_server_id, server_state> servers;
   /// Servers, least busy first. Invariant: one entry for each server that is not removed.
   std::set<std::pair<double, backend_server_id>> by_load;
   std::map<waiting_id, schedule_request> requests;
   std::map<waiting_id, backend_server_id> queued_at;
   std::map<waiting_id, running_call> running;
-  std::map<program_id, backend_server_id> holders;
+  std::map<program_id, backend_server_id> prefix_servers;
   std::vector<waiting_id> given_up;
   /// Calls that arrived while there was no server.
-  std::vector<waiting_id> homeless;
+  std::vector<waiting_id> unassigned;
 };
 
 }  // namespace hawthornlane
--- a/libs/routing/src/scheduler.cc
+++ b/libs/routing/src/scheduler.cc
@@ -10,19 +10,19 @@
 constexpr std::int64_t failures_to_exclude = 3;
 /// A call is moved to another server only if its predicted time there is at most this fraction of
 /// its predicted time here.
-constexpr double worth_stealing = 0.8;
+constexpr double max_stolen_time_ratio = 0.8;
 
 }  // namespace
 
-scheduler::scheduler(window_limits window, scheduler_settings timing, policy_features chosen)
-    : limits(window), times(timing), parts(chosen) {}
+scheduler::scheduler(window_limits window, scheduler_settings configured, policy_features enabled)
+    : limits(window), settings(configured), features(enabled) {}
 
 void scheduler::add_server(const backend_server_id& server, timestamp now) {
   const auto [at, added] =
       this->servers.emplace(server, server_state{server_window(this->limits),
                                                  {},
                                                  {},
-                                                 prefix_cache_model(this->times.cache_tokens),
+                                                 prefix_cache_model(this->settings.cache_tokens),
                                                  {},
                                                  0,
                                                  {},
@@ -36,28 +36,29 @@
     at->second.window.on_failed();
   }
   this->reindex(server, at->second);
-  for (const waiting_id id : std::exchange(this->homeless, {})) {
+  for (const waiting_id id : std::exchange(this->unassigned, {})) {
     if (const auto request = this->requests.find(id); request != this->requests.end()) {
       this->place(request->second, server);
     }
   }
 }
 
-std::size_t scheduler::queued(const server_state& server) {
-  return server.queue.size() + server.newcomers.size();
+std::size_t scheduler::queued_calls(const server_state& server) {
+  return server.queue.size() + server.uncached_queue.size();
 }
 
 bool scheduler::holds_prefix(const backend_server_id& id, const server_state& server,
                              const program_id& program) const {
-  const auto holder = this->holders.find(program);
-  return holder != this->holders.end() && holder->second == id && server.mirror.holds(program);
+  const auto prefix_server = this->prefix_servers.find(program);
+  return prefix_server != this->prefix_servers.end() && prefix_server->second == id &&
+         server.cache_model.holds(program);
 }
 
 void scheduler::reindex(const backend_server_id& id, server_state& server) {
   this->by_load.erase({server.load_key, id});
   const auto size = static_cast<double>(std::max<std::int64_t>(1, server.window.size()));
   server.load_key =
-      (static_cast<double>(server.inside) + static_cast<double>(queued(server))) / size;
+      (static_cast<double>(server.inside) + static_cast<double>(queued_calls(server))) / size;
   if (!server.removed) {
     this->by_load.emplace(server.load_key, id);
   }
@@ -74,8 +75,8 @@
   return !server.removed && now >= server.excluded_until;
 }
 
-std::int64_t scheduler::room(const server_state& server) const {
-  if (!this->parts.window) {
+std::int64_t scheduler::free_credits(const server_state& server) const {
+  if (!this->features.window) {
     constexpr std::int64_t unbounded = 1'000'000;
     return unbounded;
   }
@@ -93,8 +94,8 @@
 double scheduler::wait_at(const server_state& server) const {
   const auto slots =
       static_cast<double>(std::max<std::int64_t>(1, server.credits.value_or(server.window.size())));
-  const double ahead = (server.queue.waiting_cost() + server.newcomers.waiting_cost()) / slots;
-  return this->room(server) > 0 ? 0 : ahead + 1.0 / slots;
+  const double ahead = (server.queue.waiting_cost() + server.uncached_queue.waiting_cost()) / slots;
+  return this->free_credits(server) > 0 ? 0 : ahead + 1.0 / slots;
 }
 
 double scheduler::predicted_completion(const server_state& server, const schedule_request& request,
@@ -103,17 +104,17 @@
 }
 
 double scheduler::order_of(const schedule_request& request) const {
-  if (!this->parts.program_order) {
+  if (!this->features.program_order) {
     return to_seconds(request.arrived.time_since_epoch());
   }
   // Constant over time: all calls age at the same rate, which does not change their order, so the
   // result can be a sort key.
   const double began = to_seconds(request.began.time_since_epoch());
-  return request.attained + (this->parts.ageing ? this->times.ageing_rate * began : 0);
+  return request.attained + (this->features.ageing ? this->settings.ageing_rate * began : 0);
 }
 
 std::optional<backend_server_id> scheduler::choose(const schedule_request& request, timestamp now) {
-  const auto holder = this->holders.find(request.program);
+  const auto prefix_server = this->prefix_servers.find(request.program);
   std::optional<backend_server_id> best;
   double best_time = 0;
   const auto consider = [&](const backend_server_id& id) {
@@ -122,7 +123,7 @@
       return;
     }
     const bool holds = this->holds_prefix(id, server, request.program);
-    const double time = this->parts.predicted_choice
+    const double time = this->features.predicted_choice
                             ? this->predicted_completion(server, request, holds)
                             : (holds ? -1.0 : server.load_key);
     if (!best || time < best_time) {
@@ -130,12 +131,13 @@
       best_time = time;
     }
   };
-  if (holder != this->holders.end() && this->servers.contains(holder->second)) {
-    consider(holder->second);
+  if (prefix_server != this->prefix_servers.end() &&
+      this->servers.contains(prefix_server->second)) {
+    consider(prefix_server->second);
   }
   std::size_t looked_at = 0;
   for (const auto& [load, id] : this->by_load) {
-    if (looked_at == this->times.candidates) {
+    if (looked_at == this->settings.candidates) {
       break;
     }
     // Excluded servers are few, so they do not count as candidates.
@@ -152,11 +154,11 @@
   const bool holds = this->holds_prefix(id, server, request.program);
   waiting_call call;
   call.id = request.id;
-  call.account = this->parts.fair_accounts ? request.account : client_account();
+  call.account = this->features.fair_accounts ? request.account : client_account();
   call.weight = request.weight;
   call.order = this->order_of(request);
   call.cost = this->predicted_service(server, request, holds);
-  (holds ? server.queue : server.newcomers).add(call);
+  (holds ? server.queue : server.uncached_queue).add(call);
   this->queued_at[request.id] = id;
   this->reindex(id, server);
 }
@@ -173,7 +175,7 @@
         return out;
       }
     }
-    this->homeless.push_back(request.id);
+    this->unassigned.push_back(request.id);
     return out;
   }
   this->place(request, *server);
@@ -195,12 +197,12 @@
   call.predicted_first =
       server.speed.prefill_seconds(fresh) + server.speed.token_seconds(server.inside);
   this->running.insert_or_assign(request.id, std::move(call));
-  const auto before = this->holders.find(request.program);
-  if (before != this->holders.end() && before->second != id) {
-    this->servers.at(before->second).mirror.erase(request.program);
+  const auto before = this->prefix_servers.find(request.program);
+  if (before != this->prefix_servers.end() && before->second != id) {
+    this->servers.at(before->second).cache_model.erase(request.program);
   }
-  this->holders[request.program] = id;
-  server.mirror.use(request.program, request.prompt + request.expected_answer, now);
+  this->prefix_servers[request.program] = id;
+  server.cache_model.use(request.program, request.prompt + request.expected_answer, now);
   out.push_back({request.id, id});
 }
 
@@ -213,38 +215,40 @@
 /// closer to their end. A new program waits while it would only evict prefixes that are needed
 /// again soon, which would cost more than it gains.
 std::optional<waiting_call> scheduler::take_next(server_state& server, timestamp now) {
-  const waiting_call* newcomer = server.newcomers.peek();
+  const waiting_call* uncached = server.uncached_queue.peek();
   const waiting_call* known = server.queue.peek();
-  if (newcomer == nullptr) {
+  if (uncached == nullptr) {
     return server.queue.take();
   }
-  const schedule_request& request = this->requests.at(newcomer->id);
-  const bool waited = now - request.arrived >= this->times.longest_hold_back;
-  if (!this->parts.working_set) {
-    const bool first = known == nullptr || newcomer->order < known->order;
-    return first ? server.newcomers.take() : server.queue.take();
+  const schedule_request& request = this->requests.at(uncached->id);
+  const bool waited = now - request.arrived >= this->settings.max_prefix_wait;
+  if (!this->features.working_set) {
+    const bool first = known == nullptr || uncached->order < known->order;
+    return first ? server.uncached_queue.take() : server.queue.take();
   }
   if (known != nullptr && !waited) {
     return server.queue.take();
   }
-  const bool crowds = server.mirror.would_evict_recent(request.prompt, this->times.protect, now);
-  if (crowds && !waited && server.inside > 0) {
+  const bool would_evict =
+      server.cache_model.would_evict_recent(request.prompt, this->settings.protected_age, now);
+  if (would_evict && !waited && server.inside > 0) {
     return std::nullopt;
   }
-  return server.newcomers.take();
+  return server.uncached_queue.take();
 }
 
 void scheduler::fill(const backend_server_id& id, timestamp now,
                      std::vector<schedule_decision>& out) {
   server_state& server = this->servers.at(id);
-  while (this->usable(server, now) && this->room(server) > 0) {
+  while (this->usable(server, now) && this->free_credits(server) > 0) {
     if (const auto next = this->take_next(server, now)) {
       const schedule_request request = this->requests.at(next->id);
       this->leave_queue(next->id);
       this->send(id, server, request, now, out);
       continue;
     }
-    if (!this->parts.stealing || queued(server) > 0 || !this->steal_for(id, server, now, out)) {
+    if (!this->features.stealing || queued_calls(server) > 0 ||
+        !this->steal_for(id, server, now, out)) {
       break;
     }
   }
@@ -260,17 +264,17 @@
   }
   const backend_server_id victim = this->by_load.rbegin()->second;
   server_state& from = this->servers.at(victim);
-  const bool none_new = from.newcomers.size() == 0;
-  fair_queue& source = none_new ? from.queue : from.newcomers;
+  const bool no_uncached = from.uncached_queue.size() == 0;
+  fair_queue& source = no_uncached ? from.queue : from.uncached_queue;
   const waiting_call* next = victim == id ? nullptr : source.peek();
   if (next == nullptr) {
     return false;
   }
   const schedule_request request = this->requests.at(next->id);
   const bool holds = this->holds_prefix(victim, from, request.program);
-  const double there = this->predicted_completion(from, request, holds);
-  const double here = this->predicted_service(server, request, false);
-  if (here > worth_stealing * there) {
+  const double time_there = this->predicted_completion(from, request, holds);
+  const double time_here = this->predicted_service(server, request, false);
+  if (time_here > max_stolen_time_ratio * time_there) {
     return false;
   }
   source.take();
@@ -286,7 +290,7 @@
     const backend_server_id at = queue->second;
     server_state& server = this->servers.at(at);
     if (!server.queue.remove(id)) {
-      server.newcomers.remove(id);
+      server.uncached_queue.remove(id);
     }
     this->leave_queue(id);
     this->reindex(at, server);
@@ -314,8 +318,8 @@
 void scheduler::note_failure(server_state& server, timestamp now) {
   server.window.on_failed();
   ++server.failures;
-  if (this->parts.exclude_failing && server.failures >= failures_to_exclude) {
-    server.excluded_until = now + this->times.exclusion;
+  if (this->features.exclude_failing && server.failures >= failures_to_exclude) {
+    server.excluded_until = now + this->settings.exclusion;
     server.failures = failures_to_exclude - 1;
   }
 }
@@ -329,17 +333,17 @@
   const running_call call = found->second;
   this->running.erase(found);
   server_state& server = this->servers.at(call.server);
-  const bool was_full = this->room(server) <= 0;
+  const bool was_full = this->free_credits(server) <= 0;
   --server.inside;
   if (outcome.failed) {
     this->note_failure(server, now);
-    this->holders.erase(call.request.program);
+    this->prefix_servers.erase(call.request.program);
   } else {
     server.failures = 0;
     speed_sample sample = outcome.sample;
     sample.batch = call.batch;
     server.speed.add(sample);
-    server.mirror.use(call.request.program, call.request.prompt + sample.answered, now);
+    server.cache_model.use(call.request.program, call.request.prompt + sample.answered, now);
     const auto steps = std::max<std::int64_t>(1, sample.answered.get() - 1);
     server.window.on_finished((sample.whole - sample.first_token) / steps, was_full);
   }
@@ -349,20 +353,20 @@
 }
 
 std::optional<backend_server_id> scheduler::forget(const program_id& program) {
-  const auto found = this->holders.find(program);
-  if (found == this->holders.end()) {
+  const auto found = this->prefix_servers.find(program);
+  if (found == this->prefix_servers.end()) {
     return std::nullopt;
   }
   const backend_server_id server = found->second;
-  this->holders.erase(found);
-  this->servers.at(server).mirror.erase(program);
+  this->prefix_servers.erase(found);
+  this->servers.at(server).cache_model.erase(program);
   return server;
 }
 
 void scheduler::forget_all() {
-  this->holders.clear();
+  this->prefix_servers.clear();
   for (auto& [id, server] : this->servers) {
-    server.mirror.clear();
+    server.cache_model.clear();
     server.speed = speed_model();
     server.window = server_window(this->limits);
   }
@@ -371,7 +375,7 @@
 void scheduler::move_queue(server_state& server, timestamp now,
                            std::vector<schedule_decision>& out) {
   std::vector<schedule_request> moved;
-  for (fair_queue* source : {&server.queue, &server.newcomers}) {
+  for (fair_queue* source : {&server.queue, &server.uncached_queue}) {
     while (const auto call = source->take()) {
       moved.push_back(this->requests.at(call->id));
       this->leave_queue(call->id);
@@ -391,7 +395,7 @@
     return out;
   }
   found->second.removed = true;
-  found->second.mirror.clear();
+  found->second.cache_model.clear();
   this->reindex(id, found->second);
   this->move_queue(found->second, now, out);
   return out;
@@ -401,10 +405,11 @@
   std::vector<schedule_decision> out;
   std::set<backend_server_id> hung;
   for (auto& [id, call] : this->running) {
-    const duration patience = std::max(
-        this->times.hung_least, from_seconds(this->times.hung_factor * call.predicted_first));
-    const bool late = !call.has_first_token && !call.given_up && now - call.sent > patience;
-    if (late && this->parts.exclude_failing) {
+    const duration timeout =
+        std::max(this->settings.min_hung_time,
+                 from_seconds(this->settings.hung_factor * call.predicted_first));
+    const bool late = !call.has_first_token && !call.given_up && now - call.sent > timeout;
+    if (late && this->features.exclude_failing) {
       call.given_up = true;
       this->given_up.push_back(id);
       hung.insert(call.server);
@@ -412,12 +417,12 @@
   }
   for (const backend_server_id& id : hung) {
     server_state& server = this->servers.at(id);
-    server.excluded_until = now + this->times.exclusion;
+    server.excluded_until = now + this->settings.exclusion;
     server.window.on_failed();
     this->move_queue(server, now, out);
   }
   for (auto& [id, server] : this->servers) {
-    if (queued(server) > 0) {
+    if (queued_calls(server) > 0) {
       this->fill(id, now, out);
     }
   }
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_set.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_set.h
@@ -29,16 +29,16 @@
   }
 
   [[nodiscard]] bool has_all(const std::set<disk_id>& answered) const {
-    const std::vector<disk_id> everyone = this->all();
-    return std::all_of(everyone.begin(), everyone.end(),
+    const std::vector<disk_id> all_disks = this->all();
+    return std::all_of(all_disks.begin(), all_disks.end(),
                        [&answered](const disk_id& disk) { return answered.contains(disk); });
   }
 
   /// Members of either set, without duplicates.
   [[nodiscard]] std::vector<disk_id> all() const {
-    std::set<disk_id> everyone(this->members.begin(), this->members.end());
-    everyone.insert(this->next.begin(), this->next.end());
-    return {everyone.begin(), everyone.end()};
+    std::set<disk_id> all_disks(this->members.begin(), this->members.end());
+    all_disks.insert(this->next.begin(), this->next.end());
+    return {all_disks.begin(), all_disks.end()};
   }
 
   [[nodiscard]] static bool majority_of(const std::vector<disk_id>& disks,
--- a/libs/turn_ledger/src/set_change.cc
+++ b/libs/turn_ledger/src/set_change.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// A smaller set cannot lose a disk and keep every record.
-constexpr std::size_t least_members = 2;
+constexpr std::size_t min_members = 2;
 
 bool contains(const std::vector<disk_id>& disks, const disk_id& disk) {
   return std::find(disks.begin(), disks.end(), disk) != disks.end();
@@ -34,7 +34,7 @@
 
 /// True if this disk may act among `disks`: the first reachable one may act at once, and each later
 /// one when those before it have had their time.
-bool is_own_turn(const set_view& view, std::vector<disk_id> disks) {
+bool may_act(const set_view& view, std::vector<disk_id> disks) {
   std::sort(disks.begin(), disks.end());
   std::size_t before = 0;
   for (const disk_id& disk : disks) {
@@ -71,7 +71,7 @@
 }
 
 /// The disks that must have copied before the joint set may end.
-std::vector<disk_id> copiers_of(const ledger_set& set) {
+std::vector<disk_id> required_copiers(const ledger_set& set) {
   if (set.next.size() < set.members.size()) {
     return set.next;
   }
@@ -85,7 +85,7 @@
 }
 
 set_decision decide_joint(const set_view& view, const ledger_set& set) {
-  const std::vector<disk_id> copiers = copiers_of(set);
+  const std::vector<disk_id> copiers = required_copiers(set);
   const auto has_copied = [&](const disk_id& disk) {
     const disk_view* item = find(view, disk);
     return item != nullptr && item->copied >= set.epoch;
@@ -94,7 +94,7 @@
     return {set_step::copy, {}, "joining"};
   }
   if (std::all_of(copiers.begin(), copiers.end(), has_copied)) {
-    if (!is_own_turn(view, set.next)) {
+    if (!may_act(view, set.next)) {
       return {};
     }
     ledger_set proposed = next_epoch(set);
@@ -102,10 +102,10 @@
     proposed.next.clear();
     return {set_step::propose, proposed, "copied"};
   }
-  const bool stuck = std::any_of(copiers.begin(), copiers.end(), [&](const disk_id& disk) {
-    return !has_copied(disk) && !is_reachable(view, disk);
-  });
-  if (stuck && is_own_turn(view, set.members)) {
+  const bool copier_unreachable = std::any_of(
+      copiers.begin(), copiers.end(),
+      [&](const disk_id& disk) { return !has_copied(disk) && !is_reachable(view, disk); });
+  if (copier_unreachable && may_act(view, set.members)) {
     ledger_set proposed = next_epoch(set);
     proposed.next.clear();
     return {set_step::propose, proposed, "a joining disk is gone"};
@@ -136,19 +136,19 @@
   }
   // A majority of two disks is both, so the loss of one blocks the set. Every decision is on both
   // disks, so the other one can continue alone until a disk joins.
-  if (set.members.size() == least_members && lost.size() == 1) {
-    const std::vector<disk_id> rest = without(set.members, lost.front());
-    if (!is_own_turn(view, rest)) {
+  if (set.members.size() == min_members && lost.size() == 1) {
+    const std::vector<disk_id> remaining = without(set.members, lost.front());
+    if (!may_act(view, remaining)) {
       return {};
     }
     ledger_set proposed = next_epoch(set);
-    proposed.next = rest;
+    proposed.next = remaining;
     return {set_step::propose, proposed, "one of two is lost"};
   }
   const std::vector<disk_id>& leaving = retiring.empty() ? lost : retiring;
   const bool too_few = set.members.size() < view.target_size;
   if (!spares.empty() && (!leaving.empty() || too_few)) {
-    if (!is_own_turn(view, spares)) {
+    if (!may_act(view, spares)) {
       return {};
     }
     ledger_set proposed = next_epoch(set);
@@ -162,16 +162,16 @@
     proposed.next.push_back(view.self);
     return {set_step::propose, proposed, leaving.empty() ? "too few disks" : "replacement"};
   }
-  const bool may_shrink = lost.empty() && set.members.size() > least_members;
+  const bool may_shrink = lost.empty() && set.members.size() > min_members;
   // A retiring disk stays a member until it must leave: a smaller set would tolerate no loss in the
   // meantime.
   if (!due.empty() && may_shrink) {
-    const std::vector<disk_id> rest = without(set.members, due.front());
-    if (!is_own_turn(view, rest)) {
+    const std::vector<disk_id> remaining = without(set.members, due.front());
+    if (!may_act(view, remaining)) {
       return {};
     }
     ledger_set proposed = next_epoch(set);
-    proposed.next = rest;
+    proposed.next = remaining;
     return {set_step::propose, proposed, "retirement without a spare"};
   }
   return {};
--- a/libs/turn_ledger/test/ledger_search_test.cc
+++ b/libs/turn_ledger/test/ledger_search_test.cc
@@ -16,13 +16,13 @@
 namespace {
 
 /// The rule that the search leaves out.
-enum class left_out {
+enum class omitted_rule {
   nothing,
   second_round,
   fence,
   read_quorum,
   majority_of_both_sets,
-  new_identity_for_an_empty_disk,
+  new_identity_for_empty_disk,
 };
 
 /// What happens to the third disk.
@@ -34,14 +34,14 @@
   suspected,
 };
 
-struct world_rules {
+struct search_options {
   int reservations = 2;
   replacement replace = replacement::none;
-  left_out missing = left_out::nothing;
+  omitted_rule omitted = omitted_rule::nothing;
 };
 
 constexpr int disk_count = 4;
-const token_count each{10};
+const token_count tokens_per_turn{10};
 
 disk_id disk(int number) { return disk_id(std::string(1, static_cast<char>('A' + number))); }
 request_id request(int number) { return request_id("r" + std::to_string(number)); }
@@ -50,7 +50,8 @@
 struct front {
   explicit front(const ledger_set& at, int number, token_count budget)
       : set(at),
-        check(at, {request(number), each, token_count(0), reservation_phase::open}, budget) {}
+        check(at, {request(number), tokens_per_turn, token_count(0), reservation_phase::open},
+              budget) {}
 
   ledger_set set;
   reservation_check check;
@@ -60,7 +61,7 @@
   bool admitted = false;
 };
 
-struct world {
+struct model_state {
   std::array<ledger_replica, disk_count> disks;
   std::vector<front> fronts;
   ledger_set set;
@@ -73,49 +74,49 @@
 ledger_record record_of(int number) {
   ledger_record record;
   record.program = program_id("p");
-  record.state = {request(number), each, token_count(0), reservation_phase::open};
+  record.state = {request(number), tokens_per_turn, token_count(0), reservation_phase::open};
   record.expires_at = wall_ms(1);
   return record;
 }
 
 class search {
 public:
-  explicit search(world_rules with) : rules(with) {}
+  explicit search(search_options chosen) : options(chosen) {}
 
   /// Returns the steps to a state in which the budget is exceeded; empty if there is none.
   std::string run() {
-    world start;
+    model_state start;
     start.set = {set_epoch(1), {disk(0), disk(1), disk(2)}, {}};
-    for (int number = 0; number < this->rules.reservations; ++number) {
+    for (int number = 0; number < this->options.reservations; ++number) {
       start.fronts.emplace_back(start.set, number, this->budget());
     }
-    this->offer(start);
-    while (!this->open.empty()) {
-      const world next = std::move(this->open.front());
-      this->open.pop_front();
-      if (this->is_broken(next)) {
+    this->enqueue(start);
+    while (!this->queue.empty()) {
+      const model_state next = std::move(this->queue.front());
+      this->queue.pop_front();
+      if (this->exceeds_budget(next)) {
         return next.steps;
       }
       this->expand(next);
     }
     return "";
   }
-  [[nodiscard]] std::size_t states() const { return this->seen.size(); }
+  [[nodiscard]] std::size_t states() const { return this->visited.size(); }
 
 private:
   [[nodiscard]] token_count budget() const {
-    return token_count(each.get() * (this->rules.reservations - 1));
+    return token_count(tokens_per_turn.get() * (this->options.reservations - 1));
   }
 
-  [[nodiscard]] bool is_broken(const world& at) const {
+  [[nodiscard]] bool exceeds_budget(const model_state& at) const {
     token_count sum;
     for (const front& item : at.fronts) {
-      sum = sum + (item.admitted ? each : token_count(0));
+      sum = sum + (item.admitted ? tokens_per_turn : token_count(0));
     }
     return sum > this->budget();
   }
 
-  static std::string key_of(const world& at) {
+  static std::string key_of(const model_state& at) {
     std::string key = std::to_string(at.set.epoch.get()) + (at.suspected ? "s" : "");
     for (int number = 0; number < disk_count; ++number) {
       const auto index = static_cast<std::size_t>(number);
@@ -136,9 +137,9 @@
     return key;
   }
 
-  void offer(const world& at) {
-    if (this->seen.insert(key_of(at)).second) {
-      this->open.push_back(at);
+  void enqueue(const model_state& at) {
+    if (this->visited.insert(key_of(at)).second) {
+      this->queue.push_back(at);
     }
   }
 
@@ -147,7 +148,7 @@
       return;
     }
     budget_outcome outcome = item.check.outcome();
-    if (this->rules.missing == left_out::second_round && item.check.appended()) {
+    if (this->options.omitted == omitted_rule::second_round && item.check.appended()) {
       outcome =
           item.check.charged() <= this->budget() ? budget_outcome::fits : budget_outcome::exceeds;
     }
@@ -155,47 +156,47 @@
     item.admitted = outcome == budget_outcome::fits;
   }
 
-  program_response answer_of(const world& at, std::size_t index, const front& item) const {
+  program_response answer_of(const model_state& at, std::size_t index, const front& item) const {
     program_response answer;
     answer.disk = disk(static_cast<int>(index));
     answer.stale =
-        !at.disks[index].accepts(item.set.epoch) && this->rules.missing != left_out::fence;
+        !at.disks[index].accepts(item.set.epoch) && this->options.omitted != omitted_rule::fence;
     answer.reservations = at.disks[index].reservations_of(program_id("p"));
     return answer;
   }
 
-  void expand(const world& at) {
+  void expand(const model_state& at) {
     for (std::size_t number = 0; number < at.fronts.size(); ++number) {
       if (at.fronts[number].decided) {
         continue;
       }
-      this->try_hear(at, number);
+      this->try_learn_set(at, number);
       for (std::size_t index = 0; index < disk_count; ++index) {
         this->try_append(at, number, index);
         this->try_collect(at, number, index);
       }
     }
-    if (this->rules.replace != replacement::none) {
+    if (this->options.replace != replacement::none) {
       this->expand_replacement(at);
     }
   }
 
   /// A front host that has not sent anything may learn of the newest set.
-  void try_hear(const world& at, std::size_t number) {
+  void try_learn_set(const model_state& at, std::size_t number) {
     const front& item = at.fronts[number];
     const bool begun = item.appended != std::array<bool, disk_count>{};
     if (begun || item.set.epoch == at.set.epoch) {
       return;
     }
-    world next = at;
+    model_state next = at;
     next.fronts[number] = front(next.set, static_cast<int>(number), this->budget());
     next.steps += " hear" + std::to_string(number);
-    this->offer(next);
+    this->enqueue(next);
   }
 
   /// The empty disk keeps its old identity and so never joins by copying.
   [[nodiscard]] bool keeps_identity() const {
-    return this->rules.missing == left_out::new_identity_for_an_empty_disk;
+    return this->options.omitted == omitted_rule::new_identity_for_empty_disk;
   }
 
   static bool is_member(const ledger_set& set, std::size_t index) {
@@ -204,28 +205,28 @@
   }
 
   /// The third member of the first set does not respond once it has been lost.
-  [[nodiscard]] bool is_lost(const world& at, std::size_t index) const {
+  [[nodiscard]] bool is_lost(const model_state& at, std::size_t index) const {
     constexpr std::size_t lost_disk = 2;
-    return this->rules.replace == replacement::lost && at.suspected && index == lost_disk &&
+    return this->options.replace == replacement::lost && at.suspected && index == lost_disk &&
            !this->keeps_identity();
   }
 
-  void restart(world& next, std::size_t number, std::size_t index) const {
+  void restart(model_state& next, std::size_t number, std::size_t index) const {
     // The refusal contains the newest set; the attempt starts again with it.
     next.fronts[number] = front(next.set, static_cast<int>(number), this->budget());
     next.steps += " stale" + std::to_string(number) + disk(static_cast<int>(index)).get();
   }
 
-  void try_append(const world& at, std::size_t number, std::size_t index) {
+  void try_append(const model_state& at, std::size_t number, std::size_t index) {
     const front& item = at.fronts[number];
     if (item.appended[index] || !is_member(item.set, index) || this->is_lost(at, index)) {
       return;
     }
-    world next = at;
+    model_state next = at;
     const program_response before = this->answer_of(next, index, item);
     if (before.stale) {
       this->restart(next, number, index);
-      this->offer(next);
+      this->enqueue(next);
       return;
     }
     next.disks[index].apply(record_of(static_cast<int>(number)));
@@ -234,20 +235,20 @@
     changed.check.on_append(this->answer_of(next, index, changed));
     this->decide(changed);
     next.steps += " append" + std::to_string(number) + disk(static_cast<int>(index)).get();
-    this->offer(next);
+    this->enqueue(next);
   }
 
-  void try_collect(const world& at, std::size_t number, std::size_t index) {
+  void try_collect(const model_state& at, std::size_t number, std::size_t index) {
     const front& item = at.fronts[number];
     if (!item.check.appended() || item.collected[index] || !is_member(item.set, index) ||
         this->is_lost(at, index)) {
       return;
     }
-    world next = at;
+    model_state next = at;
     const program_response answer = this->answer_of(next, index, item);
     if (answer.stale) {
       this->restart(next, number, index);
-      this->offer(next);
+      this->enqueue(next);
       return;
     }
     front& changed = next.fronts[number];
@@ -255,22 +256,22 @@
     changed.check.on_collect(answer);
     this->decide(changed);
     next.steps += " collect" + std::to_string(number) + disk(static_cast<int>(index)).get();
-    this->offer(next);
+    this->enqueue(next);
   }
 
   /// Disk C is lost with its contents and D replaces it, in the steps that `decide_set_change`
   /// prescribes.
-  void expand_replacement(const world& at) {
+  void expand_replacement(const model_state& at) {
     constexpr std::size_t lost = 2;
     constexpr std::size_t joiner = 3;
     if (!at.suspected) {
-      world next = at;
+      model_state next = at;
       next.suspected = true;
-      if (this->rules.replace == replacement::lost) {
+      if (this->options.replace == replacement::lost) {
         next.disks[lost] = ledger_replica();
       }
       next.steps += " loseC";
-      this->offer(next);
+      this->enqueue(next);
       return;
     }
     if (this->keeps_identity()) {
@@ -279,13 +280,13 @@
     if (at.set.epoch == set_epoch(1)) {
       const set_decision decision = decide_set_change(this->view_of(at, false));
       REQUIRE(decision.step == set_step::propose);
-      world next = at;
+      model_state next = at;
       next.set = decision.proposed;
-      if (this->rules.missing == left_out::majority_of_both_sets) {
+      if (this->options.omitted == omitted_rule::majority_of_both_sets) {
         next.set.members = next.set.next;
       }
       next.steps += " joint";
-      this->offer(next);
+      this->enqueue(next);
       return;
     }
     if (at.set.epoch != set_epoch(2)) {
@@ -295,7 +296,7 @@
       if (at.copied_from[index]) {
         continue;
       }
-      world next = at;
+      model_state next = at;
       next.disks[index].raise_fence(set_epoch(2));
       for (const ledger_record& record :
            next.disks[index].page_after(copy_request{}, 1'000'000).records) {
@@ -303,15 +304,16 @@
       }
       next.copied_from[index] = true;
       next.steps += " copy" + disk(static_cast<int>(index)).get();
-      this->offer(next);
+      this->enqueue(next);
     }
     const auto sources =
         static_cast<std::size_t>(std::count(at.copied_from.begin(), at.copied_from.end(), true));
-    const std::size_t needed =
-        this->rules.missing == left_out::read_quorum ? 0 : read_quorum({disk(0), disk(1), disk(2)});
+    const std::size_t needed = this->options.omitted == omitted_rule::read_quorum
+                                   ? 0
+                                   : read_quorum({disk(0), disk(1), disk(2)});
     if (sources >= needed) {
       const set_decision decision = decide_set_change(this->view_of(at, true));
-      world next = at;
+      model_state next = at;
       next.set.epoch = set_epoch(3);
       next.set.members = {disk(0), disk(1), disk(joiner)};
       next.set.next.clear();
@@ -319,11 +321,11 @@
         REQUIRE(decision.proposed.members == next.set.members);
       }
       next.steps += " single";
-      this->offer(next);
+      this->enqueue(next);
     }
   }
 
-  static set_view view_of(const world& at, bool copied) {
+  static set_view view_of(const model_state& at, bool copied) {
     set_view view;
     view.self = copied ? disk(0) : disk(3);
     view.set = at.set;
@@ -333,9 +335,9 @@
     return view;
   }
 
-  world_rules rules;
-  std::set<std::string> seen;
-  std::deque<world> open;
+  search_options options;
+  std::set<std::string> visited;
+  std::deque<model_state> queue;
 };
 
 }  // namespace
@@ -346,7 +348,7 @@
                                                            {3, replacement::none},
                                                            {2, replacement::lost},
                                                            {2, replacement::suspected}}));
-  search all({reservations, replace, left_out::nothing});
+  search all({reservations, replace, omitted_rule::nothing});
   const std::string broken = all.run();
   INFO("states " << all.states() << ", steps" << broken);
   CHECK(broken.empty());
@@ -354,16 +356,16 @@
 }
 
 TEST_CASE("leaving out any rule of the protocol lets reservations exceed the budget") {
-  const auto [reservations, replace, missing] =
-      GENERATE(Catch::Generators::table<int, replacement, left_out>({
-          {3, replacement::none, left_out::second_round},
-          {2, replacement::suspected, left_out::fence},
-          {2, replacement::lost, left_out::read_quorum},
-          {2, replacement::lost, left_out::majority_of_both_sets},
-          {2, replacement::lost, left_out::new_identity_for_an_empty_disk},
+  const auto [reservations, replace, omitted] =
+      GENERATE(Catch::Generators::table<int, replacement, omitted_rule>({
+          {3, replacement::none, omitted_rule::second_round},
+          {2, replacement::suspected, omitted_rule::fence},
+          {2, replacement::lost, omitted_rule::read_quorum},
+          {2, replacement::lost, omitted_rule::majority_of_both_sets},
+          {2, replacement::lost, omitted_rule::new_identity_for_empty_disk},
       }));
-  search all({reservations, replace, missing});
+  search all({reservations, replace, omitted});
   const std::string broken = all.run();
-  INFO("rule " << static_cast<int>(missing) << ", states " << all.states());
+  INFO("rule " << static_cast<int>(omitted) << ", states " << all.states());
   CHECK_FALSE(broken.empty());
 }
