--- a/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
+++ b/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
@@ -24,7 +24,7 @@
   [[nodiscard]] bool holds(const program_id& program) const;
   /// True if making room for `tokens` more would evict a prefix used less than `age` ago.
   [[nodiscard]] bool would_evict_recent(token_count tokens, duration age, timestamp now) const;
-  [[nodiscard]] token_count held() const { return this->total_tokens; }
+  [[nodiscard]] token_count cached_tokens() const { return this->total_tokens; }
 
 private:
   struct entry {
--- a/libs/cache/src/pause_predictor.cc
+++ b/libs/cache/src/pause_predictor.cc
@@ -11,8 +11,8 @@
 
 std::size_t pause_predictor::bucket_of(duration pause) {
   const double seconds = std::max(min_pause_seconds, to_seconds(pause));
-  const double residency = std::log2(seconds / min_pause_seconds);
-  return std::min(bucket_count - 1, static_cast<std::size_t>(residency));
+  const double position = std::log2(seconds / min_pause_seconds);
+  return std::min(bucket_count - 1, static_cast<std::size_t>(position));
 }
 
 void pause_predictor::add(const service_name& service, const std::string& tool, duration pause) {
--- a/libs/cache/test/cache_test.cc
+++ b/libs/cache/test/cache_test.cc
@@ -15,15 +15,15 @@
 }  // namespace
 
 TEST_CASE("the cache model does not evict out of LRU order or give up recently used prefixes") {
-  prefix_cache_model mirror(token_count(100));
-  mirror.use(one, token_count(60), at(0));
-  mirror.use(two, token_count(30), at(10));
-  CHECK_FALSE(mirror.would_evict_recent(token_count(10), std::chrono::seconds(5), at(11)));
-  CHECK_FALSE(mirror.would_evict_recent(token_count(60), std::chrono::seconds(5), at(11)));
-  CHECK(mirror.would_evict_recent(token_count(80), std::chrono::seconds(5), at(11)));
-  mirror.use(two, token_count(50), at(12));
-  CHECK_FALSE(mirror.holds(one));
-  CHECK(mirror.held() == token_count(50));
+  prefix_cache_model model(token_count(100));
+  model.use(one, token_count(60), at(0));
+  model.use(two, token_count(30), at(10));
+  CHECK_FALSE(model.would_evict_recent(token_count(10), std::chrono::seconds(5), at(11)));
+  CHECK_FALSE(model.would_evict_recent(token_count(60), std::chrono::seconds(5), at(11)));
+  CHECK(model.would_evict_recent(token_count(80), std::chrono::seconds(5), at(11)));
+  model.use(two, token_count(50), at(12));
+  CHECK_FALSE(model.holds(one));
+  CHECK(model.cached_tokens() == token_count(50));
 }
 
 TEST_CASE("prefixes are not released in short pauses or kept through long ones") {
--- a/libs/fleet/include/hawthornlane/fleet/fleet_view.h
+++ b/libs/fleet/include/hawthornlane/fleet/fleet_view.h
@@ -67,8 +67,8 @@
 /// Guarantees: a state older than the current one is never applied, whatever its source. An entry
 /// of a backend server's earlier incarnation is also ignored, since a write of the ended process
 /// may reach the store after those of the new one. Entries that a listing or an event drops shortly
-/// after an outage of the store are kept until `doubt_until`, since a live owner registers again;
-/// after that a missing entry counts as removed.
+/// after an outage of the store are kept until `keep_missing_until`, since a live owner registers
+/// again; after that a missing entry counts as removed.
 template <class Key, class Entry>
 class registry {
 public:
@@ -144,7 +144,9 @@
     return reported.start < known.start;
   }
   /// A host's start is taken from its own clock, which may be set back between two starts.
-  static bool is_outdated(const host_entry& /*told*/, const host_entry& /*known*/) { return false; }
+  static bool is_outdated(const host_entry& /*reported*/, const host_entry& /*known*/) {
+    return false;
+  }
   /// Returns the given entry, or the known one if that is of a later incarnation.
   [[nodiscard]] Entry newest_of(const Entry& reported) const {
     for (const auto* known : {&this->entries_by_key, &this->missing}) {
--- a/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
@@ -13,9 +13,9 @@
 /// one host reads the store at a fixed interval and sends the result to the others.
 ///
 /// Every host announces the age of the newest read that it knows, and which host made it. The last
-/// reader reads again once that read is `pace` old. Each other host waits longer, according to its
-/// rank, so that the next one takes over when the reader has failed or is refused by the store. A
-/// host that receives nothing from others reads for itself.
+/// reader reads again once that read is `read_interval` old. Each other host waits longer,
+/// according to its rank, so that the next one takes over when the reader has failed or is refused
+/// by the store. A host that receives nothing from others reads for itself.
 class store_read_schedule {
 public:
   /// Leaves time to reach all hosts within the two seconds that users require, even if the reader
@@ -39,7 +39,7 @@
       this->has_read = true;
     }
   }
-  /// A read by this host started; the next one is due after `pace` at the earliest.
+  /// A read by this host started; the next one is due after `read_interval` at the earliest.
   void began(timestamp at) {
     this->last_attempt = at;
     this->has_attempted = true;
--- a/libs/limits/include/hawthornlane/limits/active_programs.h
+++ b/libs/limits/include/hawthornlane/limits/active_programs.h
@@ -31,7 +31,7 @@
 class program_size_estimate {
 public:
   void record_start();
-  /// A program that was counted by `note_begin` asks for another call.
+  /// A program that was counted by `record_start` asks for another call.
   void record_call() { this->calls += 1; }
   /// Calls per program; 0 until enough programs have begun.
   [[nodiscard]] double mean() const;
@@ -47,7 +47,7 @@
 public:
   /// Calls that the manager's bucket must hold to admit another program: the manager's share of a
   /// whole program, and of the calls that the programs in progress have yet to make. `size`: calls
-  /// of a whole program. `part`: the manager's share, 0 to 1.
+  /// of a whole program. `share`: the manager's share, 0 to 1.
   [[nodiscard]] double needed(double size, double share, timestamp now) const;
   [[nodiscard]] bool contains(program_key program, timestamp now) const;
   /// The manager has granted a program's first call.
--- a/libs/limits/include/hawthornlane/limits/quota_manager.h
+++ b/libs/limits/include/hawthornlane/limits/quota_manager.h
@@ -90,7 +90,7 @@
   struct bucket {
     account_limit limit;
     limit_version version;
-    /// Calls that may be granted at the age `at`, seconds.
+    /// Calls that may be granted at the age `refilled_age`, seconds.
     double level = 0;
     double refilled_age = 0;
   };
@@ -112,7 +112,7 @@
   quota_tolerance tolerance;
   /// This host's share of each quota; 0: it is not a manager.
   double own_share = 0;
-  /// Age at `resumed`, seconds.
+  /// Age at `resumed_at`, seconds.
   double age_at_resume = 0;
   timestamp resumed_at{};
   std::unordered_map<client_account, bucket> buckets;
--- a/libs/limits/include/hawthornlane/limits/server_window.h
+++ b/libs/limits/include/hawthornlane/limits/server_window.h
@@ -44,7 +44,7 @@
 
 private:
   window_limits limits;
-  /// Calls. Invariant: between `least` and `most`.
+  /// Calls. Invariant: between `min_size` and `max_size`.
   double window_size;
 };
 
--- a/libs/limits/src/active_programs.cc
+++ b/libs/limits/src/active_programs.cc
@@ -6,8 +6,8 @@
 namespace hawthornlane {
 namespace {
 
-/// Decay of the counts per new program. Slow, so that a burst of a few seconds, whose programs are
-/// abandoned, does not lower the estimate.
+/// Decay of the counts per new program. Slow, so that an overload of a few seconds, whose programs
+/// are abandoned, does not lower the estimate.
 constexpr double decay = 0.99;
 /// Programs that must have begun before the estimate is used.
 constexpr double min_programs = 5;
--- a/libs/limits/test/active_programs_test.cc
+++ b/libs/limits/test/active_programs_test.cc
@@ -144,7 +144,8 @@
 /// turns and sub-programs after some.
 class simulated_account {
 public:
-  /// `holds_back`: requests mark the first call of a program, so that managers reserve calls.
+  /// `marks_first_calls`: requests mark the first call of a program, so that managers reserve
+  /// calls.
   simulated_account(std::uint64_t seed, double usual_calls, bool marks_first_calls)
       : random(seed),
         reserves_calls(marks_first_calls),
@@ -155,7 +156,8 @@
     }
   }
 
-  /// The load is `usual` calls a second, and `times` that during the burst from `rush_begins` on.
+  /// The load is `usual` calls a second, and `times` that during the overload from `overload_start`
+  /// on.
   void play(double usual, double times) {
     constexpr double length = overload_start + 30;
     constexpr double mean_calls = 16.2;
@@ -177,8 +179,8 @@
     }
   }
 
-  /// Time on idle servers of the programs of the burst, seconds: of all, and of those that ended in
-  /// time.
+  /// Time on idle servers of the programs of the overload, seconds: of all, and of those that ended
+  /// in time.
   double total_work = 0;
   double completed_work = 0;
 
@@ -319,7 +321,7 @@
 
 }  // namespace
 
-TEST_CASE("reservations let more programs finish in a burst and no fewer at the usual load") {
+TEST_CASE("reservations let more programs finish in an overload and no fewer at the usual load") {
   const double usual = GENERATE(4.0, 16.0);
   const double overload_without_reservations = completed_fraction(usual, 6.6, false);
   const double overload_with_reservations = completed_fraction(usual, 6.6, true);
--- a/libs/limits/test/quota_faults.h
+++ b/libs/limits/test/quota_faults.h
@@ -80,7 +80,7 @@
 
 inline void showValue(const fault& item, std::ostream& out) {
   constexpr std::array names{"kill",      "pause",  "cut",          "cut_store", "delay",
-                             "duplicate", "retire", "change_limit", "rush"};
+                             "duplicate", "retire", "change_limit", "overload"};
   out << "{" << names.at(static_cast<std::size_t>(item.kind)) << ", " << item.at_ms << ", "
       << item.length_ms << ", " << item.host << ", " << item.other << "}";
 }
--- a/libs/limits/test/quota_history_test.cc
+++ b/libs/limits/test/quota_history_test.cc
@@ -18,8 +18,8 @@
 
 constexpr duration history_length = 40s;
 /// Managers start with empty buckets, which are full by then.
-constexpr int first_moment_ms = 10'000;
-constexpr int last_moment_ms = 25'000;
+constexpr int earliest_start_ms = 10'000;
+constexpr int latest_start_ms = 25'000;
 /// Most faults begin within this time, so that they overlap.
 constexpr int fault_window_ms = 8'000;
 constexpr int short_fault_ms = 1'000;
@@ -33,13 +33,13 @@
   return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(begin, end));
 }
 
-rc::Gen<fault> random_fault(int moment_ms) {
+rc::Gen<fault> random_fault(int start_ms) {
   using enum fault_kind;
   return rc::gen::build<fault>(
       rc::gen::set(&fault::kind,
                    rc::gen::element(kill, kill, kill, pause, cut, cut, cut_store, cut_store, delay,
                                     duplicate, retire, change_limit, overload)),
-      rc::gen::set(&fault::at_ms, uniform_number(moment_ms, moment_ms + fault_window_ms)),
+      rc::gen::set(&fault::at_ms, uniform_number(start_ms, start_ms + fault_window_ms)),
       rc::gen::set(&fault::length_ms, rc::gen::oneOf(uniform_number(0, short_fault_ms),
                                                      uniform_number(0, long_fault_ms))),
       rc::gen::set(&fault::host, uniform_number(0, simulation::disk_hosts)),
@@ -49,12 +49,12 @@
 
 /// Faults around one time, during which the account requests much more than its quota.
 std::vector<fault> random_history() {
-  const int moment_ms = *uniform_number(first_moment_ms, last_moment_ms);
+  const int start_ms = *uniform_number(earliest_start_ms, latest_start_ms);
   const int count = *uniform_number(0, max_faults);
-  std::vector<fault> history{{fault_kind::overload, moment_ms + *uniform_number(0, fault_window_ms),
+  std::vector<fault> history{{fault_kind::overload, start_ms + *uniform_number(0, fault_window_ms),
                               *uniform_number(0, long_fault_ms), 0, 0}};
   for (int number = 0; number < count; ++number) {
-    history.push_back(*random_fault(moment_ms));
+    history.push_back(*random_fault(start_ms));
   }
   return history;
 }
@@ -83,7 +83,7 @@
   return history;
 }
 
-/// All managers restart during a burst, when their buckets are used up.
+/// All managers restart during an overload, when their buckets are used up.
 std::vector<fault> restarts_in_overload() {
   std::vector<fault> history{overload(15'000, 8'000)};
   for (int host = 0; host < simulation::managers; ++host) {
--- a/libs/limits/test/quota_manager_test.cc
+++ b/libs/limits/test/quota_manager_test.cc
@@ -195,7 +195,7 @@
 }
 
 TEST_CASE("a round does not end before a grant or the last response") {
-  enum class reply { grant, refusal, silence, not_kept };
+  enum class reply { grant, refusal, no_response, not_kept };
   struct row {
     std::vector<reply> replies;
     quota_decision decision;
@@ -204,8 +204,8 @@
       {{reply::grant}, quota_decision::granted},
       {{reply::refusal, reply::grant}, quota_decision::granted},
       {{reply::refusal, reply::refusal}, quota_decision::over_limit},
-      {{reply::refusal, reply::silence}, quota_decision::over_limit},
-      {{reply::silence, reply::silence}, quota_decision::unknown},
+      {{reply::refusal, reply::no_response}, quota_decision::over_limit},
+      {{reply::no_response, reply::no_response}, quota_decision::unknown},
       {{reply::not_kept, reply::not_kept}, quota_decision::unknown},
       {{}, quota_decision::unknown},
   }));
@@ -224,7 +224,7 @@
       case reply::not_kept:
         round.answered({quota_outcome::not_kept, {}});
         break;
-      case reply::silence:
+      case reply::no_response:
         round.failed();
         break;
     }
@@ -244,8 +244,8 @@
     }
   }
 
-  /// A call at a front host that reaches each manager with probability `reach` and loses each
-  /// response with probability `loss`.
+  /// A call at a front host that reaches each manager with probability `delivery_rate` and loses
+  /// each response with probability `response_loss_rate`.
   bool call(account_limit limit, double seconds, double delivery_rate, double response_loss_rate,
             std::uint64_t version = 1) {
     std::vector<std::size_t> order(this->managers.size());
--- a/libs/limits/test/quota_simulation.h
+++ b/libs/limits/test/quota_simulation.h
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Runs the history; between bursts the account requests less than its quota.
+  /// Runs the history; between overloads the account requests less than its quota.
   void play(const std::vector<fault>& history, duration length) {
     for (const fault& item : history) {
       this->after(std::chrono::milliseconds(item.at_ms), [this, item] { this->inject(item); });
@@ -118,7 +118,7 @@
   static constexpr duration round_timeout = std::chrono::milliseconds(400);
   /// Longest time until front hosts know a change of the managers; the store may reach them late.
   static constexpr duration set_propagation = std::chrono::seconds(5);
-  /// Requested rate as a multiple of the quota's rate, in a burst and otherwise.
+  /// Requested rate as a multiple of the quota's rate, in an overload and otherwise.
   static constexpr double overload_demand = 6;
   static constexpr double usual_demand = 0.5;
   static constexpr std::size_t max_log_records = 200;
@@ -330,8 +330,8 @@
     return this->bug == injected_bug::ignores_lease ||
            holds_quota_lease(view, this->clock_of(host));
   }
-  void ask_keeper(int host, const quota_request& request,
-                  const std::function<void(const quota_response&)>& reply) {
+  void ask_manager(int host, const quota_request& request,
+                   const std::function<void(const quota_response&)>& reply) {
     host_state& item = this->hosts.at(host);
     quota_response answer;
     if (this->holds_lease(item, host)) {
@@ -367,7 +367,7 @@
     }
     item.writing = true;
     const quota_record record = item.manager->take_changes(this->clock_of(item));
-    const auto diagnostic = std::make_shared<std::vector<std::function<void()>>>(
+    const auto ready_replies = std::make_shared<std::vector<std::function<void()>>>(
         std::exchange(item.unsent_replies, {}));
     this->after(std::chrono::milliseconds(1) + this->random_time(max_sync_time),
                 [=, this, start_count = item.start_count] {
@@ -378,7 +378,7 @@
                       writer.manager->forget_idle(this->clock_of(writer));
                       writer.log = {writer.manager->whole(this->clock_of(writer))};
                     }
-                    for (const std::function<void()>& send_reply : *diagnostic) {
+                    for (const std::function<void()>& send_reply : *ready_replies) {
                       send_reply();
                     }
                     writer.writing = false;
@@ -431,7 +431,7 @@
       });
     };
     this->send(disk_hosts + front, manager,
-               [=, this] { this->ask_keeper(manager, request, deliver_response); });
+               [=, this] { this->ask_manager(manager, request, deliver_response); });
     this->after(response_timeout, [=, this] { this->continue_call(front, call, until); });
   }
 
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
@@ -98,7 +98,7 @@
   copy = 104,
   /// Returns the disk's identity, its fence and how far it has copied.
   probe = 105,
-  /// Takes a call from a client account's quota (`quota_question`).
+  /// Takes a call from a client account's quota (`quota_request`).
   quota = 106,
 };
 
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_replica.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_replica.h
@@ -26,7 +26,7 @@
   /// Merges a record. True if it changed anything and has to be made durable.
   bool apply(const ledger_record& record);
   [[nodiscard]] std::vector<reservation> reservations_of(const program_id& program) const;
-  /// Returns the chain that ends with `last`; `known` and `turns` as in `chain_answer`.
+  /// Returns the chain that ends with `last`; `known` and `turns` as in `chain_response`.
   [[nodiscard]] chain_response chain_of(const request_id& last) const;
   /// Returns the records after a position, up to about `bytes` of text.
   [[nodiscard]] copy_page page_after(const copy_request& from, std::size_t bytes) const;
--- a/libs/turn_ledger/src/ledger_replica.cc
+++ b/libs/turn_ledger/src/ledger_replica.cc
@@ -16,25 +16,25 @@
   program_state& program = this->by_program[record.program];
   program.expires_at = std::max(program.expires_at, record.expires_at);
   const auto [found, is_new] = program.records.try_emplace(record.state.id, record);
-  ledger_record& held = found->second;
+  ledger_record& stored = found->second;
   bool changed = is_new;
   if (!is_new) {
-    held.expires_at = std::max(held.expires_at, record.expires_at);
-    if (record.state.phase > held.state.phase) {
-      held.state = record.state;
+    stored.expires_at = std::max(stored.expires_at, record.expires_at);
+    if (record.state.phase > stored.state.phase) {
+      stored.state = record.state;
       changed = true;
     }
-    if (record.turn && !held.turn) {
-      held.turn = record.turn;
+    if (record.turn && !stored.turn) {
+      stored.turn = record.turn;
       changed = true;
     }
   }
-  if (changed && held.turn && !this->chains.contains(record.state.id)) {
+  if (changed && stored.turn && !this->chains.contains(record.state.id)) {
     this->chains[record.state.id] = {record.program};
-    this->text_size += text_of(held);
+    this->text_size += text_of(stored);
   }
-  if (changed && held.turn) {
-    this->extend_chain(*held.turn, record.expires_at);
+  if (changed && stored.turn) {
+    this->extend_chain(*stored.turn, record.expires_at);
   }
   return changed;
 }
--- a/libs/turn_ledger/test/ledger_search_test.cc
+++ b/libs/turn_ledger/test/ledger_search_test.cc
@@ -190,7 +190,7 @@
     }
     model_state next = at;
     next.fronts[number] = front(next.set, static_cast<int>(number), this->budget());
-    next.steps += " hear" + std::to_string(number);
+    next.steps += " learn" + std::to_string(number);
     this->enqueue(next);
   }
 
