--- a/libs/cache/test/cache_test.cc
+++ b/libs/cache/test/cache_test.cc
@@ -1,4 +1,4 @@
-// Tests of residency, pauses and releases.
+// Tests of the cache model, the prediction of pauses and the releases of engine memory.
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/cache/pause_predictor.h"
@@ -14,19 +14,19 @@
 timestamp at(int seconds) { return timestamp(std::chrono::seconds(seconds)); }
 }  // namespace
 
-TEST_CASE("the mirror evicts the least recently used and protects recent ones") {
-  prefix_cache_model mirror(token_count(100));
-  mirror.use(one, token_count(60), at(0));
-  mirror.use(two, token_count(30), at(10));
-  CHECK_FALSE(mirror.would_evict_recent(token_count(10), std::chrono::seconds(5), at(11)));
-  CHECK_FALSE(mirror.would_evict_recent(token_count(60), std::chrono::seconds(5), at(11)));
-  CHECK(mirror.would_evict_recent(token_count(80), std::chrono::seconds(5), at(11)));
-  mirror.use(two, token_count(50), at(12));
-  CHECK_FALSE(mirror.holds(one));
-  CHECK(mirror.held() == token_count(50));
+TEST_CASE("the cache model does not evict out of LRU order or give up recently used prefixes") {
+  prefix_cache_model model(token_count(100));
+  model.use(one, token_count(60), at(0));
+  model.use(two, token_count(30), at(10));
+  CHECK_FALSE(model.would_evict_recent(token_count(10), std::chrono::seconds(5), at(11)));
+  CHECK_FALSE(model.would_evict_recent(token_count(60), std::chrono::seconds(5), at(11)));
+  CHECK(model.would_evict_recent(token_count(80), std::chrono::seconds(5), at(11)));
+  model.use(two, token_count(50), at(12));
+  CHECK_FALSE(model.holds(one));
+  CHECK(model.cached_tokens() == token_count(50));
 }
 
-TEST_CASE("a prefix is kept through short pauses and released through long ones") {
+TEST_CASE("prefixes are not released in short pauses or kept through long ones") {
   pause_predictor predictor;
   const service_name service("diagnosis");
   for (int sample = 0; sample < 50; ++sample) {
@@ -40,7 +40,7 @@
   CHECK(decide("mechanic") == retention::release);
 }
 
-TEST_CASE("a release is ordered again until the server confirms it") {
+TEST_CASE("a release that the server does not confirm is not forgotten") {
   release_tracker ledger({});
   ledger.sent(one, server, at(0));
   CHECK(ledger.ended(one, at(1)).size() == 1);
@@ -53,7 +53,9 @@
   CHECK(ledger.open_releases() == 0);
 }
 
-TEST_CASE("an order whose answer was lost ends with a later report, not an older one") {
+// The confirmation is lost. A report from before the release may lack the program for another
+// reason.
+TEST_CASE("a report from before a release does not end it, and a later one does") {
   release_tracker ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(10));
@@ -63,7 +65,7 @@
   CHECK(ledger.open_releases() == 0);
 }
 
-TEST_CASE("memory of programs that nobody here knows is ordered out by report") {
+TEST_CASE("memory of an unknown program in a report is not leaked") {
   release_tracker ledger({});
   const auto orders = ledger.reported({server, at(5), {one, two}}, at(6), {two});
   REQUIRE(orders.size() == 1);
@@ -72,7 +74,9 @@
   CHECK(ledger.tick(at(8)).size() == 1);
 }
 
-TEST_CASE("a program that goes on after its release was ordered is not released") {
+// Requests are repeated until they are confirmed. One that is repeated after the program has
+// continued would drop a prefix in use.
+TEST_CASE("a program that continues after its release was requested does not lose its memory") {
   release_tracker ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(1));
--- a/libs/limits/include/hawthornlane/limits/quota_round.h
+++ b/libs/limits/include/hawthornlane/limits/quota_round.h
@@ -1,5 +1,5 @@
-// Which keepers of quotas are asked for one call, and what their answers say. No I/O, clock or
-// randomness.
+// Which quota managers are asked for one call, and what follows from their responses. No I/O, clock
+// or randomness.
 #pragma once
 
 #include <algorithm>
@@ -13,39 +13,39 @@
 enum class quota_decision : std::uint8_t {
   undecided,
   granted,
-  /// All keepers that answer have given out their parts.
+  /// All managers that responded have used up their shares.
   over_limit,
-  /// No keeper answers.
+  /// No manager responded.
   unknown,
 };
 
-/// The questions for one call. Keepers are known by their place in the order in which they are
-/// asked, 0 first.
+/// The requests for one call. Managers are numbered from 0 in the order in which they are asked.
 class quota_round {
 public:
-  explicit quota_round(std::size_t keepers) : count(keepers) {}
+  explicit quota_round(std::size_t managers) : count(managers) {}
 
-  /// The next keeper, which counts as asked from now on; nothing when all were.
+  /// Returns the next manager and counts it as asked; empty when all have been asked.
   std::optional<std::size_t> ask_next() {
     if (this->asked == this->count) {
       return std::nullopt;
     }
     return this->asked++;
   }
-  /// The answer of a keeper that was asked; each gives one, or fails.
+  /// The response of a manager that was asked. Each of them responds once, or fails.
   void answered(const quota_response& answer) {
     ++this->ended;
     if (answer.outcome == quota_outcome::granted) {
       this->is_granted = true;
     }
     if (answer.outcome == quota_outcome::refused) {
-      this->soonest = std::min(this->soonest.value_or(answer.retry_after), answer.retry_after);
+      this->earliest_retry =
+          std::min(this->earliest_retry.value_or(answer.retry_after), answer.retry_after);
     }
   }
-  /// No answer will come.
+  /// No response will come from a manager that was asked.
   void failed() { ++this->ended; }
 
-  /// Some keeper was asked and may still answer.
+  /// A manager that was asked may still respond.
   [[nodiscard]] bool waits() const { return this->ended < this->asked; }
   [[nodiscard]] quota_decision decision() const {
     if (this->is_granted) {
@@ -56,15 +56,18 @@
     }
     return this->final_decision();
   }
-  /// What the answers so far say when there is no time for more.
+  /// The decision from the responses so far, when there is no time for more.
   [[nodiscard]] quota_decision final_decision() const {
     if (this->is_granted) {
       return quota_decision::granted;
     }
-    return this->soonest ? quota_decision::over_limit : quota_decision::unknown;
+    return this->earliest_retry ? quota_decision::over_limit : quota_decision::unknown;
+  }
+  /// The shortest time after which a manager can grant the call, counted from its response; zero
+  /// when no manager refused.
+  [[nodiscard]] duration retry_after() const {
+    return this->earliest_retry.value_or(duration::zero());
   }
-  /// The earliest moment, from the answers on, at which a keeper has room.
-  [[nodiscard]] duration retry_after() const { return this->soonest.value_or(duration::zero()); }
 
 private:
   // Invariant: ended <= asked <= count.
@@ -72,7 +75,7 @@
   std::size_t asked = 0;
   std::size_t ended = 0;
   bool is_granted = false;
-  std::optional<duration> soonest;
+  std::optional<duration> earliest_retry;
 };
 
 }  // namespace hawthornlane
