--- a/libs/front/include/hawthornlane/front/copy_intake.h
+++ b/libs/front/include/hawthornlane/front/copy_intake.h
@@ -1,4 +1,4 @@
-// Which host this host asks for a whole copy of what it lacks. No I/O or clock.
+// Chooses the peer from which this host fetches a copy of newer state. No I/O or clock.
 #pragma once
 
 #include <cstdint>
@@ -12,61 +12,61 @@
 
 namespace hawthornlane::front {
 
-/// Takes each new state once: of each kind one copy is under way at a time, and another
-/// host is asked only when the one before has refused or failed. Without that bound each
-/// host asked every host ahead of it: 585 copies for 23 hosts and one change of 700 KB,
-/// 34 MB waiting before one link of 30 Mbit/s (configuration_spread_test).
+/// Fetches each new state once: at most one copy of each kind is in flight, and another peer is
+/// asked only after the previous one has refused or failed. Without that bound each host asked
+/// every peer with newer state: 585 copies for 23 hosts and one change of 700 KB, with 34 MB queued
+/// for one link of 30 Mbit/s (configuration_spread_test).
 class copy_intake {
 public:
-  /// A host that knows more is asked only when it still knows more after this long:
-  /// mostly the store's own news are just on their way.
+  /// Delay before a peer with newer state is asked, if it is still ahead then: usually the message
+  /// of the host that read the store is about to arrive.
   static constexpr duration ask_after = std::chrono::milliseconds(120);
-  /// Before a host that gives enough copies already is asked again; twice as long after
-  /// each further refusal, up to `longest_busy_pause`. 60 hosts that all ask one host each
-  /// 40 ms would bring it 1,500 questions a second, about as many as an eighth of a core
-  /// can answer. Both grow with the hosts from `crowded_hosts` on, since one that reads the
-  /// store is asked by all of them. Were they to grow from 60 hosts on, hosts that are cut off
-  /// from a third of the others would wait too long for one that reaches them.
+  /// Backoff after a peer refuses because it is busy; doubles with each further refusal, up to
+  /// `longest_busy_pause`. 60 hosts that all ask one host every 40 ms would send it 1,500 requests
+  /// a second, about what an eighth of a core can answer. Above `crowded_hosts` hosts both limits
+  /// grow with the number of hosts, since all of them ask the host that reads the store. If they
+  /// grew from 60 hosts on, hosts that are cut off from a third of the others would wait too long
+  /// for one that they reach.
   static constexpr duration busy_pause = std::chrono::milliseconds(60);
   static constexpr duration longest_busy_pause = std::chrono::milliseconds(240);
   static constexpr std::size_t crowded_hosts = 120;
-  /// Between a refusal and the next question, whoever is asked.
+  /// Delay between a refusal and the next request to any peer.
   static constexpr duration question_pause = std::chrono::milliseconds(20);
-  /// Before a host that did not answer is asked again, others being asked meanwhile; four
-  /// times as long after each further failure, up to `longest_failed_pause`. A question to
-  /// a host that is cut off costs a second: when it was due again at each second choice, 60
-  /// hosts of which a fifth of all pairs was cut took 3.1 to 4.2 s for one change.
+  /// Backoff after a peer does not answer; other peers are asked meanwhile. Four times as long
+  /// after each further failure, up to `longest_failed_pause`. A request to an unreachable peer
+  /// costs a second. When such a peer was eligible again for every second choice, 60 hosts with a
+  /// fifth of all pairs cut needed 3.1 to 4.2 s for one change.
   static constexpr duration failed_pause = std::chrono::milliseconds(500);
   static constexpr duration longest_failed_pause = std::chrono::seconds(2);
 
-  /// Whether that host has answered this one lately.
+  /// Whether a peer has recently answered this host.
   using reaches_hook = std::function<bool(const host_id& other)>;
 
   explicit copy_intake(
       host_id own, reaches_hook answers = [](const host_id&) { return true; })
       : self(std::move(own)), reaches(std::move(answers)) {}
 
-  /// How many hosts may ask the same one, this one included.
+  /// Sets the number of hosts that may ask the same peer, including this host.
   void count_hosts(std::size_t count) { this->hosts = count; }
-  /// A host told whether it is ahead in one kind. `prompt`: what it has is news that
-  /// nobody else may tell.
+  /// Records whether peer `from` has newer state of a kind. `prompt`: `from` may be the only host
+  /// that has it, so it is asked without delay.
   void heard(copy_kind kind, const host_id& from, bool ahead, bool prompt, timestamp now);
-  /// The host to ask now, which then counts as asked. `urgent`: this host knows too
-  /// little to serve, so that nothing is waited for. A host that does not answer this one is
-  /// asked only when no other is ahead: it may be named by one that reaches it, or be heard
-  /// and not hear, and each question to it takes as long as a lost copy.
+  /// Chooses the peer to ask now and records the request. `urgent`: this host cannot serve without
+  /// the state, so it does not wait. A peer that does not answer this host is asked only when no
+  /// other has newer state: a third host that reaches it may have named it, or its messages may
+  /// arrive here while ours do not reach it, and each request to it takes as long as a lost copy.
   std::optional<host_id> next(copy_kind kind, bool urgent, timestamp now);
 
-  /// The host asked has given its copy.
+  /// The asked peer has sent its copy.
   void taken(copy_kind kind);
-  /// This host's own knowledge has changed: who is ahead has to be heard again.
+  /// This host's own state has changed: clears which peers have newer state.
   void renew(copy_kind kind);
-  /// It gives enough copies already, and named hosts that have taken theirs.
+  /// The asked peer refused because it is busy, and named hosts that already have the state.
   void busy(copy_kind kind, const std::vector<host_id>& holders, timestamp now);
-  /// It did not answer, or not with a copy.
+  /// The asked peer did not answer, or not with a valid copy.
   void failed(copy_kind kind, timestamp now);
   [[nodiscard]] const host_id& owner() const { return this->self; }
-  /// That host is gone.
+  /// Removes a peer that has failed.
   void forget(const host_id& gone);
 
 private:
@@ -74,7 +74,7 @@
     timestamp ahead_since{};
     bool prompt = false;
   };
-  /// A host that has refused or failed; kept until it gives a copy.
+  /// Backoff of a peer that has refused or failed; kept until it sends a copy.
   struct rest {
     timestamp until{};
     /// Refusals in a row.
@@ -84,15 +84,15 @@
   struct intake {
     std::map<host_id, source> ahead;
     std::map<host_id, rest> resting;
-    /// Invariant: at most one host is asked, and it counts as asked until one of
-    /// `taken`, `busy` and `failed`.
+    /// The peer with a request in flight. Invariant: at most one, until `taken`, `busy` or
+    /// `failed` is called.
     std::optional<host_id> asked;
-    /// So that each question goes to another of the hosts that are ahead.
+    /// Number of requests so far; spreads them over the peers with newer state.
     std::uint64_t questions = 0;
     timestamp quiet_until{};
   };
 
-  /// Before a host that has refused so often in a row is asked again.
+  /// Backoff after this many refusals in a row.
   [[nodiscard]] duration pause_after(int refusals) const;
 
   host_id self;
--- a/libs/front/include/hawthornlane/front/copy_messages.h
+++ b/libs/front/include/hawthornlane/front/copy_messages.h
@@ -1,4 +1,4 @@
-// Messages by which a host takes a whole copy of what another one knows.
+// Messages by which a host fetches a full copy of another host's state.
 #pragma once
 
 #include <array>
@@ -12,13 +12,13 @@
 
 namespace hawthornlane::front {
 
-/// What is copied between front hosts as a whole.
+/// Kinds of state that front hosts copy from each other as a whole.
 enum class copy_kind : std::uint8_t { configuration, backends, hosts, ledger };
 
 constexpr std::array all_copy_kinds{copy_kind::configuration, copy_kind::backends, copy_kind::hosts,
                                     copy_kind::ledger};
 
-/// One value for each kind of copy.
+/// Array of one value for each kind of copy.
 template <class Value>
 class per_copy_kind {
 public:
@@ -33,7 +33,7 @@
   std::array<Value, all_copy_kinds.size()> values;
 };
 
-/// Asks for a copy, or tells that it has been taken.
+/// Requests a copy, or confirms that it has arrived.
 struct copy_request {
   copy_kind kind = copy_kind::configuration;
   host_id asker;
@@ -44,21 +44,21 @@
   }
 };
 
-/// Nothing when the bytes are none, or name a kind that there is not.
+/// `nullopt` when the bytes are malformed or the kind is unknown.
 std::optional<copy_request> copy_request_from(const std::string& bytes);
 
-/// A copy, or where else to ask for it.
+/// A copy, or other hosts that have it.
 struct copy_answer {
-  /// Nothing: the host asked gives as many copies as it may already.
+  /// `nullopt`: the sender is already sending as many copies as it may.
   std::optional<std::string> copy;
-  /// Hosts that have taken theirs.
+  /// Hosts that have received their copy.
   std::vector<host_id> holders;
 };
 
-/// Bytes of the answer. A copy goes as it is, with one byte after it: an archive would
-/// hold a configuration of 1 MB four times while it is written.
+/// Encodes an answer. A copy is sent as it is, followed by one tag byte: an archive would hold a
+/// configuration of 1 MB in memory four times while writing it.
 std::string to_answer_bytes(copy_answer answer);
-/// Nothing when the bytes are no answer.
+/// `nullopt` when the bytes are malformed.
 std::optional<copy_answer> copy_answer_from(std::string bytes);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/fleet_copies.h
+++ b/libs/front/include/hawthornlane/front/fleet_copies.h
@@ -1,4 +1,4 @@
-// Whole copies of what front hosts know: packed for others, and taken from others.
+// Encodes copies of this host's state for other front hosts, and applies copies received from them.
 #pragma once
 
 #include <functional>
@@ -11,27 +11,27 @@
 
 namespace hawthornlane::front {
 
-/// What copies are made of and taken into, besides the state of the fleet.
+/// Sources and targets of copies, besides the fleet state.
 struct copy_hooks {
-  /// Decodes a configuration as hosts pass it on.
+  /// Decodes a configuration in the form in which hosts exchange it.
   std::function<std::optional<configuration>(const std::string& copy)> decode_configuration;
-  /// The newest set of disks that this host knows, if any.
+  /// The newest set of disks that this host has, if any.
   std::function<std::optional<ledger_set>()> ledger;
   std::function<void(const ledger_set&, const host_id& from)> take_ledger;
 };
 
-/// One host's knowledge as copies. For one thread.
+/// Copies of one host's state. Not thread-safe.
 class fleet_copies {
 public:
   fleet_copies(discovery::fleet_state& state, copy_hooks with)
       : fleet(state), hooks(std::move(with)) {}
 
-  /// Takes a copy into this host's beliefs; false when the bytes are none.
+  /// Applies a received copy to this host's state; false when the bytes are malformed.
   bool take(const host_id& from, copy_kind kind, const std::string& copy);
-  /// What this host knows of one kind, whole, made once for all that ask until `renew`; nothing
-  /// when it knows nothing.
+  /// This host's state of one kind, encoded once and cached until `renew`; `nullopt` when it has
+  /// none.
   const std::optional<std::string>& ready(copy_kind kind);
-  /// This host's knowledge of that kind has changed.
+  /// Discards the cached copy because this host's state of that kind has changed.
   void renew(copy_kind kind) { this->made[kind].reset(); }
 
 private:
--- a/libs/front/include/hawthornlane/front/front_host.h
+++ b/libs/front/include/hawthornlane/front/front_host.h
@@ -1,4 +1,4 @@
-// A front host: its listeners, its beliefs and its planned stop.
+// A front host: its listeners, its state and its planned stop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,18 +10,18 @@
 
 namespace hawthornlane::front {
 
-/// Runs on the io_context of one thread until `stopped` is called.
+/// Runs on the io_context of one thread; calls `stopped` when it may end.
 class front_host {
 public:
-  /// Listens at once; throws `boost::system::system_error` when it cannot.
+  /// Starts to listen; throws `boost::system::system_error` on failure.
   front_host(boost::asio::io_context& context, front_settings settings,
              std::function<void()> stopped);
   front_host(const front_host&) = delete;
   front_host& operator=(const front_host&) = delete;
   ~front_host();
 
-  /// Begins a planned stop: not ready at once, out of address answers, serving
-  /// until callers cannot know this host any more.
+  /// Begins a planned stop: the host is no longer ready and is left out of address answers at once.
+  /// It keeps serving until no caller can still hold its address.
   void stop();
 
   struct state;
--- a/libs/front/include/hawthornlane/front/front_settings.h
+++ b/libs/front/include/hawthornlane/front/front_settings.h
@@ -1,4 +1,4 @@
-// Settings of a front host on the users' platform.
+// Settings of a front host.
 #pragma once
 
 #include <optional>
@@ -10,30 +10,31 @@
 
 namespace hawthornlane::front {
 
-/// Everything that one front host is told at its start.
+/// All settings of one front host.
 struct front_settings : discovery::host_settings {
-  /// Where callers connect, where the platform asks for readiness, and where callers
-  /// ask for addresses.
+  /// Listen addresses: for callers, for readiness checks of the platform, and for callers that
+  /// look up addresses.
   http::endpoint callers_at;
   http::endpoint ready_at;
   http::endpoint directory_at;
-  /// How long callers may keep an answer of the directory.
+  /// How long callers may cache an address answer.
   duration address_time{};
-  /// Between the request to stop and the kill.
+  /// Time between the request to stop and the kill.
   duration grace{};
-  /// Memory that the process may use.
+  /// Memory limit of the process, MB.
   std::uint64_t memory_mb = 0;
-  /// Callers may want more than the servers can do, and servers may differ: the speed of servers
-  /// is learned.
+  /// Whether callers may demand more than the servers can serve, and servers may differ in speed.
+  /// The speed of each server is then learned.
   bool contended = false;
-  /// A call for a server that is full waits for a place at the server's keeper.
+  /// Whether a call for a full server queues at the directory host of that server.
   bool claims_places = false;
 };
 
-/// The keys that a settings file may hold.
+/// Keys and their rules for the settings file.
 const std::vector<key_rule>& front_schema();
 
-/// Reads and checks a settings text; on failure nothing, with every problem.
+/// Parses and checks a settings text; `nullopt` on failure, with all problems appended to
+/// `problems`.
 std::optional<front_settings> read_front_settings(std::string_view text,
                                                   std::vector<ini_problem>& problems);
 
--- a/libs/front/include/hawthornlane/front/gossip_messages.h
+++ b/libs/front/include/hawthornlane/front/gossip_messages.h
@@ -1,4 +1,4 @@
-// What hosts tell each other of the deployment, and its form on the wire.
+// Messages between front hosts and their wire format.
 #pragma once
 
 #include <cstdint>
@@ -32,30 +32,30 @@
 
 namespace hawthornlane::front {
 
-/// Methods between front hosts. 2 to 5 had another meaning: a host that still gives them
-/// one would send whole texts that nobody here reads.
+/// RPC methods between front hosts. Numbers 2 to 5 are not reused: older hosts may still send
+/// them with their former meaning, whole texts that this version does not read.
 enum class gossip_method : std::uint16_t {
   digest = 1,
-  /// Passes a question on to a disk host.
+  /// Forwards a request to a disk host.
   relay = 6,
-  /// Tells and asks the placement directory.
+  /// Updates and queries the placement directory.
   placements = 7,
-  /// Asks for a whole copy of one kind (`copy_request`).
+  /// Requests a full copy of one kind of state (`copy_request`).
   copy = 8,
-  /// The copy asked for has arrived (`copy_request`).
+  /// Confirms that a requested copy has arrived (`copy_request`).
   copy_taken = 9,
-  /// Claims a place at a server (`place_claim`).
+  /// Claims a place, a call slot of a backend server (`place_claim`).
   claim = 10,
-  /// Wants it no more (`place_grant`).
+  /// Withdraws a claim (`place_grant`).
   withdraw = 11,
-  /// Gives a place to a claim that waited (`place_grant`).
+  /// Grants a place to a waiting claim (`place_grant`).
   grant = 12
 };
 
-/// What one front host needs of one service.
+/// Demand of one front host for one service.
 struct service_demand {
   service_name service;
-  /// Calls at servers and waiting for one.
+  /// Calls running at servers plus calls waiting for one.
   std::uint32_t calls = 0;
 
   friend bool operator==(const service_demand&, const service_demand&) = default;
@@ -66,25 +66,25 @@
   }
 };
 
-/// What one front host knows and is, as told to another.
+/// Status of a front host and the versions of the state it has, as sent to its peers.
 struct gossip_digest {
   host_entry self;
   bool ready = false;
   bool leaving = false;
-  /// Disk hosts that this host reaches itself.
+  /// Number of disk hosts that this host reaches directly.
   std::uint32_t disks_reached = 0;
-  /// 0: none yet.
+  /// 0: no configuration yet.
   config_version configuration;
-  /// When the backend servers last changed as far as this host knows.
+  /// Store revision of the last change of the backend servers that this host has.
   store_revision backends_changed_at;
   store_revision hosts_at;
-  /// Epoch of the newest set of disks that this host knows; 0: none.
+  /// Epoch of the newest set of disks that this host has; 0: none.
   set_epoch ledger_at;
-  /// The newest read of the store that this host knows of: whose, and how old. No
-  /// name: none yet.
+  /// The newest store read by any host that this host has learned of: the reading host and the
+  /// age. An empty name: no read yet.
   host_id checked_by;
   duration checked_ago{};
-  /// Services of which this host needs something.
+  /// Services with a demand above zero.
   std::vector<service_demand> demand;
 
   template <class Archive>
@@ -97,14 +97,14 @@
   }
 };
 
-/// Short name of a host between hosts: four bytes in place of some thirty.
+/// Hash of a host name, used in messages: four bytes in place of about thirty.
 using host_key = strong_value<struct host_key_tag, std::uint32_t>;
 host_key host_key_of(const host_id& host);
 
-/// A probe, and the answer to one.
+/// A probe, and also the answer to one.
 struct probe_message {
   gossip_digest digest;
-  /// Hosts that do not answer the one that tells this.
+  /// Hosts that the sender suspects because they do not answer its probes.
   std::vector<host_key> suspected;
 
   template <class Archive>
@@ -113,11 +113,11 @@
   }
 };
 
-/// Nothing when the bytes are none. Hosts of the first format send the digest alone, and
-/// read no further than that.
+/// `nullopt` when the bytes are malformed. Hosts with the first message format send only the
+/// digest and ignore what follows it.
 std::optional<probe_message> probe_message_from(const std::string& bytes);
 
-/// One host's whole registry of one kind of entry.
+/// All entries of one registry of a host, as of revision `at`.
 template <class Entry>
 struct registry_snapshot {
   store_revision at;
@@ -129,7 +129,7 @@
   }
 };
 
-/// A question to a disk host, passed on by a front host that reaches it.
+/// A request to a disk host, forwarded by a front host that reaches it.
 struct relayed_question {
   disk_id disk;
   std::uint16_t method = 0;
--- a/libs/front/include/hawthornlane/front/gossip_news.h
+++ b/libs/front/include/hawthornlane/front/gossip_news.h
@@ -1,4 +1,4 @@
-// What another host knows that this one does not. No I/O.
+// Which kinds of state a peer has in a newer version. No I/O.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,9 @@
 
 namespace hawthornlane::front {
 
-/// How far a host's knowledge of each kind goes.
+/// Version of each kind of state that a host has.
 struct known_state {
-  /// Nothing: none yet.
+  /// `nullopt`: no configuration yet.
   std::optional<config_version> configuration;
   store_revision backends_changed_at;
   store_revision hosts_at;
@@ -19,9 +19,9 @@
   friend bool operator==(const known_state&, const known_state&) = default;
 };
 
-/// The kinds of which another host has something newer. Only these are fetched from it:
-/// when all four were, a change of one server's entry had 56 hosts fetch 30 KB each from a
-/// host with a link of 30 Mbit/s, which was deaf for 0.4 s and cut off a call.
+/// The kinds of state of which a peer has a newer version. Only these are fetched. When all four
+/// were fetched, a change of one server entry made 56 hosts fetch 30 KB each from one host with a
+/// link of 30 Mbit/s; that host did not respond for 0.4 s and a call was cut off.
 struct gossip_news {
   bool configuration = false;
   bool backends = false;
--- a/libs/front/include/hawthornlane/front/host_report.h
+++ b/libs/front/include/hawthornlane/front/host_report.h
@@ -1,4 +1,4 @@
-// What a front host tells of itself: its metrics as text, and a line when its memory fills.
+// Reports of a front host: its metrics as text, and a log line when its memory use is high.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace hawthornlane::front {
 
-/// The host's parts that count something. They outlive the report.
+/// Components that the metrics are read from. They must outlive the report.
 struct report_sources {
   call_metrics& metrics;
   const platform_adapter::store_client& store;
@@ -23,22 +23,22 @@
   const call_service& calls;
   const peer_gossip& gossip;
   const peer_traffic& traffic;
-  /// Callers' connections that are open.
+  /// Number of open connections of callers.
   std::function<std::size_t()> connections;
-  /// Bytes of answers to other hosts that wait for the link.
+  /// Bytes of answers to other hosts that are queued for the link.
   std::function<std::size_t()> peer_bytes_waiting;
-  /// Memory that the process may use, bytes.
+  /// Memory limit of the process, bytes.
   std::size_t memory_limit = 0;
 };
 
-/// For one thread.
+/// Not thread-safe.
 class host_report {
 public:
   explicit host_report(report_sources sources);
 
-  /// All metrics, one a line.
+  /// All metrics, one per line.
   std::string metrics_text();
-  /// Says once what fills the memory, before the kernel ends the process for it.
+  /// Logs once what uses the memory, before the kernel kills the process for exceeding its limit.
   void watch_memory();
 
 private:
@@ -47,7 +47,7 @@
   void set_traffic_metrics();
 
   report_sources from;
-  /// Said in the log; falls back when the memory is free again.
+  /// Whether high memory use has been logged; reset when enough memory is free again.
   bool memory_high = false;
 };
 
--- a/libs/front/include/hawthornlane/front/loop_lateness.h
+++ b/libs/front/include/hawthornlane/front/loop_lateness.h
@@ -1,7 +1,8 @@
-// How long this host's own event loop has stood still. No I/O or clock: passes are told.
+// Measures the lag of this host's event loop. No I/O or clock: the caller reports each pass.
 //
-// Answers a host that waits for its share of the processor, as all do at a start of 300 hosts:
-// answers to its probes lie unread meanwhile, and by the time alone it would suspect everybody.
+// Avoids false suspicions on a host that waits for CPU time, as all hosts do when 300 start at
+// once: answers to its probes are unread meanwhile, and by elapsed time alone it would suspect
+// every peer.
 #pragma once
 
 #include <algorithm>
@@ -10,21 +11,21 @@
 
 namespace hawthornlane::front {
 
-/// Sums up the time by which passes of the event loop came late.
+/// Sums up the delays of event loop passes.
 class loop_lateness {
 public:
-  /// A pass that comes this long after the one before is not late: two paces of the sweeper that
-  /// brings them about, 25 ms each.
+  /// The longest interval between two passes that does not count as lag: two periods of the
+  /// sweeper that drives the passes, 25 ms each.
   static constexpr duration fair_gap = std::chrono::milliseconds(50);
 
   explicit loop_lateness(timestamp now) : last_pass(now) {}
 
-  /// The event loop has come round again.
+  /// Records a pass of the event loop.
   void pass(timestamp now) {
     this->sum = this->total(now);
     this->last_pass = now;
   }
-  /// Since the start, the gap that lasts included; only rises.
+  /// Total lag since the start, including the current interval. Never decreases.
   [[nodiscard]] duration total(timestamp now) const {
     const duration over = now - this->last_pass - fair_gap;
     return this->sum + std::max(over, duration::zero());
--- a/libs/front/include/hawthornlane/front/peer_gossip.h
+++ b/libs/front/include/hawthornlane/front/peer_gossip.h
@@ -1,5 +1,5 @@
-// Front hosts tell each other that they live and what they know, so that news
-// reach a host that the store turns away.
+// Gossip between front hosts: failure detection, and exchange of state, so that updates also reach
+// a host whose requests the store rejects.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,19 +27,19 @@
 
 namespace hawthornlane::front {
 
-/// What the gossip takes from and gives to the rest of the host.
+/// Callbacks into the rest of the host.
 struct gossip_hooks : copy_hooks {
-  /// What this host is and knows.
+  /// Builds this host's current digest.
   std::function<gossip_digest()> self;
-  /// Whether what waits to be sent to other hosts leaves room for one more copy.
+  /// Whether the send queue to other hosts has room for one more copy.
   std::function<bool()> may_give_copy = [] { return true; };
-  /// Counts what this host asks of other front hosts.
+  /// Counts the bytes of this host's requests to its peers.
   peer_traffic traffic;
 };
 
-/// Whole copies of what hosts know (configuration, registries, set of disks), counted.
+/// Counters of state copies (configuration, registries, set of disks).
 struct copy_counters {
-  /// Questions that were put off, since the host asked gave enough copies already.
+  /// Requests that the peer refused because it was already sending as many copies as it may.
   std::uint64_t put_off = 0;
   std::uint64_t asked = 0;
   std::uint64_t taken = 0;
@@ -49,7 +49,7 @@
   std::uint64_t bytes_given = 0;
 };
 
-/// One host's talk with the other front hosts. For one thread.
+/// One host's gossip with the other front hosts. Not thread-safe.
 class peer_gossip {
 public:
   peer_gossip(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
@@ -58,27 +58,27 @@
   peer_gossip& operator=(const peer_gossip&) = delete;
   ~peer_gossip();
 
-  /// Serves another front host; nothing when the request is malformed.
+  /// Serves a request of a peer; `nullopt` when it is malformed.
   std::optional<std::string> serve(gossip_method method, const std::string& payload);
-  /// The front hosts may have changed.
+  /// Updates the peers from the host registry.
   void refresh_hosts();
-  /// Probes the others when it is time to.
+  /// Sends the probes and copy requests that are due. Called at each pass of the event loop.
   void tick();
-  /// Tells everybody at once: what was just read from the store, or a planned stop.
+  /// Probes all peers at once, to publish new state from the store or a planned stop.
   void tell_all();
 
-  /// Has a front host that reaches disk hosts pass a question on.
+  /// Sends a request to a disk host through a peer that reaches disk hosts.
   void relay(const relayed_question& question, duration limit, net::rpc_done done);
-  /// This host's place among the front hosts that live, by name.
+  /// This host's index among the live front hosts, ordered by name.
   [[nodiscard]] std::size_t rank() const;
-  /// Where callers reach the front hosts that are ready, this one left out.
+  /// Entries of the live peers that are ready and not leaving.
   [[nodiscard]] std::vector<host_entry> ready_hosts() const;
-  /// The other front hosts that live and stay.
+  /// Names of the live peers that are not leaving.
   [[nodiscard]] std::vector<host_id> live_hosts() const;
-  /// Sends a message to one of them.
+  /// Sends a request to a peer.
   void send(const host_id& to, gossip_method method, const std::string& payload,
             net::rpc_done done);
-  /// What the other front hosts that live need of the services.
+  /// Demand of all live peers, one entry per peer and service.
   [[nodiscard]] std::vector<service_demand> demand_of_others() const;
   [[nodiscard]] const copy_counters& counters() const { return this->counts; }
 
@@ -86,35 +86,35 @@
   struct peer;
 
   [[nodiscard]] std::chrono::milliseconds probe_pause() const;
-  /// After this long without a word another host counts as gone.
+  /// A peer that has sent nothing for this long counts as failed.
   [[nodiscard]] std::chrono::milliseconds silence() const;
   [[nodiscard]] watch_pace pace() const;
-  /// Notes which hosts no longer count as living.
+  /// Marks and logs the peers that no longer count as live.
   void note_silent();
   void probe(peer& other, const std::string& payload);
-  /// Calls another front host, and counts the bytes.
+  /// Sends a request to a peer and counts the bytes.
   void call(peer& other, gossip_method method, std::string payload, duration limit,
             net::rpc_done done);
   [[nodiscard]] bool turn_due(const peer& other) const;
-  /// Probes whom it is this host's turn to probe, and some of those whom others suspect.
+  /// Probes the peers whose regular probe is due, and some of those that others suspect.
   void probe_due_ones();
-  /// What this host tells with a probe, and in answer to one.
+  /// The message sent as a probe and as the answer to one.
   [[nodiscard]] const std::string& probe_bytes();
   /// The hosts that this host suspects.
   [[nodiscard]] std::set<host_key> suspected() const;
   void hear(peer& other, const probe_message& message);
   void hear_suspicions(const host_id& from, const std::vector<host_key>& suspected);
-  /// How far this host's own knowledge goes.
+  /// Versions of this host's state.
   [[nodiscard]] known_state known() const;
-  /// Whether another host still counts as one that lives.
+  /// Whether a peer counts as live.
   [[nodiscard]] bool lives(const peer& other) const;
-  /// Whether another host has lately answered this one; one that lives may be cut off in this
-  /// direction.
+  /// Whether a peer has answered a request of this host within the silence timeout. A live peer
+  /// may be unreachable in this direction only.
   [[nodiscard]] bool reaches(const host_id& other) const;
-  /// Hears again who is ahead once this host's own knowledge has changed.
+  /// Compares the peers' versions again once this host's own state has changed.
   void note_progress();
   void hear_again(copy_kind kind);
-  /// Asks for the copies of which one is due.
+  /// Requests the copies that are due.
   void ask_due();
   void ask(const std::shared_ptr<peer>& other, copy_kind kind);
   void take_answer(const host_id& from, copy_kind kind, std::string bytes);
@@ -128,17 +128,17 @@
   gossip_hooks hooks;
   std::map<host_id, std::shared_ptr<peer>> peers;
   timestamp next_look{};
-  /// Invariant: those made are of `last_known`.
+  /// Invariant: cached copies are of the versions in `last_known`.
   fleet_copies copies;
   suspicion_limits limits;
   loop_lateness lateness;
-  /// Invariant: expires at each look and with each change of `last_known`.
+  /// Invariant: expires at each probe round and with each change of `last_known`.
   probe_encoder encoder;
   known_state last_known;
   copy_intake intake;
   copy_outlet outlet;
   copy_counters counts;
-  /// Gone with this object, which answers of other hosts may outlive.
+  /// Expires with this object; answers of peers may arrive later.
   std::shared_ptr<bool> lifetime = std::make_shared<bool>(true);
 };
 
--- a/libs/front/include/hawthornlane/front/peer_traffic.h
+++ b/libs/front/include/hawthornlane/front/peer_traffic.h
@@ -1,4 +1,4 @@
-// Counts the bytes that this host exchanges with others, by what they are for.
+// Counts the bytes exchanged with other hosts, by purpose.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace hawthornlane::front {
 
-/// What a message between hosts is for.
+/// Purpose of a message between hosts.
 enum class traffic_kind : std::uint8_t { probes, copies, directory, relays, disks };
 
 constexpr std::array all_traffic_kinds{traffic_kind::probes, traffic_kind::copies,
@@ -20,22 +20,22 @@
                                        traffic_kind::disks};
 
 std::string_view name_of(traffic_kind kind);
-/// Of a message between front hosts; what this host does not know counts as probes.
+/// Kind of a message between front hosts; unknown methods count as probes.
 traffic_kind kind_of(gossip_method method);
 
-/// Bytes of requests and answers; heads of frames, below 20 bytes each, are left out.
+/// Bytes of requests and answers, without frame headers (below 20 bytes each).
 struct traffic_bytes {
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
 };
 
-/// The counters. Copies of it count together, and may outlive each other. For one thread.
+/// Byte counters. Copies share the counters and may outlive each other. Not thread-safe.
 class peer_traffic {
 public:
-  /// Counts a request of this host, and its answer when there is one.
+  /// Counts a request of this host, and its answer if one arrives.
   [[nodiscard]] net::rpc_done call(traffic_kind kind, std::size_t request,
                                    net::rpc_done done) const;
-  /// Counts a request of another host, and the answer that it gets.
+  /// Counts a request of another host, and the answer sent to it.
   [[nodiscard]] net::rpc_reply serve(traffic_kind kind, std::size_t request,
                                      net::rpc_reply reply) const;
   [[nodiscard]] const traffic_bytes& of(traffic_kind kind) const {
--- a/libs/front/include/hawthornlane/front/peer_watch.h
+++ b/libs/front/include/hawthornlane/front/peer_watch.h
@@ -1,10 +1,10 @@
-// What one front host believes of another one: whether it lives, and when to probe it. No
-// I/O, clock or randomness.
+// Failure detector for one peer: whether it is live, and when to probe it. No I/O, clock or
+// randomness.
 //
-// Answers the loss of many hosts of a large deployment. By its own silence alone a death was
-// noticed after three pauses between probes, which grow with the number of hosts: 4 s among
-// 83 hosts, 16 s among 340, while callers were still sent there and waited a second each.
-// So hosts tell each other whom they suspect, and each asks for itself before it believes.
+// Keeps detection fast when hosts of a large deployment fail. Detection by silence alone took three
+// probe intervals, which grow with the number of hosts: 4 s with 83 hosts, 16 s with 340. Meanwhile
+// callers were still sent to the failed hosts and waited a second each. So hosts share their
+// suspicions, and each host confirms a suspicion with a probe of its own.
 #pragma once
 
 #include <set>
@@ -15,41 +15,43 @@
 
 namespace hawthornlane::front {
 
-/// Pauses of a host that watches others.
+/// Intervals of failure detection.
 struct watch_pace {
-  /// Between two probes of a pair of hosts.
+  /// Interval between two probes of a pair of hosts.
   duration pause{};
-  /// After this long without a word another host counts as gone, whatever others say.
+  /// A peer that has sent nothing for this long counts as failed, whatever others report.
   duration silence{};
 };
 
-/// One other host, as this host sees it.
+/// Failure detector for one peer.
 class peer_watch {
 public:
-  /// `phase_of_pair`, from 0 to 1, is the part of a pause after which the pair's probes begin:
-  /// hosts that start together would else probe each other at the same moments for ever, and a
-  /// death just after one of these be noticed a whole pause later.
+  /// `phase_of_pair`, from 0 to 1, is the fraction of the probe interval after which the pair
+  /// starts to probe. Without it, hosts that start together would always probe each other at the
+  /// same times, and a failure just after such a time would be detected a whole interval later.
   peer_watch(timestamp now, double phase_of_pair)
       : since(now), phase(phase_of_pair), last_heard(now), asked(now) {}
 
-  /// Any word of the other host came.
+  /// Records that a message of the peer has arrived.
   void heard(timestamp now);
   void was_probed(timestamp now);
-  /// `late`: for how long this host's own event loop has been late until now, in all.
+  /// `late`: total lag of this host's event loop so far.
   void probe_sent(timestamp now, duration late = {});
   void probe_answered(timestamp sent);
-  /// `late_meanwhile`: for how long the event loop was late while the probe waited.
+  /// `late_meanwhile`: lag of the event loop while the probe was in flight.
   void probe_failed(timestamp sent, duration late_meanwhile = {});
-  /// Another host has told that it suspects this one.
+  /// Records that `other` suspects this peer.
   void told_by(const host_id& other, timestamp now);
 
-  /// An own probe has failed, or waits for long already, and no word came since: worth
-  /// telling others, who then ask for themselves. Time in which this host's event loop was late
-  /// does not count as waiting, for an answer may lie unread; `late` as in `probe_sent`.
+  /// Whether an own probe has failed or has been unanswered for long, with no message of the peer
+  /// since. A suspicion is reported to the other hosts, which then probe the peer themselves. Event
+  /// loop lag does not count as waiting, since an answer may be unread; `late` as in `probe_sent`.
   [[nodiscard]] bool suspected(timestamp now, duration late = {}) const;
-  /// Others suspect it, and this host has neither heard nor asked it since.
+  /// Whether others suspect the peer and this host has neither received a message of it nor probed
+  /// it since.
   [[nodiscard]] bool doubted(timestamp now) const;
-  /// By the turns of the pair, whatever others say; `goes_first` as in `is_probe_due`.
+  /// Whether the regular probe of this pair is due, whatever others report; `goes_first` as in
+  /// `is_probe_due`.
   [[nodiscard]] bool turn_due(bool goes_first, const watch_pace& pace, timestamp now) const;
   [[nodiscard]] bool lives(const watch_pace& pace, timestamp now) const;
 
@@ -58,12 +60,14 @@
   timestamp since;
   double phase;
   timestamp last_heard;
-  /// The first probe since the last word; before that word when there is none.
+  /// Time of the first probe since the last message of the peer; not later than that message when
+  /// there was none.
   timestamp asked;
-  /// How late the event loop had been by then, in all.
+  /// Total event loop lag at that time.
   duration late_when_asked{};
   bool failed = false;
-  /// Who has told of a suspicion since the last word. Invariant: no more than a belief needs.
+  /// Hosts that have reported a suspicion since the last message of the peer. Invariant: at most as
+  /// many as a decision needs.
   std::set<host_id> told;
   timestamp last_told{};
 };
--- a/libs/front/include/hawthornlane/front/planned_stop.h
+++ b/libs/front/include/hawthornlane/front/planned_stop.h
@@ -1,4 +1,4 @@
-// When a front host that is to leave turns calls away, and when it may end. No I/O or clock.
+// Decides when a stopping front host rejects calls and when it may exit. No I/O or clock.
 #pragma once
 
 #include <chrono>
@@ -8,26 +8,27 @@
 
 namespace hawthornlane::front {
 
-/// `since`: the time since the planned stop began.
+/// Rules of a planned stop. Parameter `since`: time since the stop began.
 struct planned_stop {
-  /// From the beginning of the stop until the process is killed.
+  /// Time from the beginning of the stop until the process is killed.
   duration grace{};
-  /// How long an answer to callers who ask for addresses stays good.
+  /// How long an address answer is valid.
   duration address_time{};
 
-  /// Callers keep an address answer up to three times as long as it says.
+  /// Callers may keep an address answer for up to three times its validity.
   static constexpr int longest_keep_factor = 3;
-  /// Before the kill, so that what is still under way ends by itself.
+  /// With calls still in flight the host exits this long before the kill, so that it ends by
+  /// itself.
   static constexpr duration stop_margin = std::chrono::milliseconds(400);
-  /// Calls that come this long before the end are turned away: callers then find
-  /// another host, while a call taken now might be cut by the kill.
+  /// Calls that arrive within this time before the kill are rejected, since the kill might cut them
+  /// off; callers then use another host.
   static constexpr duration turn_away_before = std::chrono::milliseconds(3200);
 
   [[nodiscard]] bool turns_away(duration since) const {
     return since >= this->grace - turn_away_before;
   }
 
-  /// Callers cannot know the host any more, or find it turning them away.
+  /// Whether no caller can still hold an address answer with this host, or calls are rejected.
   [[nodiscard]] bool is_forgotten(duration since) const {
     return since >= this->address_time * longest_keep_factor || this->turns_away(since);
   }
--- a/libs/front/include/hawthornlane/front/probe_encoder.h
+++ b/libs/front/include/hawthornlane/front/probe_encoder.h
@@ -1,5 +1,4 @@
-// The bytes of this host's probes and answers to probes, encoded once for many of them. No I/O or
-// clock.
+// Caches the encoded message of this host's probes and probe answers. No I/O or clock.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +9,24 @@
 
 namespace hawthornlane::front {
 
-/// Answers a start of many hosts: each sends some hundred probes and as many answers at once, and
-/// to encode one means to look at all other hosts and all services.
+/// Encodes the message once for many probes. When many hosts start, each sends some hundred probes
+/// and as many answers at once, and encoding one visits all peers and all services.
 class probe_encoder {
 public:
   [[nodiscard]] bool is_stale() const { return this->bytes.empty(); }
-  /// What the message says has changed, or may have.
+  /// Marks the message stale because its content has changed or may have changed.
   void expire() { this->bytes.clear(); }
-  /// `message` as of `now`.
+  /// Encodes `message` as of `now`.
   void renew(const probe_message& message, timestamp now);
-  /// The message with the age that the newest read of the store has by now: ages that were told
-  /// too low would keep a read young for ever, from host to host. Not while stale.
+  /// The message with the age of the newest store read as of `now`. Ages reported too low would
+  /// keep a read fresh forever as hosts pass it on. Precondition: not stale.
   [[nodiscard]] const std::string& encoded(timestamp now);
 
 private:
   std::string bytes;
-  /// Where the age of the newest read begins. Invariant: 8 bytes of `bytes`, unless stale.
+  /// Offset of the age of the newest read. Invariant: 8 bytes within `bytes`, unless stale.
   std::size_t age_at = 0;
-  /// When the newest read was; its age is told only when there is one.
+  /// Time of the newest read; valid only if `has_checked`.
   timestamp checked_at{};
   bool has_checked = false;
 };
--- a/libs/front/include/hawthornlane/front/probe_turns.h
+++ b/libs/front/include/hawthornlane/front/probe_turns.h
@@ -1,25 +1,25 @@
-// Which of two front hosts probes the other one next. No I/O, clock or randomness.
+// Decides which of two front hosts sends the next probe. No I/O, clock or randomness.
 #pragma once
 
 #include "hawthornlane/units/quantities.h"
 
 namespace hawthornlane::front {
 
-/// Probes between this host and one other.
+/// Times of the last probes between this host and one peer.
 struct probe_moments {
-  /// When this host last sent one.
+  /// When this host last sent a probe.
   timestamp tried{};
-  /// When it last sent one that was answered.
+  /// When this host sent the last probe that was answered.
   timestamp probed{};
-  /// When the other host's last probe came.
+  /// When the last probe of the peer arrived.
   timestamp was_probed{};
 };
 
-/// Whether this host probes the other one now. A probe and its answer tell both hosts all
-/// that they would tell each other, so they take turns, one probe a `pause`: were both to probe
-/// at every pause, 83 hosts would send 5,200 a second (worked out), of which half tell nothing
-/// new. A probe that fails is sent again sooner, by either host.
-/// `goes_first` is true for one of the two: its turn it is when both probed at once.
+/// Whether this host probes the peer now. A probe and its answer carry the state of both hosts, so
+/// the two take turns, one probe per `pause`. If both probed at every `pause`, 83 hosts would send
+/// 5,200 probes a second (calculated), half of them redundant. A failed probe is retried sooner, by
+/// either host. `goes_first` is true for exactly one of the two hosts, which probes next after both
+/// probed at the same time.
 [[nodiscard]] bool is_probe_due(const probe_moments& moments, bool goes_first, duration pause,
                                 timestamp now);
 
--- a/libs/front/include/hawthornlane/front/suspicion_limits.h
+++ b/libs/front/include/hawthornlane/front/suspicion_limits.h
@@ -1,9 +1,9 @@
-// How many suspected hosts a message names, and how many hosts are probed because others suspect
-// them. No I/O, clock or randomness.
+// Limits the suspected hosts named in a message, and the probes sent because others suspect a host.
+// No I/O, clock or randomness.
 //
-// Answers the start of many hosts at once, and any moment at which all of them are slow. Each
-// then suspects most others; without limits a message named up to 300 hosts, each name brought a
-// probe, and the probes made all hosts slower still.
+// Avoids overload when many hosts start at once or all of them are slow. Each host then suspects
+// most others. Without limits a message named up to 300 hosts, each name caused a probe, and the
+// probes slowed all hosts down further.
 #pragma once
 
 #include <cstddef>
@@ -14,38 +14,39 @@
 
 namespace hawthornlane::front {
 
-/// Takes a few of a set of hosts at a time, so that each gets its turn.
+/// Selects a few hosts of a set at a time, round robin.
 class host_rotation {
 public:
-  /// At most `most` of these, beginning after the last one taken before.
+  /// At most `most` hosts of `all`, starting after the last one selected before.
   [[nodiscard]] std::vector<host_key> next(const std::set<host_key>& all, std::size_t most);
 
 private:
   host_key last;
 };
 
-/// One host's limits on what suspicions cost it and others.
+/// One host's limits on the cost of suspicions, for itself and for its peers.
 class suspicion_limits {
 public:
-  /// Four bytes each: a message stays below 0.5 KB at any number of hosts. All of half of 83
-  /// hosts, when these die at once, fit into one message.
+  /// Hosts named in one message. Four bytes each: a message stays below 0.5 KB for any number of
+  /// hosts. If half of 83 hosts fail at once, all of them fit into one message.
   static constexpr std::size_t most_named = 48;
-  /// Between two looks of 0.1 s: 120 probes a second, four times what a host sends of itself.
-  /// Half of 83 hosts are asked within 0.4 s.
+  /// Probes per probe round of 0.1 s on reports of others: 120 a second, four times the regular
+  /// probes of a host. Half of 83 hosts are probed within 0.4 s.
   static constexpr std::size_t most_probes = 12;
 
-  /// The hosts that the next message names, of all that this host suspects.
+  /// Selects the hosts that the next message names, of all that this host suspects.
   [[nodiscard]] std::vector<host_key> to_name(const std::set<host_key>& suspected);
-  /// A new look begins: the hosts to probe now, of all that others suspect and this host has not
-  /// asked since. The rest waits for the next look.
+  /// Starts a probe round and selects the hosts to probe, of all that others suspect and this host
+  /// has not probed since. The others wait for the next round.
   [[nodiscard]] std::vector<host_key> to_probe(const std::set<host_key>& doubted);
-  /// Whether one more such host may be probed before the next look; it then counts as probed.
+  /// Whether one more host may be probed on a report of others before the next round; if so, it is
+  /// counted.
   [[nodiscard]] bool admit_probe();
 
 private:
   host_rotation naming;
   host_rotation probing;
-  /// Invariant: at most `most_probes`; since the last look.
+  /// Probes of the current round. Invariant: at most `most_probes`.
   std::size_t probed = 0;
 };
 
--- a/libs/front/src/configuration_copy.cc
+++ b/libs/front/src/configuration_copy.cc
@@ -1,4 +1,4 @@
-// The form in which hosts pass a configuration on.
+// Encoding of a configuration that hosts exchange.
 #include "configuration_copy.h"
 
 #include <utility>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The store takes values of 1 MB; a text of more than this is not unpacked.
+/// The store accepts values of up to 1 MB; a text larger than this is not unpacked.
 constexpr std::size_t largest_configuration = std::size_t{4} * 1024 * 1024;
 
 }  // namespace
@@ -21,7 +21,7 @@
 std::optional<configuration> unpack_configuration(const std::string& copy) {
   auto text = net::unpack(copy, largest_configuration);
   if (!text) {
-    log(event::peer_unreachable, {{"detail", "bytes that are no configuration"}});
+    log(event::peer_unreachable, {{"detail", "received configuration copy is malformed"}});
     return std::nullopt;
   }
   platform_adapter::stored_object object;
--- a/libs/front/src/configuration_copy.h
+++ b/libs/front/src/configuration_copy.h
@@ -1,4 +1,4 @@
-// The form in which hosts pass a configuration on.
+// Encoding of a configuration that hosts exchange.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,9 @@
 
 namespace hawthornlane::front {
 
-/// Packs a configuration's text as the store holds it.
+/// Compresses a configuration's text, given as the store holds it.
 std::string pack_configuration(std::string_view text);
-/// Nothing when the copy holds none; the log then says why.
+/// `nullopt` when the copy does not hold a valid configuration; logs the reason.
 std::optional<configuration> unpack_configuration(const std::string& copy);
 
 }  // namespace hawthornlane::front
--- a/libs/front/src/copy_intake.cc
+++ b/libs/front/src/copy_intake.cc
@@ -1,4 +1,4 @@
-// Which host this host asks for a whole copy of what it lacks.
+// Chooses the peer from which this host fetches a copy of newer state.
 #include "hawthornlane/front/copy_intake.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
   if (one.asked || one.ahead.empty() || now < one.quiet_until) {
     return std::nullopt;
   }
-  // Another order for each host and question: the hosts that have a copy share the work.
+  // A different order for each host and request, so that the hosts with a copy share the load.
   const std::uint64_t order = rendezvous_weight(this->self.get(), one.questions);
   const bool any_reached =
       std::any_of(one.ahead.begin(), one.ahead.end(),
--- a/libs/front/src/copy_messages.cc
+++ b/libs/front/src/copy_messages.cc
@@ -1,4 +1,4 @@
-// Bytes of the messages about whole copies.
+// Encoding of the copy messages.
 #include "hawthornlane/front/copy_messages.h"
 
 #include <algorithm>
--- a/libs/front/src/copy_outlet.cc
+++ b/libs/front/src/copy_outlet.cc
@@ -1,4 +1,4 @@
-// How many whole copies a host gives at a time, and whom it names instead.
+// Limits how many state copies a host sends at a time, and names other hosts that have the state.
 #include "hawthornlane/front/copy_outlet.h"
 
 #include <algorithm>
--- a/libs/front/src/fleet_copies.cc
+++ b/libs/front/src/fleet_copies.cc
@@ -1,4 +1,4 @@
-// Whole copies of what front hosts know: packed for others, and taken from others.
+// Encodes copies of this host's state for other front hosts, and applies copies received from them.
 #include "hawthornlane/front/fleet_copies.h"
 
 #include <utility>
@@ -10,7 +10,7 @@
 namespace hawthornlane::front {
 namespace {
 
-/// Nothing when the bytes are none, or the other host knows nothing itself.
+/// `nullopt` when the bytes are malformed or the sender has no data itself.
 template <class Entry>
 std::optional<registry_snapshot<Entry>> snapshot_from(const std::string& packed) {
   const auto bytes = net::unpack(packed, net::largest_payload);
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -1,4 +1,4 @@
-// A front host: its listeners, its beliefs and its planned stop.
+// A front host: its listeners, its state and its planned stop.
 #include "hawthornlane/front/front_host.h"
 
 #include <algorithm>
@@ -32,21 +32,22 @@
 namespace {
 
 constexpr std::size_t bytes_per_mb = std::size_t{1024} * 1024;
-/// Whole turns are kept in an eighth of the process's memory; the rest is for calls
-/// under way, of which the heaviest day needs 12 MB.
+/// The cache of complete turns may use an eighth of the process's memory; the rest is for calls in
+/// flight, which need 12 MB on the heaviest day.
 constexpr std::size_t cache_bytes_per_mb = bytes_per_mb / 8;
-/// Answers to other hosts that wait for the link may take a thirty-second of the memory
-/// before whole copies are refused: 2.75 MB of 88, which 30 Mbit/s send in 0.7 s.
+/// Divisor of the memory: when the answers queued for other hosts take more than this share, state
+/// copies are refused. 2.75 MB of 88 MB, which a link of 30 Mbit/s sends in 0.7 s.
 constexpr std::size_t peer_answers_share = 32;
-/// All that waits for other hosts, relayed answers of disk hosts included.
+/// Divisor of the memory: limit of everything queued for other hosts, including relayed answers of
+/// disk hosts.
 constexpr std::size_t peer_queue_share = 8;
-/// A caller's connection attempts in a burst; more are sent again by their kernels.
+/// Connection attempts of callers in a burst; the callers' kernels retry further ones.
 constexpr int accept_backlog = 1024;
-/// Between two divisions of scarce places; a call at a model server takes 0.2 s.
+/// Interval at which scarce places are divided among hosts; a call at a model server takes 0.2 s.
 constexpr auto sharing_pause = std::chrono::milliseconds(100);
-/// Between two tellings of this host's loads; a third of their lifetime.
+/// Interval at which this host reports its loads; a third of their lifetime.
 constexpr auto renewal_pause = std::chrono::seconds(1);
-/// Between two sweeps over idle connections to servers.
+/// Interval at which idle connections to servers are closed.
 constexpr auto idle_pause = std::chrono::seconds(1);
 
 pool_rules rules_for(const front_settings& settings) {
@@ -211,7 +212,7 @@
   }
 
   bool ready() const {
-    // Without the set of disks no turn can be served; callers do better elsewhere.
+    // Without the set of disks no turn can be served; other hosts may have it.
     return !this->leaving && this->fleet.table() && this->ledger.current() &&
            !this->fleet.backends().listed().empty();
   }
@@ -326,7 +327,7 @@
       }
     }
     if (!caller.gone()) {
-      // Unread bytes would turn the close into a reset that destroys the answer.
+      // Closing with unread bytes would send a reset, which discards the answer.
       socket.shutdown_send();
       std::string rest;
       constexpr std::size_t drained = std::size_t{64} * 1024;
--- a/libs/front/src/front_settings.cc
+++ b/libs/front/src/front_settings.cc
@@ -1,4 +1,4 @@
-// A front host's settings and their checks.
+// Settings of a front host and their checks.
 #include "hawthornlane/front/front_settings.h"
 
 #include "hawthornlane/platform_adapter/contract_terms.h"
@@ -11,19 +11,19 @@
 std::vector<key_rule> make_schema() {
   using enum value_type;
   return {
-      {"host", "memory_mb", integer, true, "", 16, 1048576, "memory that the process may use, MB"},
+      {"host", "memory_mb", integer, true, "", 16, 1048576, "memory limit of the process, MB"},
       {"callers", "listen", address, true, "", 0, 0, "where callers connect"},
-      {"callers", "ready_listen", address, true, "", 0, 0, "where readiness is asked for"},
-      {"callers", "directory_listen", address, true, "", 0, 0, "where callers ask for addresses"},
+      {"callers", "ready_listen", address, true, "", 0, 0, "where the platform checks readiness"},
+      {"callers", "directory_listen", address, true, "", 0, 0, "where callers look up addresses"},
       {"callers", "address_time", time, false, "2 s", second / 10, 60 * second,
-       "how long callers may keep an address answer; a leaving host keeps serving three times "
+       "how long callers may cache an address answer; a stopping host keeps serving three times "
        "as long"},
       {"callers", "grace", time, true, "", second, 3600 * second,
-       "between the request to stop and the kill"},
+       "time between the request to stop and the kill"},
       {"scheduling", "terms", list, false, "", 0, 0,
        "terms of the deployment's contract; under `pressure` the speed of servers is learned"},
       {"scheduling", "claim_places", yes_no, false, "no", 0, 0,
-       "whether calls for full servers wait at the servers' keepers, in order of urgency"},
+       "whether calls for full servers queue at the servers' directory hosts, most urgent first"},
   };
 }
 
--- a/libs/front/src/gossip_messages.cc
+++ b/libs/front/src/gossip_messages.cc
@@ -1,4 +1,4 @@
-// What hosts tell each other of the deployment, and its form on the wire.
+// Messages between front hosts and their wire format.
 #include "hawthornlane/front/gossip_messages.h"
 
 #include <xxhash.h>
--- a/libs/front/src/host_report.cc
+++ b/libs/front/src/host_report.cc
@@ -1,4 +1,4 @@
-// What a front host tells of itself.
+// Reports of a front host: its metrics and its memory use.
 #include "hawthornlane/front/host_report.h"
 
 #include <utility>
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t bytes_per_mb = std::size_t{1024} * 1024;
-/// Shares of the process's memory at which the log says that it is high, and from
-/// which on it may say so again.
+/// Percentages of the process's memory limit: high use is logged at the first, and may be logged
+/// again after use has fallen below the second.
 constexpr std::size_t memory_high_percent = 60;
 constexpr std::size_t memory_calm_percent = 45;
 
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -1,4 +1,4 @@
-// Front hosts tell each other that they live and what they know.
+// Gossip between front hosts: failure detection and exchange of state.
 #include "hawthornlane/front/peer_gossip.h"
 
 #include <algorithm>
@@ -14,23 +14,23 @@
 
 using steady = std::chrono::steady_clock;
 
-/// Between two probes of each other host, at least, and for each other host: what
-/// probes cost a host grows with their number, so many hosts probe more slowly.
+/// Probe interval of a pair of hosts: at least the first, and the second for each peer. The cost
+/// of probing grows with the number of peers, so the interval grows with it.
 constexpr std::chrono::milliseconds least_probe_pause{400};
 constexpr std::chrono::milliseconds probe_pause_each{16};
-/// Between two looks at whom to probe; a fourth of the least pause between probes.
+/// Interval of probe rounds; a quarter of the shortest probe interval.
 constexpr duration look_pause = std::chrono::milliseconds(100);
-/// A host that has missed so many probes is left out of address answers.
+/// A peer that has missed this many probes is left out of address answers.
 constexpr int probes_missed = 3;
 constexpr std::chrono::milliseconds probe_slack{100};
-/// Long enough for a packet that is lost to be sent again, which kernels do after 200 ms. What
-/// fails makes a suspicion, no more.
+/// Timeout of a probe: long enough for the kernel to retransmit a lost packet, which it does after
+/// 200 ms. A failed probe only causes a suspicion.
 constexpr duration probe_limit = std::chrono::milliseconds(500);
-/// A host that has read the store this lately tells news that nobody else may have.
+/// A store read younger than this: the sender may be the only host with the new state.
 constexpr duration just_read = std::chrono::milliseconds(50);
 constexpr duration copy_limit = copy_outlet::longest_copy;
 
-/// Where in a pause two hosts begin to probe each other; pairs spread evenly.
+/// Phase within the probe interval at which a pair starts to probe, spread evenly over pairs.
 double phase_of(const host_id& host, const host_id& other) {
   constexpr std::uint64_t steps = 1 << 16;
   const std::uint64_t step = rendezvous_weight(host.get(), host_key_of(other).get()) % steps;
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-/// Another front host.
+/// Another front host, as this host sees it.
 struct peer_gossip::peer {
   peer(host_entry what, const host_id& watched_by, timestamp now)
       : entry(std::move(what)),
@@ -51,7 +51,7 @@
   std::unique_ptr<net::rpc_client> link;
   gossip_digest heard;
   peer_watch watch;
-  /// When it last answered a call of this host, unless a question for a copy failed since.
+  /// When it last answered a request of this host; reset when a copy request fails.
   net::steady_time answered_at{};
   bool reachable = true;
 };
@@ -340,7 +340,7 @@
 }
 
 std::size_t peer_gossip::rank() const {
-  // Called at each pass of the event loop: a digest made for its name alone takes longer.
+  // Called at each pass of the event loop: building a digest only for the own name is too slow.
   const host_id& own = this->intake.owner();
   std::size_t before = 0;
   for (const auto& [name, other] : this->peers) {
@@ -399,7 +399,7 @@
       if (!message) {
         return std::nullopt;
       }
-      // A host may be heard before the store's news of it come.
+      // A host may send a probe before its registry entry arrives from the store.
       this->add_peer(message->digest.self);
       const auto known = this->peers.find(message->digest.self.name);
       if (known != this->peers.end()) {
@@ -425,8 +425,8 @@
     case gossip_method::claim:
     case gossip_method::withdraw:
     case gossip_method::grant:
-      // Served by the ledger, which answers later, by the placement directory, and by the
-      // exchange of places.
+      // Served elsewhere: by the ledger client, which answers asynchronously, by the placement
+      // directory, and by the place exchange.
       return std::nullopt;
   }
   return std::nullopt;
--- a/libs/front/src/peer_traffic.cc
+++ b/libs/front/src/peer_traffic.cc
@@ -1,4 +1,4 @@
-// Counts the bytes that this host exchanges with others.
+// Counts the bytes exchanged with other hosts, by purpose.
 #include "hawthornlane/front/peer_traffic.h"
 
 #include <optional>
--- a/libs/front/src/peer_watch.cc
+++ b/libs/front/src/peer_watch.cc
@@ -1,20 +1,21 @@
-// What one front host believes of another one.
+// Failure detector for one peer.
 #include "hawthornlane/front/peer_watch.h"
 
 namespace hawthornlane::front {
 namespace {
 
-/// So many other hosts must suspect a host too: one may be cut off from it alone.
+/// Number of other hosts that must also suspect a peer: a single one may merely have lost its own
+/// connection to it.
 constexpr std::size_t least_told = 2;
-/// A probe that waits so long, many times the way to another zone and back, is told to others
-/// before it fails at 0.5 s: a zone of 340 hosts is known to be gone after 1.3 s so, and after
-/// 2.1 s when only failed probes are told (death_spread_test).
+/// A probe unanswered for this long, many times the round trip to another zone, raises a suspicion
+/// before it fails at 0.5 s. With this, 340 hosts detect the loss of a zone after 1.3 s; when
+/// only failed probes raise a suspicion, after 2.1 s (failure_detection_test).
 constexpr duration long_unanswered = std::chrono::milliseconds(200);
-/// A probe that fails while this host's event loop was late for longer proves nothing: of the
-/// 0.5 s that a probe has, less than `long_unanswered` was left for its answer.
+/// A probe that fails while this host's event loop lagged by more than this proves nothing: of the
+/// 0.5 s probe timeout, less than `long_unanswered` was left for the answer.
 constexpr duration most_late = std::chrono::milliseconds(300);
-/// A host that was heard this lately is not probed on others' word: what they wait for is
-/// older.
+/// A peer that has sent a message within this time is not probed on a report of others: the probe
+/// that they wait for is older.
 constexpr duration just_heard = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -44,7 +45,7 @@
 void peer_watch::probe_answered(timestamp sent) { this->probes.probed = sent; }
 
 void peer_watch::probe_failed(timestamp sent, duration late_meanwhile) {
-  // A word that came while the probe was under way counts more.
+  // A message that arrived while the probe was in flight outweighs its failure.
   const bool proves = sent >= this->last_heard && late_meanwhile <= most_late;
   this->failed = this->failed || proves;
 }
--- a/libs/front/src/probe_encoder.cc
+++ b/libs/front/src/probe_encoder.cc
@@ -1,4 +1,4 @@
-// The bytes of this host's probes, encoded once for many of them.
+// Caches the encoded message of this host's probes and probe answers.
 #include "hawthornlane/front/probe_encoder.h"
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 void probe_encoder::renew(const probe_message& message, timestamp now) {
   const gossip_digest& digest = message.digest;
   this->bytes = to_bytes(message);
-  // The age is the last field of fixed size, before the demand and the suspected hosts.
+  // The age is the last field before the demand and the suspected hosts, which vary in size.
   const std::size_t after = to_bytes(digest.demand).size() + to_bytes(message.suspected).size();
   this->age_at = this->bytes.size() - after - sizeof(std::int64_t);
   this->checked_at = now - digest.checked_ago;
--- a/libs/front/src/probe_turns.cc
+++ b/libs/front/src/probe_turns.cc
@@ -1,14 +1,15 @@
-// Which of two front hosts probes the other one next.
+// Decides which of two front hosts sends the next probe.
 #include "hawthornlane/front/probe_turns.h"
 
 namespace hawthornlane::front {
 namespace {
 
-/// For a probe of the other host that is on its way, as a part of the pause: 0.1 s at few
-/// hosts, where the way to another zone and back takes some milliseconds.
+/// Divisor of the probe interval: allowance for a probe of the peer that is in flight. 0.1 s with
+/// few hosts, where the round trip to another zone takes some milliseconds.
 constexpr int way_part = 4;
-/// A probe that fails is sent again after this part of the pause. With a half, twice as many
-/// hosts were taken for gone while a fifth of the messages was lost as without turns.
+/// Divisor of the probe interval: a failed probe is retried after this part. With half of the
+/// interval and a fifth of the messages lost, twice as many live hosts were declared failed as
+/// without turns.
 constexpr int retry_part = 3;
 
 bool is_own_turn(const probe_moments& moments, bool goes_first, duration pause) {
--- a/libs/front/src/store_reader.cc
+++ b/libs/front/src/store_reader.cc
@@ -1,4 +1,4 @@
-// Reads the store for all front hosts, in turns with the others.
+// Reads the store on behalf of all front hosts, taking turns with them.
 #include "store_reader.h"
 
 #include <algorithm>
@@ -17,14 +17,15 @@
 
 namespace {
 
-/// An outage shorter than this lets no entry lapse.
+/// No registry entry expires during an outage of the store shorter than this.
 constexpr duration lapsing_outage = std::chrono::milliseconds(1500);
-/// Hosts change seldom, and their changes are learnt from refusals too.
+/// Interval of reads of the host registry. Hosts change rarely, and changes are also noticed from
+/// refused requests.
 constexpr auto host_check_pause = std::chrono::seconds(3);
-/// Between two reads of a host that lacks the others' addresses.
+/// Interval of reads by a host that lacks the addresses of others.
 constexpr auto host_read_pause = std::chrono::milliseconds(300);
-/// Nobody has read the store for so long: each host reads for itself. Others have taken
-/// over from a reader that is gone long before.
+/// If no host has read the store for this long, each host reads for itself. A failed reader is
+/// replaced by another host long before.
 constexpr duration reader_lost_after = std::chrono::seconds(2);
 
 }  // namespace
@@ -65,7 +66,7 @@
   for (const auto& item : page.items) {
     newest = std::max(newest, item.object.revision);
   }
-  // To decode 1 MB takes an eighth of a core some 0.1 s, and it is read each 0.85 s.
+  // Decoding 1 MB takes about 0.1 s on an eighth of a core, and it is read every 0.85 s.
   if (newest <= this->configuration_at && page.faults.empty()) {
     return;
   }
@@ -128,8 +129,8 @@
     if (this->parts.fleet.table() && this->parts.fleet.hosts().at() > before) {
       this->parts.gossip.tell_all();
     }
-    // The store is back and this host knows nothing: its callers wait for the next
-    // read, which would be due 0.35 s later on the whole.
+    // The store is back and this host has no configuration. Its callers wait for the next read,
+    // which would otherwise come about 0.35 s later.
     if (!this->parts.fleet.table() && !this->store_reachable && !this->checking) {
       asio::co_spawn(this->parts.context, this->check_store(owner), asio::detached);
     }
--- a/libs/front/src/store_reader.h
+++ b/libs/front/src/store_reader.h
@@ -1,4 +1,4 @@
-// Reads the store for all front hosts, in turns with the others.
+// Reads the store on behalf of all front hosts, taking turns with them.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,7 +13,7 @@
 
 namespace hawthornlane::front {
 
-/// What a reader works with; it all outlives the reader.
+/// Dependencies of a reader; all of them must outlive it.
 struct store_reader_parts {
   boost::asio::io_context& context;
   host_id self;
@@ -25,25 +25,25 @@
   discovery::object_faults& faults;
 };
 
-/// For one thread.
+/// Not thread-safe.
 class store_reader {
 public:
   explicit store_reader(store_reader_parts parts);
 
-  /// Begins the reads that are due. `owner` lives until they have ended, and the reader with it.
+  /// Starts the reads that are due. They hold `owner`, which must own this reader, until they end.
   void tick(net::steady_time now, const std::shared_ptr<const void>& owner);
 
 private:
-  /// Reads the store for all hosts and tells them.
+  /// Reads the store for all hosts and broadcasts the result.
   boost::asio::awaitable<void> check_store(std::shared_ptr<const void> owner);
-  /// Reads the other hosts' entries: a new host needs them to hear the rest from
-  /// them, and a new disk's host cannot be asked before its address is known.
+  /// Reads the host registry. A new host needs it to get the other state from its peers, and a new
+  /// disk host cannot be contacted before its address is known.
   boost::asio::awaitable<void> read_hosts(std::shared_ptr<const void> owner);
-  /// A new disk's address is read by one host for all: 57 hosts that each read it on
-  /// their own made 2,500 to 4,800 calls to the store in 50 s with two new disks, in place
-  /// of 1,250; calls are paid for.
+  /// Whether this host reads the store for all. The address of a new disk is read by one host for
+  /// all, since calls to the store cost money: 57 hosts that each read it made 2,500 to 4,800 calls
+  /// in 50 s with two new disks, instead of 1,250.
   [[nodiscard]] bool reads_for_all() const;
-  /// The store stopped answering this host, or answers again.
+  /// Records whether the store answers this host, and logs changes.
   void note_store(bool reachable, const std::string& detail);
   void take_configuration(const platform_adapter::object_page& page);
 
--- a/libs/front/src/suspicion_limits.cc
+++ b/libs/front/src/suspicion_limits.cc
@@ -1,4 +1,4 @@
-// How many suspected hosts a message names, and how many are probed on others' word.
+// Limits the suspected hosts named in a message, and the probes sent on reports of others.
 #include "hawthornlane/front/suspicion_limits.h"
 
 #include <algorithm>
--- a/libs/front/test/copy_intake_test.cc
+++ b/libs/front/test/copy_intake_test.cc
@@ -1,4 +1,5 @@
-// Which host is asked for a copy, and when.
+// Guards against requests for copies that overload peers or links: too early, too often, several at
+// once, or all to the same host. Also guards against peers that do not answer being preferred.
 #include "hawthornlane/front/copy_intake.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a host that is ahead is asked once the store's own news should be here") {
+TEST_CASE("a peer with newer state is asked only after the store reader's message is due") {
   struct row {
     const char* what;
     bool prompt;
@@ -30,7 +31,7 @@
   const row rows[] = {
       {"too early", false, false, 119ms, false},
       {"still ahead", false, false, 120ms, true},
-      {"it has just read the store", true, false, 0ms, true},
+      {"the peer has just read the store", true, false, 0ms, true},
       {"this host cannot serve without it", false, true, 0ms, true},
   };
   for (const row& item : rows) {
@@ -42,13 +43,13 @@
   }
 }
 
-TEST_CASE("one copy of a kind is under way, however many hosts are ahead") {
+TEST_CASE("one copy of a kind is in flight, however many peers have newer state") {
   copy_intake intake(self);
   intake.heard(kind, one, true, true, at(0ms));
   intake.heard(kind, two, true, true, at(0ms));
   REQUIRE(intake.next(kind, true, at(0ms)));
   CHECK_FALSE(intake.next(kind, true, at(900ms)));
-  // Another kind does not wait for it.
+  // A copy of another kind does not wait for it.
   intake.heard(copy_kind::backends, one, true, true, at(0ms));
   CHECK(intake.next(copy_kind::backends, true, at(0ms)) == one);
   intake.taken(kind);
@@ -56,7 +57,7 @@
   CHECK_FALSE(intake.next(kind, true, at(1s)));
 }
 
-TEST_CASE("whom a host asks after an answer without a copy") {
+TEST_CASE("the next request after an answer without a copy waits for the backoff") {
   struct row {
     const char* what;
     std::function<void(copy_intake&)> answer;
@@ -68,13 +69,13 @@
   };
   const auto failed = [](copy_intake& intake) { intake.failed(kind, at(0ms)); };
   const row rows[] = {
-      {"a busy host rests", busy({}), 59ms, std::nullopt},
-      {"and is asked again", busy({}), 60ms, one},
-      {"not at once who has taken a copy", busy({two}), 19ms, std::nullopt},
-      {"soon who has taken a copy", busy({two}), 20ms, two},
+      {"a busy peer is not asked during its backoff", busy({}), 59ms, std::nullopt},
+      {"a busy peer is asked again after its backoff", busy({}), 60ms, one},
+      {"a named holder is not asked at once", busy({two}), 19ms, std::nullopt},
+      {"a named holder is asked after the delay between requests", busy({two}), 20ms, two},
       {"this host itself is not asked", busy({self}), 20ms, std::nullopt},
-      {"a silent host rests longer", failed, 499ms, std::nullopt},
-      {"and is asked again, where there is no other", failed, 500ms, one},
+      {"a peer that did not answer has a longer backoff", failed, 499ms, std::nullopt},
+      {"a peer that did not answer is asked again when there is no other", failed, 500ms, one},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -86,16 +87,16 @@
   }
 }
 
-TEST_CASE("a host that is busy again and again is asked ever more seldom, by many still more so") {
+TEST_CASE("backoff of a busy peer grows with refusals and with the number of hosts") {
   struct row {
     std::size_t hosts;
     int questions;
   };
   const row rows[] = {
-      // At 0, 60, 180, 420 ms and each 240 ms from there on.
+      // At 0, 60, 180, 420 ms and every 240 ms after that.
       {1, 10},
       {120, 10},
-      // At 0, 120, 360, 840 ms and each 480 ms from there on.
+      // At 0, 120, 360, 840 ms and every 480 ms after that.
       {240, 6},
       // At 0, 180, 540, 1,260 and 1,980 ms.
       {360, 5},
@@ -116,7 +117,7 @@
   }
 }
 
-TEST_CASE("hosts that lack the same do not all ask the same one") {
+TEST_CASE("hosts that lack the same state do not all ask the same peer") {
   std::map<host_id, int> asked;
   for (int number = 0; number < 60; ++number) {
     copy_intake intake(host_id("front-" + std::to_string(number)));
@@ -131,7 +132,7 @@
   }
 }
 
-TEST_CASE("a host that is gone, or no more ahead, is not asked") {
+TEST_CASE("a failed peer, or one without newer state, is not asked") {
   copy_intake intake(self);
   intake.heard(kind, one, true, true, at(0ms));
   intake.heard(kind, two, true, true, at(0ms));
@@ -140,7 +141,7 @@
   CHECK_FALSE(intake.next(kind, true, at(1s)));
 }
 
-TEST_CASE("a host that fails again and again rests longer, until it answers") {
+TEST_CASE("backoff of a failing peer grows until it sends a copy") {
   copy_intake intake(self);
   const auto asked_from = [&intake](duration from) {
     while (!intake.next(kind, true, at(from))) {
@@ -152,7 +153,7 @@
   duration now = asked_from(0ms);
   for (const duration pause : {500ms, 2000ms, 2000ms}) {
     intake.failed(kind, at(now));
-    // News of a newer state do not end the rest.
+    // A newer state does not end the backoff.
     intake.renew(kind);
     intake.heard(kind, one, true, true, at(now));
     const duration next = asked_from(now);
@@ -165,15 +166,15 @@
   CHECK(asked_from(now) - now == 500ms);
 }
 
-TEST_CASE("a host that does not answer this one is asked only where no other is ahead") {
+TEST_CASE("a peer that does not answer is asked only when no other has newer state") {
   struct row {
     const char* what;
     std::vector<host_id> ahead;
     std::optional<host_id> asked;
   };
   const row rows[] = {
-      {"alone", {one}, one},
-      {"beside one that answers", {one, two}, two},
+      {"the only one", {one}, one},
+      {"beside a peer that answers", {one, two}, two},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -182,7 +183,7 @@
       intake.heard(kind, host, true, true, at(0ms));
     }
     CHECK(intake.next(kind, true, at(0ms)) == item.asked);
-    // It may still be named by a host that reaches it.
+    // A peer that reaches it may still name it.
     intake.busy(kind, {one}, at(0ms));
     CHECK(intake.next(kind, true, at(1s)) == item.asked);
   }
--- a/libs/front/test/copy_outlet_test.cc
+++ b/libs/front/test/copy_outlet_test.cc
@@ -1,4 +1,5 @@
-// How many copies a host gives at a time, and whom it names.
+// Guards against a link that is overloaded with copies, and against naming hosts that do not have
+// the newest state.
 #include "hawthornlane/front/copy_outlet.h"
 
 #include <catch2/catch.hpp>
@@ -17,17 +18,17 @@
 
 }  // namespace
 
-TEST_CASE("as many copies go out at once as are few bytes, and two of any size") {
+TEST_CASE("concurrent copies are limited by total bytes, with two allowed at any size") {
   struct row {
     const char* what;
     std::size_t bytes;
     int given;
   };
   const row rows[] = {
-      {"a whole configuration", 1'000'000, 2},
-      {"half of what may go at once", copy_outlet::burst_bytes / 2, 2},
-      {"a quarter of it", copy_outlet::burst_bytes / 4, 4},
-      {"a registry of some servers", 2000, 32},
+      {"a large configuration", 1'000'000, 2},
+      {"half of the byte limit", copy_outlet::burst_bytes / 2, 2},
+      {"a quarter of the byte limit", copy_outlet::burst_bytes / 4, 4},
+      {"a small registry", 2000, 32},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -40,7 +41,7 @@
   }
 }
 
-TEST_CASE("a copy counts until its receiver has it, asks again, or must have given up") {
+TEST_CASE("a copy counts as in flight until it is confirmed, requested again or timed out") {
   struct row {
     const char* what;
     std::function<void(copy_outlet&)> then;
@@ -48,12 +49,12 @@
     bool another;
   };
   const row rows[] = {
-      {"on its way", [](copy_outlet&) {}, 999ms, false},
-      {"taken", [](copy_outlet& outlet) { outlet.taken(kind, host(0)); }, 1ms, true},
-      {"taken of another kind",
+      {"in flight", [](copy_outlet&) {}, 999ms, false},
+      {"confirmed", [](copy_outlet& outlet) { outlet.taken(kind, host(0)); }, 1ms, true},
+      {"a copy of another kind confirmed",
        [](copy_outlet& outlet) { outlet.taken(copy_kind::hosts, host(0)); }, 1ms, false},
-      {"lost", [](copy_outlet&) {}, 1000ms, true},
-      {"asked for again: still one",
+      {"timed out", [](copy_outlet&) {}, 1000ms, true},
+      {"requested again: still counted once",
        [](copy_outlet& outlet) { CHECK(outlet.begin(kind, host(0), 1'000'000, at(1ms))); }, 2ms,
        false},
   };
@@ -67,7 +68,7 @@
   }
 }
 
-TEST_CASE("the last hosts that have taken the newest state are named") {
+TEST_CASE("only the last hosts that received the newest state are named") {
   copy_outlet outlet;
   const auto take = [&outlet](int number) {
     REQUIRE(outlet.begin(kind, host(number), 10, at(0ms)));
@@ -78,12 +79,12 @@
   }
   CHECK(outlet.holders(kind) == std::vector<host_id>{host(5), host(4), host(3), host(2)});
   CHECK(outlet.holders(copy_kind::hosts).empty());
-  // A copy that was on its way when the state changed is not of the newest one.
+  // A copy that was in flight when the state changed is not of the newest state.
   REQUIRE(outlet.begin(kind, host(7), 10, at(0ms)));
   outlet.renew(kind);
   outlet.taken(kind, host(7));
   CHECK(outlet.holders(kind).empty());
-  // Nor has a host taken one that was never given.
+  // A confirmation of a copy that was never sent is ignored.
   outlet.taken(kind, host(8));
   CHECK(outlet.holders(kind).empty());
   take(9);
--- a/libs/front/test/copy_spread_test.cc
+++ b/libs/front/test/copy_spread_test.cc
@@ -1,20 +1,20 @@
-// Many hosts that take and give copies by the rules of copy_intake and copy_outlet, in virtual
-// time: over links of a real rate that lose messages and are cut, and beside hosts that restart.
+// Guards against state copies that spread slowly or overload links. Simulates many hosts that fetch
+// and send copies, in virtual time: links have a real rate, lose messages and are cut, and hosts
+// restart.
 //
-// The story. When each host took a large configuration from every host that was ahead of it,
-// links and memory filled with copies that nobody needed; hosts served an older configuration
-// 20 s later. Since then a host asks one other at a time, and a host gives two copies at a time
-// and names others that have theirs. Where some pairs of hosts cannot reach each other, such a
-// name led to a host that never answers, which took a second, and the next name again: a change
-// of 100 KB needed 3.6 s to reach 60 hosts of which a fifth of the pairs was cut in one
-// direction, and 2.6 s with half of the pairs cut in both.
+// Two failures led to this test. When each host fetched a large configuration from every peer with
+// newer state, needless copies filled links and memory, and hosts still served an older
+// configuration 20 s later. So a host asks one peer at a time, and a host sends two copies at a
+// time and names others that have the state. But where some pairs of hosts could not reach each
+// other, such a name could lead to a peer that never answers, which took a second, and the next
+// name again. A change of 100 KB took 3.6 s to reach 60 hosts with a fifth of the pairs cut in one
+// direction, and 2.6 s with half of the pairs cut in both. The cause: a peer was asked because a
+// third host had named it or because its own messages arrived, without checking that it answers
+// this host.
 //
-// The cause. A question was put to whoever counted as ahead, also by what a third host said or
-// by messages that came from there alone; nothing asked whether that host answers this one.
-//
-// What holds in each history here: once faults have ended, every host has the newest state within
-// the time in which an accepted configuration has to be in force, each host is given few copies
-// of each state, and no link ever holds more than a few.
+// Checked in each scenario: once faults have ended, every host has the newest state within the time
+// allowed for an accepted configuration to be in force, each host receives few copies of each
+// state, and no link ever queues more than a few.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <functional>
@@ -34,25 +34,25 @@
 namespace {
 
 constexpr auto kind = copy_kind::configuration;
-/// Of a small host's link: 30 Mbit/s.
+/// Link rate of a small host: 30 Mbit/s.
 constexpr double link_bytes_per_us = 30.0 / 8;
 constexpr duration way = 2ms;
-/// Of the host's pass over what is due.
+/// Interval at which a host checks what is due.
 constexpr duration tick_pause = 10ms;
 constexpr duration read_pause = 850ms;
-/// Between two moments at which hosts may restart.
+/// Interval at which hosts may restart.
 constexpr duration fault_pause = 100ms;
-/// In which hosts hear each other and take their first state.
+/// Time in which hosts discover each other and fetch their first state.
 constexpr duration warm_up = 20s;
 constexpr duration copy_limit = 1s;
 constexpr duration probe_limit = 600ms;
 constexpr std::size_t small_message = 200;
-/// An accepted configuration is in force everywhere within this time.
+/// An accepted configuration must be in force on all hosts within this time.
 constexpr duration spread_limit = 3s;
 
 using state_version = std::uint64_t;
 
-/// Events in the order of their moments.
+/// Event queue in virtual time.
 class virtual_clock {
 public:
   [[nodiscard]] timestamp now() const { return this->moment; }
@@ -83,7 +83,7 @@
   timestamp moment{1h};
 };
 
-/// What a host tells and asks of another; `digest` is answered by the other's.
+/// Kinds of messages between hosts; a `digest` is answered with the digest of the receiver.
 enum class message_kind { digest, copy, taken };
 
 struct message {
@@ -99,7 +99,7 @@
   std::vector<host_id> holders;
 };
 
-/// A host as far as copies go. A new one after each restart.
+/// The copy logic of one host. Replaced at each restart.
 struct member {
   member(const host_id& name, copy_intake::reaches_hook reaches)
       : intake(name, std::move(reaches)) {}
@@ -109,7 +109,7 @@
   struct word {
     state_version version = 0;
     timestamp at;
-    /// When it last answered this host, unless a question failed since.
+    /// When it last answered this host; reset when a copy request fails.
     timestamp answered{};
   };
   std::map<std::size_t, word> heard;
@@ -121,13 +121,14 @@
   std::size_t bytes;
   int changes;
   duration between;
-  /// Chance of each message, while faults last.
+  /// Probability that a message is lost, while faults last.
   double loss = 0;
-  /// Chance that messages of a pair get through one way only, or not at all, for as long as
-  /// the history lasts. The reader of the store reaches all.
+  /// Probability that messages of a pair arrive in one direction only, or in none, for the whole
+  /// scenario. The host that reads the store reaches all others.
   double one_way_cuts = 0;
   double cuts = 0;
-  /// Chance of each host in a second, while faults last; not of the reader.
+  /// Restarts per host and second, while faults last. The host that reads the store does not
+  /// restart.
   double restarts = 0;
 };
 
@@ -149,7 +150,7 @@
     this->read_later();
   }
 
-  /// A state more in the store.
+  /// Stores a newer state.
   void change() { ++this->store; }
 
   void run_with_faults() {
@@ -165,7 +166,7 @@
     this->faults = false;
   }
 
-  /// How long the newest state takes to be everywhere from now on; nothing when too long.
+  /// Time from now until all hosts have the newest state; `nullopt` when longer than `limit`.
   std::optional<duration> settle(duration limit) {
     const timestamp began = this->clock.now();
     while (this->clock.now() < began + limit) {
@@ -177,12 +178,12 @@
     return std::nullopt;
   }
 
-  /// Copies given, and starts of hosts that need one each.
+  /// Copies sent, and host starts, each of which needs a copy.
   std::uint64_t copies = 0;
   std::uint64_t starts = 0;
-  /// Bytes before one link.
+  /// Largest number of bytes queued for one link.
   std::size_t most_waiting = 0;
-  /// To one host within one second.
+  /// Largest number of copy requests to one host within one second.
   std::size_t most_questions = 0;
 
 private:
@@ -242,7 +243,7 @@
     }
   }
 
-  /// Puts a message on its sender's link; it arrives, or not.
+  /// Queues a message on its sender's link; it may be lost.
   void send(std::size_t from, std::size_t to, std::size_t bytes, std::function<void()> arrives) {
     const bool lost =
         this->cuts.contains({from, to}) || (this->faults && this->happens(this->plan.loss));
@@ -257,8 +258,8 @@
     }
   }
 
-  /// Ends once: with the answer, or with nothing at the limit. Nobody hears of it when the
-  /// caller has restarted.
+  /// Calls `done` once: with the answer, or with `nullopt` at the timeout; never when the caller
+  /// has restarted.
   void call(std::size_t from, std::size_t to, const message& told, duration limit, done_hook done) {
     const auto open = std::make_shared<done_hook>(std::move(done));
     const auto finish =
@@ -372,7 +373,7 @@
     this->ask_due(host);
   }
 
-  /// Hosts that were not heard for longer count as gone.
+  /// Whether a host last seen at `moment` still counts as live.
   [[nodiscard]] bool is_recent(timestamp moment) const {
     return this->clock.now() - moment < this->probe_pause() * 3 + 100ms;
   }
@@ -411,7 +412,7 @@
     });
   }
 
-  /// The first host reads the store for all.
+  /// Host 0 reads the store for all.
   void read_later() {
     this->clock.at(this->clock.now() + read_pause, [this] {
       this->take(0, this->store);
@@ -434,23 +435,23 @@
 
 }  // namespace
 
-TEST_CASE("every host gets the newest state in time, by few copies, whatever befalls the others") {
+TEST_CASE("the newest state reaches every host in time and with few copies, despite faults") {
   const history rows[] = {
-      {"some hosts", 9, 700'000, 1, 0ms},
-      {"a registry's bytes", 60, 30'000, 1, 0ms},
-      {"a text that does not pack", 60, 400'000, 1, 0ms},
+      {"few hosts", 9, 700'000, 1, 0ms},
+      {"the size of a registry", 60, 30'000, 1, 0ms},
+      {"an incompressible text", 60, 400'000, 1, 0ms},
       {"the largest deployment", 340, 60'000, 1, 0ms},
-      {"the largest deployment, more bytes", 340, 200'000, 1, 0ms},
+      {"the largest deployment, larger state", 340, 200'000, 1, 0ms},
       {"changes in quick succession", 60, 400'000, 5, 300ms},
-      {"messages get lost", 60, 100'000, 5, 1s, 0.05},
-      {"pairs hear each other one way only", 60, 100'000, 1, 0ms, 0, 0.2},
+      {"messages are lost", 60, 100'000, 5, 1s, 0.05},
+      {"some pairs are cut in one direction", 60, 100'000, 1, 0ms, 0, 0.2},
       {"some pairs are cut", 60, 100'000, 1, 0ms, 0, 0, 0.2},
       {"half of the pairs are cut", 60, 100'000, 1, 0ms, 0, 0, 0.5},
       {"pairs are cut in the largest deployment", 340, 60'000, 1, 0ms, 0, 0, 0.3},
       {"hosts restart", 60, 100'000, 5, 1s, 0, 0, 0, 0.2},
-      {"all of it, some hosts", 9, 100'000, 8, 1s, 0.05, 0.1, 0.1, 0.2},
-      {"all of it", 60, 100'000, 8, 1s, 0.05, 0.1, 0.1, 0.2},
-      {"all of it, the largest deployment", 340, 60'000, 4, 1s, 0.02, 0.05, 0.05, 0.05},
+      {"all faults, few hosts", 9, 100'000, 8, 1s, 0.05, 0.1, 0.1, 0.2},
+      {"all faults", 60, 100'000, 8, 1s, 0.05, 0.1, 0.1, 0.2},
+      {"all faults, the largest deployment", 340, 60'000, 4, 1s, 0.02, 0.05, 0.05, 0.05},
   };
   constexpr unsigned seeds = 2;
   for (const history& item : rows) {
@@ -462,12 +463,12 @@
       all.run_with_faults();
       all.change();
       CHECK(all.settle(spread_limit));
-      // The first state, each change with faults, and the last one; lost copies are given again.
+      // The first state, each change with faults, and the last change; lost copies are sent again.
       const std::uint64_t states = static_cast<std::uint64_t>(item.changes) + 2;
       CHECK(all.copies <= (item.hosts * states + all.starts) * 3 / 2);
       CHECK(all.most_waiting <= 3 * item.bytes + 2 * item.hosts * small_message);
       CHECK(all.most_questions <= 5 * item.hosts);
-      // Pauses between questions grow with the hosts: 1,450 came to one host without that.
+      // Backoff grows with the number of hosts; without that one host received 1,450 requests.
       CHECK(all.most_questions <= 600 + item.hosts * 3 / 2);
     }
   }
--- a/libs/front/test/death_spread_test.cc
+++ b/libs/front/test/death_spread_test.cc
@@ -1,6 +1,6 @@
-// How soon all hosts of a fleet know that some have died, and what their probes cost, also while
-// all hosts are slow. No network: messages take a fixed time, and probes of dead hosts fail after
-// their limit.
+// Guards against failed hosts that are detected late, live hosts declared failed, and too many
+// probes, also while all hosts are slow. Simulates a fleet without a network: messages take a fixed
+// time, and probes of failed hosts time out.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -21,37 +21,37 @@
 constexpr duration step = 10ms;
 constexpr duration look_pause = 100ms;
 constexpr duration probe_limit = 500ms;
-/// The first probes are over by then, at any number of hosts.
+/// The first probes have ended by then, for any number of hosts.
 constexpr duration calm = 6s;
 constexpr duration death = 10s;
 
 struct fleet_plan {
   int hosts = 9;
   int deaths = 1;
-  /// Hosts tell each other whom they suspect.
+  /// Whether hosts share their suspicions.
   bool share = true;
-  /// From a probe until its answer; nobody suspects anybody of whom it is less than 0.2 s.
+  /// Time from a probe to its answer; below 0.2 s no suspicion arises.
   duration answer_after{};
 };
 
 struct fleet_result {
-  /// From the deaths until the last living host believed in all of them; capped at 20 s.
+  /// Time from the failures until every live host has detected all of them; at most 20 s.
   duration known_after{};
-  /// Beliefs that a host which lives is gone.
+  /// Number of times a live host was declared failed.
   int wrong = 0;
-  /// Probes of one host a second while all live.
+  /// Probes per host and second while no host has failed.
   double probes = 0;
-  /// In one message.
+  /// Largest number of suspected hosts named in one message.
   std::size_t most_named = 0;
-  /// Of one host between two of its looks, on others' word.
+  /// Largest number of probes of one host in one probe round on reports of others.
   int most_on_word = 0;
 };
 
-/// Hosts that probe each other, of which the last ones die.
+/// Simulates hosts that probe each other, of which the last ones fail.
 class played_fleet {
 public:
   explicit played_fleet(fleet_plan with) : plan(with) {
-    // The pauses of front hosts: 16 ms for each other host, 0.4 s at least.
+    // Probe interval of front hosts: 16 ms for each peer, at least 0.4 s.
     this->pace.pause = std::max<duration>(400ms, 16ms * (with.hosts - 1));
     this->pace.silence = 3 * this->pace.pause + 100ms;
     for (int number = 0; number < with.hosts; ++number) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /// All hosts start at once, probe each other, and answer late.
+  /// Simulates a start of all hosts at once, which probe each other and answer late.
   fleet_result play_start(duration length) {
     for (int number = 0; number < this->plan.hosts; ++number) {
       for (int other = 0; other < this->plan.hosts; ++other) {
@@ -104,7 +104,7 @@
   struct watching_host {
     std::vector<peer_watch> watches;
     suspicion_limits limits;
-    /// Whom its messages name until its next look.
+    /// Suspected hosts that its messages name until its next probe round.
     std::vector<host_key> named;
     duration next_look{};
     int on_word = 0;
@@ -264,7 +264,7 @@
   std::mt19937 random{11};
   std::vector<watching_host> hosts;
   std::vector<open_probe> failing;
-  /// In the order in which they were sent.
+  /// Ordered by the time sent.
   std::deque<open_probe> answering;
   double probes_in_calm = 0;
   fleet_result result;
@@ -272,8 +272,8 @@
 
 }  // namespace
 
-TEST_CASE("every host knows of deaths in two seconds, however many hosts there are") {
-  // By silence alone: 1.2 s among 9 hosts, 4.0 s among 83, 16.4 s among 340.
+TEST_CASE("failed hosts are detected by all others within two seconds, for any number of hosts") {
+  // Detection by silence alone takes 1.2 s with 9 hosts, 4.0 s with 83, 16.4 s with 340.
   struct row {
     const char* what;
     int hosts;
@@ -283,29 +283,30 @@
                       {"half of 83", 83, 41}, {"one of 340", 340, 1}, {"a zone of 340", 340, 17}};
   for (const row& item : rows) {
     const fleet_result result = played_fleet({item.hosts, item.deaths}).play();
-    INFO(item.what << ": known after " << to_seconds(result.known_after) << " s with "
-                   << result.probes << " probes a host and second");
+    INFO(item.what << ": detected after " << to_seconds(result.known_after) << " s with "
+                   << result.probes << " probes per host and second");
     CHECK(result.known_after <= 2s);
     CHECK(result.wrong == 0);
-    // A probe each 16 ms for each pair of hosts, by one of the two.
+    // Each pair sends one probe per interval, which is 16 ms for each peer.
     CHECK(result.probes <= 33);
   }
 }
 
-TEST_CASE("what others tell makes a host know sooner of a death") {
+TEST_CASE("shared suspicions more than halve the time to detect a failed host") {
   const fleet_result alone = played_fleet({83, 1, false}).play();
   const fleet_result told = played_fleet({83, 1, true}).play();
   CHECK(told.known_after < alone.known_after / 2);
 }
 
-TEST_CASE("a start of many slow hosts costs each of them few names and probes") {
-  // Without limits a message named up to 127 hosts, and a host sent up to 806 probes on others'
-  // word between two looks.
+TEST_CASE("a start of many slow hosts does not cause too many named suspects and probes") {
+  // Without limits a message named up to 127 hosts, and a host sent up to 806 probes on reports of
+  // others in one probe round.
   struct row {
     const char* what;
     duration answer_after;
   };
-  const row rows[] = {{"later than a suspicion", 300ms}, {"near the limit of a probe", 480ms}};
+  const row rows[] = {{"answers later than a suspicion arises", 300ms},
+                      {"answers shortly before the probe timeout", 480ms}};
   for (const row& item : rows) {
     INFO(item.what);
     constexpr int hosts = 300;
--- a/libs/front/test/gossip_messages_test.cc
+++ b/libs/front/test/gossip_messages_test.cc
@@ -1,5 +1,5 @@
-// Messages between front hosts survive the wire whole, and malformed ones do not
-// pass.
+// Guards against fields that are lost when messages between front hosts are encoded and decoded,
+// and against malformed messages that are accepted.
 #include "hawthornlane/front/gossip_messages.h"
 
 #include <catch2/catch.hpp>
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("each field of a digest arrives") {
+TEST_CASE("a digest loses no field on the wire") {
   const gossip_digest sent = full_digest();
   const auto read = from_bytes<gossip_digest>(to_bytes(sent));
   REQUIRE(read);
@@ -53,7 +53,7 @@
   CHECK(read->demand == sent.demand);
 }
 
-TEST_CASE("a probe tells whom its host suspects, and hosts of the first format read its digest") {
+TEST_CASE("a probe carries suspected hosts and stays compatible with the first message format") {
   const probe_message sent{full_digest(), {host_key_of(host_id("front-3")), host_key(5)}};
   const std::string bytes = to_bytes(sent);
   const auto read = probe_message_from(bytes);
@@ -67,7 +67,7 @@
   CHECK_FALSE(probe_message_from(to_bytes(full_digest()).substr(1)));
 }
 
-TEST_CASE("a digest that is cut anywhere is refused") {
+TEST_CASE("a digest truncated at any length is rejected") {
   const std::string whole = to_bytes(full_digest());
   for (std::size_t length = 0; length < whole.size(); ++length) {
     INFO("length " << length);
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_CASE("each field of a backend server's entry arrives") {
+TEST_CASE("a backend server's entry loses no field on the wire") {
   backend_entry sent;
   sent.id = backend_server_id("s1");
   sent.start = incarnation(1'790'000'000'123);
@@ -91,7 +91,7 @@
   CHECK(read->entries == std::vector<backend_entry>{sent});
 }
 
-TEST_CASE("a question for a copy names a kind that there is") {
+TEST_CASE("a copy request with an unknown kind is rejected") {
   const host_id asker("front-1");
   for (const copy_kind kind : all_copy_kinds) {
     const auto read = copy_request_from(to_bytes(copy_request{kind, asker}));
--- a/libs/front/test/gossip_news_test.cc
+++ b/libs/front/test/gossip_news_test.cc
@@ -1,4 +1,5 @@
-// What a host fetches from another one that tells how far it is.
+// Guards against fetching state that a peer does not have in a newer version: fetching all kinds
+// for one change overloads the link of the peer.
 #include "hawthornlane/front/gossip_news.h"
 
 #include <catch2/catch.hpp>
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("only what is newer is fetched") {
+TEST_CASE("only kinds with a newer version are fetched") {
   known_state own;
   own.configuration = config_version(5);
   own.backends_changed_at = store_revision(100);
@@ -41,13 +42,13 @@
     const char* fetched;
   };
   const row rows[] = {
-      {"the same", digest(5, 100, 90, 3), "----"},
-      {"older", digest(4, 99, 89, 2), "----"},
-      {"a server has changed", digest(5, 101, 90, 3), "-b--"},
+      {"the same versions", digest(5, 100, 90, 3), "----"},
+      {"older versions", digest(4, 99, 89, 2), "----"},
+      {"a backend server has changed", digest(5, 101, 90, 3), "-b--"},
       {"a host has changed", digest(5, 100, 91, 3), "--h-"},
       {"a new configuration and older servers", digest(6, 99, 90, 3), "c---"},
       {"another set of disks", digest(5, 100, 90, 4), "---l"},
-      {"a host that knows nothing", digest(0, 0, 0, 0), "----"},
+      {"a peer without any state", digest(0, 0, 0, 0), "----"},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -55,7 +56,7 @@
   }
 }
 
-TEST_CASE("a host that knows nothing fetches all that there is") {
+TEST_CASE("a host without any state fetches every kind that the peer has") {
   CHECK(text_of(news_in(digest(1, 1, 1, 1), known_state{})) == "cbhl");
   CHECK(text_of(news_in(digest(0, 7, 0, 0), known_state{})) == "-b--");
 }
--- a/libs/front/test/loop_lateness_test.cc
+++ b/libs/front/test/loop_lateness_test.cc
@@ -1,4 +1,5 @@
-// How late an event loop counts as being, and whom its host suspects meanwhile.
+// Guards against false suspicions by a host whose event loop stalls: answers to its probes are
+// unread meanwhile, so the lag must not count as time without an answer.
 #include "hawthornlane/front/loop_lateness.h"
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("the lateness of a loop is what its passes come too late by") {
+TEST_CASE("event loop lag is the sum of the delays of its passes") {
   struct row {
     const char* what;
     std::vector<duration> passes;
@@ -25,11 +26,11 @@
     duration late;
   };
   const row rows[] = {
-      {"in time", {25ms, 50ms, 75ms, 100ms}, 100ms, 0ms},
-      {"one pass left out", {25ms, 75ms, 100ms}, 100ms, 0ms},
-      {"a stop", {25ms, 325ms, 350ms}, 350ms, 250ms},
-      {"a stop that lasts", {25ms}, 325ms, 250ms},
-      {"its share of the processor is used up in each tenth of a second",
+      {"no delay", {25ms, 50ms, 75ms, 100ms}, 100ms, 0ms},
+      {"one pass skipped", {25ms, 75ms, 100ms}, 100ms, 0ms},
+      {"a stall", {25ms, 325ms, 350ms}, 350ms, 250ms},
+      {"a stall that has not ended", {25ms}, 325ms, 250ms},
+      {"the CPU quota is used up in every period of 100 ms",
        {100ms, 200ms, 300ms, 400ms},
        400ms,
        200ms},
@@ -44,7 +45,7 @@
   }
 }
 
-TEST_CASE("a host that stands still right after its first probes suspects nobody for it") {
+TEST_CASE("a host that stalls right after its first probes suspects no peer because of it") {
   loop_lateness lateness(at(0s));
   std::vector<peer_watch> watches(300, peer_watch(at(0s), 0));
   for (peer_watch& watch : watches) {
@@ -57,13 +58,13 @@
   };
   const duration stands_still = 900ms;
   CHECK(suspects(at(stands_still)) == 0);
-  // The limits of its probes pass before it has read the answers.
+  // The probes time out before the host has read the answers.
   for (peer_watch& watch : watches) {
     watch.probe_failed(at(1ms), lateness.total(at(stands_still)));
   }
   lateness.pass(at(stands_still));
   CHECK(suspects(at(stands_still)) == 0);
-  // It goes on in time; whoever does not answer now is suspected.
+  // The loop runs without lag again; peers that do not answer now are suspected.
   for (duration now = stands_still; now <= stands_still + 300ms; now += 25ms) {
     lateness.pass(at(now));
   }
--- a/libs/front/test/peer_traffic_test.cc
+++ b/libs/front/test/peer_traffic_test.cc
@@ -1,4 +1,4 @@
-// Bytes between hosts are counted by what they are for, in both directions.
+// Guards against bytes between hosts that are counted for the wrong purpose or direction.
 #include "hawthornlane/front/peer_traffic.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 using namespace hawthornlane;
 using namespace hawthornlane::front;
 
-TEST_CASE("requests and answers count where they belong, and nowhere else") {
+TEST_CASE("bytes of requests and answers count only for their kind and direction") {
   struct row {
     const char* what;
     bool serves;
@@ -16,10 +16,10 @@
     std::uint64_t received;
   };
   const row rows[] = {
-      {"a call that is answered", false, "12345", 3, 5},
-      {"a call that is not", false, std::nullopt, 3, 0},
-      {"a request that is served", true, "12345", 5, 3},
-      {"a request that is refused", true, std::nullopt, 0, 3},
+      {"an own request that is answered", false, "12345", 3, 5},
+      {"an own request without an answer", false, std::nullopt, 3, 0},
+      {"a peer's request that is served", true, "12345", 5, 3},
+      {"a peer's request that is refused", true, std::nullopt, 0, 3},
   };
   constexpr std::size_t request = 3;
   for (const traffic_kind kind : all_traffic_kinds) {
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("copies of the counters count together, and answers may come after the last of them") {
+TEST_CASE("copies share the counters, and an answer may arrive after all of them are destroyed") {
   net::rpc_done late;
   {
     const peer_traffic one;
@@ -60,7 +60,7 @@
   late(net::rpc_failure::none, "answer");
 }
 
-TEST_CASE("each method between front hosts has its kind, and each kind its name") {
+TEST_CASE("every method maps to its traffic kind, and every kind has a distinct name") {
   struct row {
     gossip_method method;
     traffic_kind kind;
--- a/libs/front/test/peer_watch_test.cc
+++ b/libs/front/test/peer_watch_test.cc
@@ -1,4 +1,5 @@
-// What one host believes of another one by its own probes and by what others tell.
+// Guards against a live peer declared failed, and a failed one detected late. A peer counts as
+// failed after an own probe failed and two other hosts confirm it, or after the silence timeout.
 #include "hawthornlane/front/peer_watch.h"
 
 #include <catch2/catch.hpp>
@@ -22,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("another host is believed gone by own probes that others confirm, or by its silence") {
+TEST_CASE("a peer fails only by a failed probe that two others confirm, or by silence") {
   struct row {
     const char* what;
     std::vector<event> events;
@@ -30,15 +31,17 @@
   };
   using enum event;
   const row rows[] = {
-      {"nothing happened", {}, true},
+      {"no event", {}, true},
       {"an own probe failed", {probe_failed}, true},
-      {"others suspect it, and this host has not asked", {told_by_a, told_by_b}, true},
-      {"one other confirms", {probe_failed, told_by_a}, true},
-      {"the same one twice", {probe_failed, told_by_a, told_by_a}, true},
-      {"two others confirm", {probe_failed, told_by_a, told_by_b}, false},
+      {"others suspect it, and this host has not probed it", {told_by_a, told_by_b}, true},
+      {"one other host confirms", {probe_failed, told_by_a}, true},
+      {"the same host confirms twice", {probe_failed, told_by_a, told_by_a}, true},
+      {"two other hosts confirm", {probe_failed, told_by_a, told_by_b}, false},
       {"in another order", {told_by_a, told_by_b, probe_failed}, false},
-      {"a word came since", {probe_failed, told_by_a, told_by_b, heard}, true},
-      {"what was told before the word is void", {told_by_a, told_by_b, heard, probe_failed}, true},
+      {"a message arrived afterwards", {probe_failed, told_by_a, told_by_b, heard}, true},
+      {"reports from before the last message do not count",
+       {told_by_a, told_by_b, heard, probe_failed},
+       true},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -66,7 +69,7 @@
   }
 }
 
-TEST_CASE("a probe that began before the last word came does not count as failed") {
+TEST_CASE("a probe sent before the last message of the peer does not count as failed") {
   peer_watch watch(at(0s), 0);
   watch.heard(at(500ms));
   watch.probe_failed(at(400ms));
@@ -75,12 +78,12 @@
   CHECK(watch.suspected(at(600ms)));
 }
 
-TEST_CASE("a probe that waits for long is told of before it fails") {
+TEST_CASE("a probe that is unanswered for long raises a suspicion before it fails") {
   peer_watch watch(at(0s), 0);
   watch.heard(at(100ms));
   watch.probe_sent(at(200ms));
   CHECK_FALSE(watch.suspected(at(390ms)));
-  // The next one, sent meanwhile, does not hide it.
+  // A second probe sent meanwhile does not restart the wait.
   watch.probe_sent(at(350ms));
   CHECK(watch.suspected(at(400ms)));
   CHECK(watch.lives(pace, at(400ms)));
@@ -88,7 +91,7 @@
   CHECK_FALSE(watch.suspected(at(900ms)));
 }
 
-TEST_CASE("a host that others suspect is asked at once, unless it was just heard") {
+TEST_CASE("a peer that others suspect is probed at once, unless it has just sent a message") {
   peer_watch watch(at(0s), 0);
   watch.probe_sent(at(0s));
   watch.probe_answered(at(0s));
@@ -103,7 +106,7 @@
   CHECK_FALSE(probe_due(watch, at(950ms)));
 }
 
-TEST_CASE("time in which this host's own event loop was late does not count as waiting") {
+TEST_CASE("lag of this host's event loop does not count as waiting for an answer") {
   struct row {
     const char* what;
     duration waits;
@@ -112,15 +115,15 @@
     bool suspected_once_failed;
   };
   const row rows[] = {
-      {"the loop is in time", 200ms, 0ms, true, true},
-      {"an answer may lie unread", 400ms, 250ms, false, true},
+      {"no lag", 200ms, 0ms, true, true},
+      {"an answer may be unread", 400ms, 250ms, false, true},
       {"enough time was left", 400ms, 200ms, true, true},
-      {"hardly any time was left", 500ms, 301ms, false, false},
-      {"it stood still all the time", 2s, 2s, false, false},
+      {"too little time was left", 500ms, 301ms, false, false},
+      {"the loop stalled all the time", 2s, 2s, false, false},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    // What was late before the probe does not bear on it.
+    // Lag before the probe has no effect.
     constexpr duration late_before = 7s;
     peer_watch watch(at(0s), 0);
     watch.heard(at(100ms));
--- a/libs/front/test/planned_stop_test.cc
+++ b/libs/front/test/planned_stop_test.cc
@@ -1,4 +1,5 @@
-// A planned stop: no caller who may know the host is cut off, and the process ends before the kill.
+// Guards against a planned stop that cuts off callers which still use the host, or that does not
+// end before the process is killed.
 #include "hawthornlane/front/planned_stop.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +9,7 @@
 using namespace hawthornlane::front;
 using namespace std::chrono_literals;
 
-TEST_CASE("a host that leaves serves until it is forgotten, and ends before the kill") {
+TEST_CASE("a stopping host serves until its address has expired and exits before the kill") {
   struct row {
     std::string name;
     planned_stop stop;
@@ -20,13 +21,13 @@
   const planned_stop usual{30s, 2s};
   const planned_stop short_grace{5s, 2s};
   for (const row& item : {
-           row{"callers may still know it", usual, 5s, 0, false, false},
-           row{"forgotten and idle", usual, 6s, 0, false, true},
-           row{"forgotten, with calls under way", usual, 6s, 3, false, false},
-           row{"calls that come late", usual, 26800ms, 3, true, false},
-           row{"just before the kill", usual, 29600ms, 3, true, true},
-           row{"grace shorter than callers remember", short_grace, 1800ms, 0, true, true},
-           row{"the same before it turns away", short_grace, 1700ms, 0, false, false},
+           row{"callers may still hold its address", usual, 5s, 0, false, false},
+           row{"address expired, idle", usual, 6s, 0, false, true},
+           row{"address expired, calls in flight", usual, 6s, 3, false, false},
+           row{"shortly before the kill, new calls are rejected", usual, 26800ms, 3, true, false},
+           row{"just before the kill, with calls in flight", usual, 29600ms, 3, true, true},
+           row{"grace shorter than the address lifetime", short_grace, 1800ms, 0, true, true},
+           row{"the same, before calls are rejected", short_grace, 1700ms, 0, false, false},
        }) {
     INFO(item.name);
     CHECK(item.stop.turns_away(item.since) == item.turns_away);
--- a/libs/front/test/probe_encoder_test.cc
+++ b/libs/front/test/probe_encoder_test.cc
@@ -1,4 +1,4 @@
-// A message that is encoded once says what one encoded for each probe would.
+// Guards against a cached probe message that differs from one encoded freshly for each probe.
 #include "hawthornlane/front/probe_encoder.h"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,8 @@
 
 }  // namespace
 
-TEST_CASE("an encoded message ages as the newest read of the store does, and no otherwise") {
+TEST_CASE(
+    "a cached message differs from a fresh one in nothing, including the age of the store read") {
   const host_id nobody;
   const host_id reader("front-2");
   struct row {
@@ -34,8 +35,8 @@
     probe_message message;
   };
   const row rows[] = {
-      {"nothing was read yet", message_with(nobody, {}, {})},
-      {"a read", message_with(reader, {}, {})},
+      {"no store read yet", message_with(nobody, {}, {})},
+      {"a store read", message_with(reader, {}, {})},
       {"demand", message_with(reader, {{service_name("models"), 7}}, {})},
       {"suspected hosts", message_with(reader, {}, {host_key(3), host_key(5)})},
       {"all of it", message_with(reader, {{service_name("m"), 7}}, {host_key(3)})},
--- a/libs/front/test/probe_turns_test.cc
+++ b/libs/front/test/probe_turns_test.cc
@@ -1,5 +1,5 @@
-// Two hosts that take turns at probing: how many probes they need, and how old what one
-// knows of the other becomes.
+// Guards against two hosts that probe each other more often than needed, or so rarely that a live
+// host is declared failed. Simulates pairs of hosts that take turns at probing.
 #include "hawthornlane/front/probe_turns.h"
 
 #include <algorithm>
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr duration pause_between = 1s;
-/// A host that has heard nothing of another one for so long leaves it out of its answers.
+/// A host leaves a peer out of its address answers after this long without a message.
 constexpr duration silence = 3 * pause_between + 100ms;
-/// A host looks this often at whom it should probe.
+/// Interval at which a host checks whether a probe is due.
 constexpr duration look = 25ms;
 
 /// One of the two hosts.
@@ -37,7 +37,7 @@
   duration longest_unheard{};
 };
 
-/// Whether a host probes the other one now.
+/// Decides whether a host probes the other one now.
 using probe_rule = std::function<bool(const probe_moments&, int host, timestamp now)>;
 
 bool by_turns(const probe_moments& moments, int host, timestamp now) {
@@ -48,8 +48,8 @@
   return now - moments.tried >= pause_between;
 }
 
-/// Plays two hosts, of which the second one starts later; `arrives` says whether a message
-/// from one of them does.
+/// Simulates two hosts, of which the second one starts `later`; `arrives` decides whether a message
+/// from host `from` arrives.
 pair_result play(duration later, duration length, const std::function<bool(int from)>& arrives,
                  const probe_rule& is_due = by_turns) {
   const timestamp begin(1h);
@@ -87,17 +87,17 @@
 
 }  // namespace
 
-TEST_CASE("two hosts need one probe a pause, and know each other as well as with two") {
+TEST_CASE("a pair sends one probe per interval, and neither goes without a message for long") {
   constexpr int pauses = 200;
   for (duration later = 0ms; later < pause_between; later += 50ms) {
-    INFO("the second one starts " << to_seconds(later) << " s later");
+    INFO("the second host starts " << to_seconds(later) << " s later");
     const pair_result result = play(later, pauses * pause_between, [](int) { return true; });
     CHECK(result.probes <= pauses + 2);
     CHECK(result.longest_unheard <= pause_between + pause_between / 2);
   }
 }
 
-TEST_CASE("a host whose messages get lost is probed at least as often") {
+TEST_CASE("a host whose messages are lost is probed no less often") {
   struct row {
     const char* what;
     bool first_arrives;
@@ -105,10 +105,10 @@
     bool heard_by_all;
   };
   const row rows[] = {
-      {"all arrive", true, true, true},
-      {"those of the first host do not", false, true, false},
-      {"those of the second host do not", true, false, false},
-      {"none does", false, false, false},
+      {"all messages arrive", true, true, true},
+      {"messages of the first host are lost", false, true, false},
+      {"messages of the second host are lost", true, false, false},
+      {"all messages are lost", false, false, false},
   };
   constexpr int pauses = 50;
   for (const row& item : rows) {
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_CASE("turns lose a host that lives no more often than twice as many probes do") {
+TEST_CASE("taking turns declares live hosts failed no more often than twice the probes") {
   constexpr int pairs = 500;
   const auto lost_pairs = [](double lost_part, const probe_rule& is_due) {
     constexpr duration length = 40 * pause_between;
@@ -139,8 +139,8 @@
   for (const double lost_part : {0.05, 0.1, 0.2, 0.3}) {
     const int taken_for_gone = lost_pairs(lost_part, by_turns);
     const int before = lost_pairs(lost_part, at_every_pause);
-    INFO(lost_part << " of the messages lost: " << taken_for_gone << " of " << pairs
-                   << " pairs, with twice the probes " << before);
+    INFO(lost_part << " of the messages lost: failed pairs " << taken_for_gone << " of " << pairs
+                   << ", with twice the probes " << before);
     CHECK(taken_for_gone <= before);
   }
 }
--- a/libs/front/test/suspicion_limits_test.cc
+++ b/libs/front/test/suspicion_limits_test.cc
@@ -1,4 +1,5 @@
-// How many suspects a message names and how many hosts are probed on others' word.
+// Guards against overload when many hosts are suspected: messages that name too many hosts, and too
+// many probes sent on reports of others.
 #include "hawthornlane/front/suspicion_limits.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a message names few suspects, and all of them in turn") {
+TEST_CASE("a message names a limited number of suspects, and all of them in turn") {
   struct row {
     std::uint32_t suspects;
     std::size_t named;
@@ -41,7 +42,7 @@
   }
 }
 
-TEST_CASE("the turn goes on when the host that was named last is no more suspected") {
+TEST_CASE("the rotation continues when the host named last is no longer suspected") {
   host_rotation rotation;
   std::set<host_key> suspects = keys_of(10);
   CHECK(rotation.next(suspects, 4).back() == host_key(4));
@@ -49,7 +50,7 @@
   CHECK(rotation.next(suspects, 2) == std::vector{host_key(5), host_key(6)});
 }
 
-TEST_CASE("few hosts are probed on others' word between two looks, and all of them in turn") {
+TEST_CASE("a probe round probes a limited number of reported hosts, and all of them in turn") {
   suspicion_limits limits;
   const std::set<host_key> doubted = keys_of(30);
   std::map<host_key, int> probed;
@@ -64,7 +65,7 @@
   for (const host_key host : doubted) {
     CHECK(probed[host] == 2);
   }
-  // What a look leaves may go to hosts that others tell of before the next one.
+  // Probes left over in a round may go to hosts that are reported before the next round.
   CHECK(limits.to_probe(keys_of(11)).size() == 11);
   CHECK(limits.admit_probe());
   CHECK_FALSE(limits.admit_probe());
