--- a/libs/front/include/hawthornlane/front/copy_intake.h
+++ b/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
@@ -16,7 +16,7 @@
 /// asked only after the previous one has refused or failed. Without that bound each host asked
 /// every peer with newer state: 585 copies for 23 hosts and one change of 700 KB, with 34 MB queued
 /// for one link of 30 Mbit/s (configuration_spread_test).
-class copy_intake {
+class copy_fetch_scheduler {
 public:
   /// Delay before a peer with newer state is asked, if it is still ahead then: usually the message
   /// of the host that read the store is about to arrive.
@@ -42,7 +42,7 @@
   /// Whether a peer has recently answered this host.
   using reaches_hook = std::function<bool(const host_id& other)>;
 
-  explicit copy_intake(
+  explicit copy_fetch_scheduler(
       host_id own, reaches_hook answers = [](const host_id&) { return true; })
       : self(std::move(own)), reaches(std::move(answers)) {}
 
--- a/libs/front/include/hawthornlane/front/copy_messages.h
+++ b/libs/front/include/hawthornlane/front/copy_messages.h
@@ -48,7 +48,7 @@
 std::optional<copy_request> copy_request_from(const std::string& bytes);
 
 /// A copy, or other hosts that have it.
-struct copy_answer {
+struct copy_response {
   /// `nullopt`: the sender is already sending as many copies as it may.
   std::optional<std::string> copy;
   /// Hosts that have received their copy.
@@ -57,8 +57,8 @@
 
 /// Encodes an answer. A copy is sent as it is, followed by one tag byte: an archive would hold a
 /// configuration of 1 MB in memory four times while writing it.
-std::string to_answer_bytes(copy_answer answer);
+std::string to_answer_bytes(copy_response answer);
 /// `nullopt` when the bytes are malformed.
-std::optional<copy_answer> copy_answer_from(std::string bytes);
+std::optional<copy_response> copy_answer_from(std::string bytes);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/copy_outlet.h
+++ b/libs/front/include/hawthornlane/front/copy_send_limiter.h
@@ -15,7 +15,7 @@
 /// reaches all hosts in a few rounds, and only a few copies queue for a host's link, whatever the
 /// number of hosts: 1.4 MB instead of 34 MB for a configuration of 700 KB and 24 hosts
 /// (configuration_spread_test).
-class copy_outlet {
+class copy_send_limiter {
 public:
   /// Concurrent copies allowed for any size. The second one keeps the link busy while the first
   /// receiver processes and confirms its copy.
--- a/libs/front/include/hawthornlane/front/loop_lateness.h
+++ b/libs/front/include/hawthornlane/front/event_loop_lag.h
@@ -12,13 +12,13 @@
 namespace hawthornlane::front {
 
 /// Sums up the delays of event loop passes.
-class loop_lateness {
+class event_loop_lag {
 public:
   /// The longest interval between two passes that does not count as lag: two periods of the
   /// sweeper that drives the passes, 25 ms each.
   static constexpr duration fair_gap = std::chrono::milliseconds(50);
 
-  explicit loop_lateness(timestamp now) : last_pass(now) {}
+  explicit event_loop_lag(timestamp now) : last_pass(now) {}
 
   /// Records a pass of the event loop.
   void pass(timestamp now) {
--- a/libs/front/include/hawthornlane/front/gossip_messages.h
+++ b/libs/front/include/hawthornlane/front/gossip_messages.h
@@ -77,23 +77,23 @@
   config_version configuration;
   /// Store revision of the last change of the backend servers that this host has.
   store_revision backends_changed_at;
-  store_revision hosts_at;
+  store_revision hosts_revision;
   /// Epoch of the newest set of disks that this host has; 0: none.
-  set_epoch ledger_at;
+  set_epoch ledger_epoch;
   /// The newest store read by any host that this host has learned of: the reading host and the
   /// age. An empty name: no read yet.
-  host_id checked_by;
-  duration checked_ago{};
+  host_id store_read_by;
+  duration store_read_age{};
   /// Services with a demand above zero.
   std::vector<service_demand> demand;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    std::int64_t age = this->checked_ago.count();
+    std::int64_t age = this->store_read_age.count();
     archive(this->self, this->ready, this->leaving, this->disks_reached, this->configuration,
-            this->backends_changed_at, this->hosts_at, this->ledger_at, this->checked_by, age,
-            this->demand);
-    this->checked_ago = duration(age);
+            this->backends_changed_at, this->hosts_revision, this->ledger_epoch,
+            this->store_read_by, age, this->demand);
+    this->store_read_age = duration(age);
   }
 };
 
@@ -130,7 +130,7 @@
 };
 
 /// A request to a disk host, forwarded by a front host that reaches it.
-struct relayed_question {
+struct relayed_request {
   disk_id disk;
   std::uint16_t method = 0;
   std::string payload;
--- a/libs/front/include/hawthornlane/front/peer_watch.h
+++ b/libs/front/include/hawthornlane/front/peer_failure_detector.h
@@ -9,14 +9,14 @@
 
 #include <set>
 
-#include "hawthornlane/front/probe_turns.h"
+#include "hawthornlane/front/probe_schedule.h"
 #include "hawthornlane/units/ids.h"
 #include "hawthornlane/units/quantities.h"
 
 namespace hawthornlane::front {
 
 /// Intervals of failure detection.
-struct watch_pace {
+struct detector_timing {
   /// Interval between two probes of a pair of hosts.
   duration pause{};
   /// A peer that has sent nothing for this long counts as failed, whatever others report.
@@ -24,12 +24,12 @@
 };
 
 /// Failure detector for one peer.
-class peer_watch {
+class peer_failure_detector {
 public:
   /// `phase_of_pair`, from 0 to 1, is the fraction of the probe interval after which the pair
   /// starts to probe. Without it, hosts that start together would always probe each other at the
   /// same times, and a failure just after such a time would be detected a whole interval later.
-  peer_watch(timestamp now, double phase_of_pair)
+  peer_failure_detector(timestamp now, double phase_of_pair)
       : since(now), phase(phase_of_pair), last_heard(now), asked(now) {}
 
   /// Records that a message of the peer has arrived.
@@ -52,11 +52,11 @@
   [[nodiscard]] bool doubted(timestamp now) const;
   /// Whether the regular probe of this pair is due, whatever others report; `goes_first` as in
   /// `is_probe_due`.
-  [[nodiscard]] bool turn_due(bool goes_first, const watch_pace& pace, timestamp now) const;
-  [[nodiscard]] bool lives(const watch_pace& pace, timestamp now) const;
+  [[nodiscard]] bool turn_due(bool goes_first, const detector_timing& pace, timestamp now) const;
+  [[nodiscard]] bool lives(const detector_timing& pace, timestamp now) const;
 
 private:
-  probe_moments probes;
+  probe_times probes;
   timestamp since;
   double phase;
   timestamp last_heard;
--- a/libs/front/include/hawthornlane/front/probe_turns.h
+++ b/libs/front/include/hawthornlane/front/probe_schedule.h
@@ -6,7 +6,7 @@
 namespace hawthornlane::front {
 
 /// Times of the last probes between this host and one peer.
-struct probe_moments {
+struct probe_times {
   /// When this host last sent a probe.
   timestamp tried{};
   /// When this host sent the last probe that was answered.
@@ -20,7 +20,7 @@
 /// 5,200 probes a second (calculated), half of them redundant. A failed probe is retried sooner, by
 /// either host. `goes_first` is true for exactly one of the two hosts, which probes next after both
 /// probed at the same time.
-[[nodiscard]] bool is_probe_due(const probe_moments& moments, bool goes_first, duration pause,
+[[nodiscard]] bool is_probe_due(const probe_times& moments, bool goes_first, duration pause,
                                 timestamp now);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/planned_stop.h
+++ b/libs/front/include/hawthornlane/front/shutdown_policy.h
@@ -9,7 +9,7 @@
 namespace hawthornlane::front {
 
 /// Rules of a planned stop. Parameter `since`: time since the stop began.
-struct planned_stop {
+struct shutdown_policy {
   /// Time from the beginning of the stop until the process is killed.
   duration grace{};
   /// How long an address answer is valid.
--- a/libs/front/include/hawthornlane/front/suspicion_limits.h
+++ b/libs/front/include/hawthornlane/front/suspicion_limits.h
@@ -15,7 +15,7 @@
 namespace hawthornlane::front {
 
 /// Selects a few hosts of a set at a time, round robin.
-class host_rotation {
+class host_round_robin {
 public:
   /// At most `most` hosts of `all`, starting after the last one selected before.
   [[nodiscard]] std::vector<host_key> next(const std::set<host_key>& all, std::size_t most);
@@ -44,8 +44,8 @@
   [[nodiscard]] bool admit_probe();
 
 private:
-  host_rotation naming;
-  host_rotation probing;
+  host_round_robin naming;
+  host_round_robin probing;
   /// Probes of the current round. Invariant: at most `most_probes`.
   std::size_t probed = 0;
 };
--- a/libs/front/test/copy_intake_test.cc
+++ b/libs/front/test/copy_fetch_scheduler_test.cc
@@ -1,6 +1,6 @@
 // Guards against requests for copies that overload peers or links: too early, too often, several at
 // once, or all to the same host. Also guards against peers that do not answer being preferred.
-#include "hawthornlane/front/copy_intake.h"
+#include "hawthornlane/front/copy_fetch_scheduler.h"
 
 #include <catch2/catch.hpp>
 
@@ -36,7 +36,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_intake intake(self);
+    copy_fetch_scheduler intake(self);
     intake.heard(kind, one, true, item.prompt, at(0ms));
     intake.heard(kind, one, true, false, at(item.after));
     CHECK(intake.next(kind, item.urgent, at(item.after)).has_value() == item.asked);
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("one copy of a kind is in flight, however many peers have newer state") {
-  copy_intake intake(self);
+  copy_fetch_scheduler intake(self);
   intake.heard(kind, one, true, true, at(0ms));
   intake.heard(kind, two, true, true, at(0ms));
   REQUIRE(intake.next(kind, true, at(0ms)));
@@ -60,14 +60,14 @@
 TEST_CASE("the next request after an answer without a copy waits for the backoff") {
   struct row {
     const char* what;
-    std::function<void(copy_intake&)> answer;
+    std::function<void(copy_fetch_scheduler&)> answer;
     duration later;
     std::optional<host_id> asked;
   };
   const auto busy = [](std::vector<host_id> holders) {
-    return [holders](copy_intake& intake) { intake.busy(kind, holders, at(0ms)); };
+    return [holders](copy_fetch_scheduler& intake) { intake.busy(kind, holders, at(0ms)); };
   };
-  const auto failed = [](copy_intake& intake) { intake.failed(kind, at(0ms)); };
+  const auto failed = [](copy_fetch_scheduler& intake) { intake.failed(kind, at(0ms)); };
   const row rows[] = {
       {"a busy peer is not asked during its backoff", busy({}), 59ms, std::nullopt},
       {"a busy peer is asked again after its backoff", busy({}), 60ms, one},
@@ -79,7 +79,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_intake intake(self);
+    copy_fetch_scheduler intake(self);
     intake.heard(kind, one, true, true, at(0ms));
     REQUIRE(intake.next(kind, false, at(0ms)) == one);
     item.answer(intake);
@@ -103,7 +103,7 @@
   };
   for (const row& item : rows) {
     INFO(item.hosts << " hosts");
-    copy_intake intake(self);
+    copy_fetch_scheduler intake(self);
     intake.count_hosts(item.hosts);
     intake.heard(kind, one, true, true, at(0ms));
     int questions = 0;
@@ -120,7 +120,7 @@
 TEST_CASE("hosts that lack the same state do not all ask the same peer") {
   std::map<host_id, int> asked;
   for (int number = 0; number < 60; ++number) {
-    copy_intake intake(host_id("front-" + std::to_string(number)));
+    copy_fetch_scheduler intake(host_id("front-" + std::to_string(number)));
     for (const char* holder : {"a", "b", "c", "d"}) {
       intake.heard(kind, host_id(holder), true, true, at(0ms));
     }
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("a failed peer, or one without newer state, is not asked") {
-  copy_intake intake(self);
+  copy_fetch_scheduler intake(self);
   intake.heard(kind, one, true, true, at(0ms));
   intake.heard(kind, two, true, true, at(0ms));
   intake.forget(one);
@@ -142,7 +142,7 @@
 }
 
 TEST_CASE("backoff of a failing peer grows until it sends a copy") {
-  copy_intake intake(self);
+  copy_fetch_scheduler intake(self);
   const auto asked_from = [&intake](duration from) {
     while (!intake.next(kind, true, at(from))) {
       from += 10ms;
@@ -178,7 +178,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_intake intake(self, [](const host_id& other) { return other != one; });
+    copy_fetch_scheduler intake(self, [](const host_id& other) { return other != one; });
     for (const host_id& host : item.ahead) {
       intake.heard(kind, host, true, true, at(0ms));
     }
--- a/libs/front/test/copy_outlet_test.cc
+++ b/libs/front/test/copy_send_limiter_test.cc
@@ -1,6 +1,6 @@
 // Guards against a link that is overloaded with copies, and against naming hosts that do not have
 // the newest state.
-#include "hawthornlane/front/copy_outlet.h"
+#include "hawthornlane/front/copy_send_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -26,13 +26,13 @@
   };
   const row rows[] = {
       {"a large configuration", 1'000'000, 2},
-      {"half of the byte limit", copy_outlet::burst_bytes / 2, 2},
-      {"a quarter of the byte limit", copy_outlet::burst_bytes / 4, 4},
+      {"half of the byte limit", copy_send_limiter::burst_bytes / 2, 2},
+      {"a quarter of the byte limit", copy_send_limiter::burst_bytes / 4, 4},
       {"a small registry", 2000, 32},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_outlet outlet;
+    copy_send_limiter outlet;
     int given = 0;
     for (int number = 0; number < 60; ++number) {
       given += outlet.begin(kind, host(number), item.bytes, at(0ms)) ? 1 : 0;
@@ -44,23 +44,23 @@
 TEST_CASE("a copy counts as in flight until it is confirmed, requested again or timed out") {
   struct row {
     const char* what;
-    std::function<void(copy_outlet&)> then;
+    std::function<void(copy_send_limiter&)> then;
     duration later;
     bool another;
   };
   const row rows[] = {
-      {"in flight", [](copy_outlet&) {}, 999ms, false},
-      {"confirmed", [](copy_outlet& outlet) { outlet.taken(kind, host(0)); }, 1ms, true},
+      {"in flight", [](copy_send_limiter&) {}, 999ms, false},
+      {"confirmed", [](copy_send_limiter& outlet) { outlet.taken(kind, host(0)); }, 1ms, true},
       {"a copy of another kind confirmed",
-       [](copy_outlet& outlet) { outlet.taken(copy_kind::hosts, host(0)); }, 1ms, false},
-      {"timed out", [](copy_outlet&) {}, 1000ms, true},
+       [](copy_send_limiter& outlet) { outlet.taken(copy_kind::hosts, host(0)); }, 1ms, false},
+      {"timed out", [](copy_send_limiter&) {}, 1000ms, true},
       {"requested again: still counted once",
-       [](copy_outlet& outlet) { CHECK(outlet.begin(kind, host(0), 1'000'000, at(1ms))); }, 2ms,
-       false},
+       [](copy_send_limiter& outlet) { CHECK(outlet.begin(kind, host(0), 1'000'000, at(1ms))); },
+       2ms, false},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_outlet outlet;
+    copy_send_limiter outlet;
     REQUIRE(outlet.begin(kind, host(0), 1'000'000, at(0ms)));
     REQUIRE(outlet.begin(kind, host(1), 1'000'000, at(0ms)));
     item.then(outlet);
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE("only the last hosts that received the newest state are named") {
-  copy_outlet outlet;
+  copy_send_limiter outlet;
   const auto take = [&outlet](int number) {
     REQUIRE(outlet.begin(kind, host(number), 10, at(0ms)));
     outlet.taken(kind, host(number));
--- a/libs/front/test/loop_lateness_test.cc
+++ b/libs/front/test/event_loop_lag_test.cc
@@ -1,12 +1,12 @@
 // Guards against false suspicions by a host whose event loop stalls: answers to its probes are
 // unread meanwhile, so the lag must not count as time without an answer.
-#include "hawthornlane/front/loop_lateness.h"
+#include "hawthornlane/front/event_loop_lag.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <vector>
 
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 
 using namespace hawthornlane;
 using namespace hawthornlane::front;
@@ -37,7 +37,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    loop_lateness lateness(at(0ms));
+    event_loop_lag lateness(at(0ms));
     for (const duration pass : item.passes) {
       lateness.pass(at(pass));
     }
@@ -46,20 +46,20 @@
 }
 
 TEST_CASE("a host that stalls right after its first probes suspects no peer because of it") {
-  loop_lateness lateness(at(0s));
-  std::vector<peer_watch> watches(300, peer_watch(at(0s), 0));
-  for (peer_watch& watch : watches) {
+  event_loop_lag lateness(at(0s));
+  std::vector<peer_failure_detector> watches(300, peer_failure_detector(at(0s), 0));
+  for (peer_failure_detector& watch : watches) {
     watch.probe_sent(at(1ms), lateness.total(at(1ms)));
   }
   const auto suspects = [&](timestamp now) {
-    return std::count_if(watches.begin(), watches.end(), [&](const peer_watch& watch) {
+    return std::count_if(watches.begin(), watches.end(), [&](const peer_failure_detector& watch) {
       return watch.suspected(now, lateness.total(now));
     });
   };
   const duration stands_still = 900ms;
   CHECK(suspects(at(stands_still)) == 0);
   // The probes time out before the host has read the answers.
-  for (peer_watch& watch : watches) {
+  for (peer_failure_detector& watch : watches) {
     watch.probe_failed(at(1ms), lateness.total(at(stands_still)));
   }
   lateness.pass(at(stands_still));
--- a/libs/front/test/peer_watch_test.cc
+++ b/libs/front/test/peer_failure_detector_test.cc
@@ -1,6 +1,6 @@
 // Guards against a live peer declared failed, and a failed one detected late. A peer counts as
 // failed after an own probe failed and two other hosts confirm it, or after the silence timeout.
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -11,13 +11,13 @@
 
 namespace {
 
-constexpr watch_pace pace{1300ms, 4s};
+constexpr detector_timing pace{1300ms, 4s};
 
 enum class event { heard, probe_failed, told_by_a, told_by_b };
 
 timestamp at(duration since) { return timestamp(1h + since); }
 
-bool probe_due(const peer_watch& watch, timestamp now) {
+bool probe_due(const peer_failure_detector& watch, timestamp now) {
   return watch.doubted(now) || watch.turn_due(false, pace, now);
 }
 
@@ -45,7 +45,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    peer_watch watch(at(0s), 0);
+    peer_failure_detector watch(at(0s), 0);
     duration now = 0ms;
     for (const event what : item.events) {
       now += 100ms;
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("a probe sent before the last message of the peer does not count as failed") {
-  peer_watch watch(at(0s), 0);
+  peer_failure_detector watch(at(0s), 0);
   watch.heard(at(500ms));
   watch.probe_failed(at(400ms));
   CHECK_FALSE(watch.suspected(at(600ms)));
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("a probe that is unanswered for long raises a suspicion before it fails") {
-  peer_watch watch(at(0s), 0);
+  peer_failure_detector watch(at(0s), 0);
   watch.heard(at(100ms));
   watch.probe_sent(at(200ms));
   CHECK_FALSE(watch.suspected(at(390ms)));
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE("a peer that others suspect is probed at once, unless it has just sent a message") {
-  peer_watch watch(at(0s), 0);
+  peer_failure_detector watch(at(0s), 0);
   watch.probe_sent(at(0s));
   watch.probe_answered(at(0s));
   watch.told_by(host_id("a"), at(200ms));
@@ -125,7 +125,7 @@
     INFO(item.what);
     // Lag before the probe has no effect.
     constexpr duration late_before = 7s;
-    peer_watch watch(at(0s), 0);
+    peer_failure_detector watch(at(0s), 0);
     watch.heard(at(100ms));
     watch.probe_sent(at(200ms), late_before);
     const timestamp now = at(200ms + item.waits);
--- a/libs/front/test/planned_stop_test.cc
+++ b/libs/front/test/shutdown_policy_test.cc
@@ -1,6 +1,6 @@
 // Guards against a planned stop that cuts off callers which still use the host, or that does not
 // end before the process is killed.
-#include "hawthornlane/front/planned_stop.h"
+#include "hawthornlane/front/shutdown_policy.h"
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -12,14 +12,14 @@
 TEST_CASE("a stopping host serves until its address has expired and exits before the kill") {
   struct row {
     std::string name;
-    planned_stop stop;
+    shutdown_policy stop;
     duration since;
     std::size_t calls;
     bool turns_away;
     bool may_end;
   };
-  const planned_stop usual{30s, 2s};
-  const planned_stop short_grace{5s, 2s};
+  const shutdown_policy usual{30s, 2s};
+  const shutdown_policy short_grace{5s, 2s};
   for (const row& item : {
            row{"callers may still hold its address", usual, 5s, 0, false, false},
            row{"address expired, idle", usual, 6s, 0, false, true},
--- a/libs/front/test/suspicion_limits_test.cc
+++ b/libs/front/test/suspicion_limits_test.cc
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("the rotation continues when the host named last is no longer suspected") {
-  host_rotation rotation;
+  host_round_robin rotation;
   std::set<host_key> suspects = keys_of(10);
   CHECK(rotation.next(suspects, 4).back() == host_key(4));
   suspects.erase(host_key(4));
--- a/libs/ownership/include/hawthornlane/ownership/messages.h
+++ b/libs/ownership/include/hawthornlane/ownership/messages.h
@@ -21,7 +21,7 @@
 };
 
 /// A host's copy of a shard's log.
-struct held_log {
+struct log_snapshot {
   /// Epoch and position of the last record; an owner's log of one epoch begins
   /// with an installed state at index 1.
   epoch at;
@@ -42,7 +42,7 @@
   /// False when the host has already seen a higher epoch.
   bool granted = false;
   /// What the host holds, if it holds anything.
-  std::optional<held_log> log;
+  std::optional<log_snapshot> log;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -52,7 +52,7 @@
 
 /// The owner replaces a sealed host's copy by its own.
 struct install_request {
-  held_log log;
+  log_snapshot log;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -105,7 +105,7 @@
 /// Answer to `late_result`, sent once the result is kept or cannot be.
 struct late_result_reply {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
   bool kept = false;
   std::uint32_t copies = 0;
   /// For the caller's next call, which runs at the new owner.
@@ -115,7 +115,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under, this->kept, this->copies, this->next, this->digest,
+    archive(this->program, this->call_ticket, this->kept, this->copies, this->next, this->digest,
             this->budget_left);
   }
 };
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -63,7 +63,7 @@
 
   // The shard map.
   /// The map's entry as read, watched or heard from a peer.
-  actions learn(const assignment& entry, timestamp now);
+  actions observe_assignment(const assignment& entry, timestamp now);
   /// Tries to become the owner, with these replicas. `random` marks the write.
   actions claim(std::vector<host_incarnation> replicas, std::uint64_t random, timestamp now);
   /// Tries to change the replica set; nothing happens when it would lose records.
@@ -85,7 +85,7 @@
                        timestamp now);
   actions close_program(call_id call, const program_id& program, timestamp now);
   /// Ends a program whose answers have been kept long enough.
-  actions forget_program(const program_id& program, timestamp now);
+  actions remove_program(const program_id& program, timestamp now);
   /// The answer that needs no dispatch, if there is one: replay or refusal.
   /// `random` makes a fresh ticket where one is due.
   std::optional<call_answer> check_call(const call_request& request, std::uint64_t random);
@@ -111,18 +111,18 @@
   [[nodiscard]] const assignment& known_assignment() const { return this->known; }
   [[nodiscard]] bool proposal_open() const { return this->proposed.has_value(); }
   [[nodiscard]] epoch sealed_epoch() const { return this->sealed; }
-  [[nodiscard]] const std::optional<held_log>& log() const { return this->held; }
+  [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->held; }
   [[nodiscard]] const program_state* find_program(const program_id& program) const;
   [[nodiscard]] bool complete() const;
   /// Calls that are logged or dispatched and not yet answered.
   [[nodiscard]] std::size_t open_calls() const { return this->calls.size(); }
   /// Replicas that hold every record.
-  [[nodiscard]] std::size_t replicas_in_step() const;
+  [[nodiscard]] std::size_t in_sync_replicas() const;
   /// The first invariant found broken, for assertion by the host; empty if none.
   [[nodiscard]] std::string broken_invariant() const;
   /// The same for the newest turn of each program only: what a change can have
   /// broken, at a cost that does not grow with the histories.
-  [[nodiscard]] std::string broken_by_newest_turn() const;
+  [[nodiscard]] std::string broken_invariant_in_newest_turns() const;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -200,7 +200,8 @@
   bool all_former_sealed() const;
   void start_serving(timestamp now, actions& out);
   void merge_gathered();
-  void absorb_late(const held_log& log, const host_incarnation& from, timestamp now, actions& out);
+  void absorb_late(const log_snapshot& log, const host_incarnation& from, timestamp now,
+                   actions& out);
   void end_call_of_former_owner(call_id call, const open_call& item, timestamp now, actions& out);
   void depose(const assignment& entry, timestamp now, actions& out);
   void settle_proposal(const assignment& entry, timestamp now, actions& out);
@@ -245,7 +246,7 @@
 
   /// Invariant: only rises; nothing below it is ever appended here again.
   epoch sealed;
-  std::optional<held_log> held;
+  std::optional<log_snapshot> held;
   /// Appends of the followed epoch that overtook an earlier one; bounded.
   std::map<record_index, append_request> early;
 
@@ -253,7 +254,7 @@
   assignment former;
   /// Replicas of `former` that have not been sealed.
   std::set<host_incarnation> former_missing;
-  std::vector<held_log> gathered;
+  std::vector<log_snapshot> gathered;
   timestamp sealing_since;
   /// `unknown_below` as the former owner's own log had it; absent when no log
   /// of its epoch was found.
--- a/libs/ownership/test/shard_core_test.cc
+++ b/libs/ownership/test/shard_core_test.cc
@@ -47,7 +47,7 @@
   }
 
   void claim(std::size_t at, const std::vector<host_incarnation>& replicas) {
-    this->cores[at].learn(this->map, this->now);
+    this->cores[at].observe_assignment(this->map, this->now);
     this->carry_out(at, this->cores[at].claim(replicas, 100 + at, this->now));
   }
 
@@ -229,7 +229,7 @@
   hosts.lose_map_answer = true;
   hosts.claim(1, {host(2), host(0)});
   CHECK_FALSE(hosts.cores[1].serving());
-  hosts.carry_out(1, hosts.cores[1].learn(hosts.map, hosts.now));
+  hosts.carry_out(1, hosts.cores[1].observe_assignment(hosts.map, hosts.now));
   CHECK(hosts.cores[1].serving());
   CHECK(hosts.map.at == epoch(2));
 }
@@ -237,7 +237,7 @@
 TEST_CASE("of two hosts that claim at once one wins and the other follows") {
   trio hosts;
   hosts.cut_off = {0};
-  hosts.cores[2].learn(hosts.map, hosts.now);
+  hosts.cores[2].observe_assignment(hosts.map, hosts.now);
   const actions late = hosts.cores[2].claim({host(1)}, 7, hosts.now);
   hosts.claim(1, {host(2)});
   hosts.carry_out(2, late);
@@ -273,7 +273,7 @@
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.finish(0, 2);
-  hosts.cores[2].learn(hosts.map, hosts.now);
+  hosts.cores[2].observe_assignment(hosts.map, hosts.now);
   hosts.carry_out(0, hosts.cores[0].hand_over(host(2)));
   REQUIRE(hosts.cores[2].serving());
   CHECK(hosts.cores[2].complete());
--- a/libs/program/include/hawthornlane/program/records.h
+++ b/libs/program/include/hawthornlane/program/records.h
@@ -45,7 +45,7 @@
 struct intent_logged {
   program_id program;
   /// The ticket that the call runs under; its epoch is the appending owner's.
-  ticket run_under;
+  ticket call_ticket;
   bool repeatable = true;
   token_count reserved{0};
   bool is_tool_call = false;
@@ -56,7 +56,7 @@
   friend bool operator==(const intent_logged&, const intent_logged&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under, this->repeatable, this->reserved, this->is_tool_call,
+    archive(this->program, this->call_ticket, this->repeatable, this->reserved, this->is_tool_call,
             this->server, this->request_digest);
   }
 };
@@ -64,7 +64,7 @@
 /// A call ended and its answer is to be kept.
 struct turn_finished {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
   /// What the call adds to the history: the request's new messages, JSON text.
   std::string request;
   /// The whole answer, JSON text.
@@ -75,29 +75,30 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under, this->request, this->answer, this->used, this->failed);
+    archive(this->program, this->call_ticket, this->request, this->answer, this->used,
+            this->failed);
   }
 };
 
 /// An intent that was certainly never sent; its reservation is returned.
 struct intent_voided {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under);
+    archive(this->program, this->call_ticket);
   }
 };
 
 /// An intent that was sent and whose result will not come; charged in full.
 struct intent_abandoned {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under);
+    archive(this->program, this->call_ticket);
   }
 };
 
@@ -112,7 +113,7 @@
 };
 
 /// A closed program's answers have been kept long enough; its state is dropped.
-struct program_forgotten {
+struct program_removed {
   program_id program;
 
   template <class Archive>
@@ -123,7 +124,7 @@
 
 /// One entry of a shard's log.
 using log_record = std::variant<program_opened, intent_logged, turn_finished, intent_voided,
-                                intent_abandoned, program_closed, program_forgotten>;
+                                intent_abandoned, program_closed, program_removed>;
 
 /// The program that a record is about.
 const program_id& program_of(const log_record& record);
