--- a/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
+++ b/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
@@ -20,24 +20,24 @@
 public:
   /// Delay before a peer with newer state is asked, if it is still ahead then: usually the message
   /// of the host that read the store is about to arrive.
-  static constexpr duration ask_after = std::chrono::milliseconds(120);
+  static constexpr duration request_delay = std::chrono::milliseconds(120);
   /// Backoff after a peer refuses because it is busy; doubles with each further refusal, up to
   /// `longest_busy_pause`. 60 hosts that all ask one host every 40 ms would send it 1,500 requests
   /// a second, about what an eighth of a core can answer. Above `crowded_hosts` hosts both limits
   /// grow with the number of hosts, since all of them ask the host that reads the store. If they
   /// grew from 60 hosts on, hosts that are cut off from a third of the others would wait too long
   /// for one that they reach.
-  static constexpr duration busy_pause = std::chrono::milliseconds(60);
-  static constexpr duration longest_busy_pause = std::chrono::milliseconds(240);
-  static constexpr std::size_t crowded_hosts = 120;
+  static constexpr duration busy_backoff = std::chrono::milliseconds(60);
+  static constexpr duration max_busy_backoff = std::chrono::milliseconds(240);
+  static constexpr std::size_t backoff_scaling_hosts = 120;
   /// Delay between a refusal and the next request to any peer.
-  static constexpr duration question_pause = std::chrono::milliseconds(20);
+  static constexpr duration refusal_delay = std::chrono::milliseconds(20);
   /// Backoff after a peer does not answer; other peers are asked meanwhile. Four times as long
   /// after each further failure, up to `longest_failed_pause`. A request to an unreachable peer
   /// costs a second. When such a peer was eligible again for every second choice, 60 hosts with a
   /// fifth of all pairs cut needed 3.1 to 4.2 s for one change.
-  static constexpr duration failed_pause = std::chrono::milliseconds(500);
-  static constexpr duration longest_failed_pause = std::chrono::seconds(2);
+  static constexpr duration failure_backoff = std::chrono::milliseconds(500);
+  static constexpr duration max_failure_backoff = std::chrono::seconds(2);
 
   /// Whether a peer has recently answered this host.
   using reaches_hook = std::function<bool(const host_id& other)>;
@@ -47,10 +47,10 @@
       : self(std::move(own)), reaches(std::move(answers)) {}
 
   /// Sets the number of hosts that may ask the same peer, including this host.
-  void count_hosts(std::size_t count) { this->hosts = count; }
+  void set_host_count(std::size_t count) { this->hosts = count; }
   /// Records whether peer `from` has newer state of a kind. `prompt`: `from` may be the only host
   /// that has it, so it is asked without delay.
-  void heard(copy_kind kind, const host_id& from, bool ahead, bool prompt, timestamp now);
+  void update_peer(copy_kind kind, const host_id& from, bool ahead, bool immediate, timestamp now);
   /// Chooses the peer to ask now and records the request. `urgent`: this host cannot serve without
   /// the state, so it does not wait. A peer that does not answer this host is asked only when no
   /// other has newer state: a third host that reaches it may have named it, or its messages may
@@ -60,7 +60,7 @@
   /// The asked peer has sent its copy.
   void taken(copy_kind kind);
   /// This host's own state has changed: clears which peers have newer state.
-  void renew(copy_kind kind);
+  void invalidate(copy_kind kind);
   /// The asked peer refused because it is busy, and named hosts that already have the state.
   void busy(copy_kind kind, const std::vector<host_id>& holders, timestamp now);
   /// The asked peer did not answer, or not with a valid copy.
@@ -72,33 +72,33 @@
 private:
   struct source {
     timestamp ahead_since{};
-    bool prompt = false;
+    bool immediate = false;
   };
   /// Backoff of a peer that has refused or failed; kept until it sends a copy.
-  struct rest {
+  struct backoff_state {
     timestamp until{};
     /// Refusals in a row.
     int refusals = 0;
-    duration failed_for = failed_pause;
+    duration next_failure_backoff = failure_backoff;
   };
-  struct intake {
+  struct fetch {
     std::map<host_id, source> ahead;
-    std::map<host_id, rest> resting;
+    std::map<host_id, backoff_state> backoffs;
     /// The peer with a request in flight. Invariant: at most one, until `taken`, `busy` or
     /// `failed` is called.
     std::optional<host_id> asked;
     /// Number of requests so far; spreads them over the peers with newer state.
-    std::uint64_t questions = 0;
-    timestamp quiet_until{};
+    std::uint64_t request_count = 0;
+    timestamp no_request_until{};
   };
 
   /// Backoff after this many refusals in a row.
-  [[nodiscard]] duration pause_after(int refusals) const;
+  [[nodiscard]] duration backoff_after(int refusals) const;
 
   host_id self;
   reaches_hook reaches;
   std::size_t hosts = 1;
-  per_copy_kind<intake> intakes;
+  per_copy_kind<fetch> fetches;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/copy_messages.h
+++ b/libs/front/include/hawthornlane/front/copy_messages.h
@@ -36,11 +36,11 @@
 /// Requests a copy, or confirms that it has arrived.
 struct copy_request {
   copy_kind kind = copy_kind::configuration;
-  host_id asker;
+  host_id requester;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->kind, this->asker);
+    archive(this->kind, this->requester);
   }
 };
 
@@ -57,8 +57,8 @@
 
 /// Encodes an answer. A copy is sent as it is, followed by one tag byte: an archive would hold a
 /// configuration of 1 MB in memory four times while writing it.
-std::string to_answer_bytes(copy_response answer);
+std::string to_response_bytes(copy_response answer);
 /// `nullopt` when the bytes are malformed.
-std::optional<copy_response> copy_answer_from(std::string bytes);
+std::optional<copy_response> copy_response_from(std::string bytes);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/copy_send_limiter.h
+++ b/libs/front/include/hawthornlane/front/copy_send_limiter.h
@@ -19,40 +19,40 @@
 public:
   /// Concurrent copies allowed for any size. The second one keeps the link busy while the first
   /// receiver processes and confirms its copy.
-  static constexpr std::size_t least_at_once = 2;
+  static constexpr std::size_t min_concurrent_copies = 2;
   /// More concurrent copies are allowed up to this many bytes in total: 17 ms of a link of
   /// 30 Mbit/s.
-  static constexpr std::size_t burst_bytes = std::size_t{64} * 1024;
+  static constexpr std::size_t max_burst_bytes = std::size_t{64} * 1024;
   /// A copy not confirmed within this time counts as lost. The receiver waits as long for it.
-  static constexpr duration longest_copy = std::chrono::seconds(1);
+  static constexpr duration confirmation_timeout = std::chrono::seconds(1);
   /// Hosts named in a refusal. They are the last ones that received a copy, so most of them are not
   /// sending any yet.
-  static constexpr std::size_t most_holders = 4;
+  static constexpr std::size_t max_holders = 4;
 
   /// True when a copy may be sent to `receiver` now; it is then counted as in flight. If the
   /// receiver asks again, its previous copy is lost and no longer counted.
-  bool begin(copy_kind kind, const host_id& receiver, std::size_t bytes, timestamp now);
+  bool try_begin(copy_kind kind, const host_id& receiver, std::size_t bytes, timestamp now);
   /// The receiver has confirmed its copy.
   void taken(copy_kind kind, const host_id& receiver);
   /// This host's state of that kind has changed: no host has received it yet.
-  void renew(copy_kind kind);
+  void invalidate(copy_kind kind);
   [[nodiscard]] std::vector<host_id> holders(copy_kind kind) const;
 
 private:
-  struct copy_under_way {
+  struct copy_in_flight {
     timestamp began;
     std::size_t bytes = 0;
     /// Whether the copy is of the newest state. The receiver of an older one is not a holder.
-    bool newest = true;
+    bool is_newest = true;
   };
-  struct outlet {
+  struct send_state {
     /// By receiver. Invariant: at most `least_at_once`, or `burst_bytes` together.
-    std::map<host_id, copy_under_way> under_way;
+    std::map<host_id, copy_in_flight> in_flight;
     /// Most recent first. Invariant: at most `most_holders`, each once.
     std::deque<host_id> holders;
   };
 
-  per_copy_kind<outlet> outlets;
+  per_copy_kind<send_state> send_states;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/event_loop_lag.h
+++ b/libs/front/include/hawthornlane/front/event_loop_lag.h
@@ -16,23 +16,23 @@
 public:
   /// The longest interval between two passes that does not count as lag: two periods of the
   /// sweeper that drives the passes, 25 ms each.
-  static constexpr duration fair_gap = std::chrono::milliseconds(50);
+  static constexpr duration tolerated_gap = std::chrono::milliseconds(50);
 
-  explicit event_loop_lag(timestamp now) : last_pass(now) {}
+  explicit event_loop_lag(timestamp now) : last_pass_at(now) {}
 
   /// Records a pass of the event loop.
-  void pass(timestamp now) {
+  void record_pass(timestamp now) {
     this->sum = this->total(now);
-    this->last_pass = now;
+    this->last_pass_at = now;
   }
   /// Total lag since the start, including the current interval. Never decreases.
   [[nodiscard]] duration total(timestamp now) const {
-    const duration over = now - this->last_pass - fair_gap;
-    return this->sum + std::max(over, duration::zero());
+    const duration delay = now - this->last_pass_at - tolerated_gap;
+    return this->sum + std::max(delay, duration::zero());
   }
 
 private:
-  timestamp last_pass;
+  timestamp last_pass_at;
   duration sum{};
 };
 
--- a/libs/front/include/hawthornlane/front/fleet_copies.h
+++ b/libs/front/include/hawthornlane/front/fleet_copies.h
@@ -27,19 +27,19 @@
       : fleet(state), hooks(std::move(with)) {}
 
   /// Applies a received copy to this host's state; false when the bytes are malformed.
-  bool take(const host_id& from, copy_kind kind, const std::string& copy);
+  bool apply(const host_id& from, copy_kind kind, const std::string& copy);
   /// This host's state of one kind, encoded once and cached until `renew`; `nullopt` when it has
   /// none.
   const std::optional<std::string>& ready(copy_kind kind);
   /// Discards the cached copy because this host's state of that kind has changed.
-  void renew(copy_kind kind) { this->made[kind].reset(); }
+  void invalidate(copy_kind kind) { this->cached[kind].reset(); }
 
 private:
-  [[nodiscard]] std::optional<std::string> make(copy_kind kind) const;
+  [[nodiscard]] std::optional<std::string> encode(copy_kind kind) const;
 
   discovery::fleet_state& fleet;
   copy_hooks hooks;
-  per_copy_kind<std::optional<std::string>> made;
+  per_copy_kind<std::optional<std::string>> cached;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/host_report.h
+++ b/libs/front/include/hawthornlane/front/host_report.h
@@ -39,7 +39,7 @@
   /// All metrics, one per line.
   std::string metrics_text();
   /// Logs once what uses the memory, before the kernel kills the process for exceeding its limit.
-  void watch_memory();
+  void check_memory();
 
 private:
   void set(const std::string& name, std::uint64_t value);
--- a/libs/front/include/hawthornlane/front/newer_kinds.h
+++ b/libs/front/include/hawthornlane/front/newer_kinds.h
@@ -28,7 +28,7 @@
   bool hosts = false;
   bool ledger = false;
 
-  [[nodiscard]] bool of(copy_kind kind) const {
+  [[nodiscard]] bool contains(copy_kind kind) const {
     switch (kind) {
       case copy_kind::configuration:
         return this->configuration;
--- a/libs/front/include/hawthornlane/front/peer_gossip.h
+++ b/libs/front/include/hawthornlane/front/peer_gossip.h
@@ -32,7 +32,7 @@
   /// Builds this host's current digest.
   std::function<gossip_digest()> self;
   /// Whether the send queue to other hosts has room for one more copy.
-  std::function<bool()> may_give_copy = [] { return true; };
+  std::function<bool()> may_send_copy = [] { return true; };
   /// Counts the bytes of this host's requests to its peers.
   peer_traffic traffic;
 };
@@ -53,7 +53,8 @@
 class peer_gossip {
 public:
   peer_gossip(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
-              discovery::fleet_state& fleet, store_read_schedule& checks, gossip_hooks hooks);
+              discovery::fleet_state& fleet, store_read_schedule& read_schedule,
+              gossip_hooks hooks);
   peer_gossip(const peer_gossip&) = delete;
   peer_gossip& operator=(const peer_gossip&) = delete;
   ~peer_gossip();
@@ -68,7 +69,7 @@
   void broadcast_state();
 
   /// Sends a request to a disk host through a peer that reaches disk hosts.
-  void relay(const relayed_request& question, duration limit, net::rpc_done done);
+  void relay(const relayed_request& question, duration timeout, net::rpc_done done);
   /// This host's index among the live front hosts, ordered by name.
   [[nodiscard]] std::size_t rank() const;
   /// Entries of the live peers that are ready and not leaving.
@@ -85,58 +86,58 @@
 private:
   struct peer;
 
-  [[nodiscard]] std::chrono::milliseconds probe_pause() const;
+  [[nodiscard]] std::chrono::milliseconds probe_interval() const;
   /// A peer that has sent nothing for this long counts as failed.
-  [[nodiscard]] std::chrono::milliseconds silence() const;
-  [[nodiscard]] detector_timing pace() const;
+  [[nodiscard]] std::chrono::milliseconds silence_timeout() const;
+  [[nodiscard]] detector_timing timing() const;
   /// Marks and logs the peers that no longer count as live.
-  void note_silent();
+  void mark_silent_peers();
   void probe(peer& other, const std::string& payload);
   /// Sends a request to a peer and counts the bytes.
-  void call(peer& other, gossip_method method, std::string payload, duration limit,
+  void call(peer& other, gossip_method method, std::string payload, duration timeout,
             net::rpc_done done);
-  [[nodiscard]] bool turn_due(const peer& other) const;
+  [[nodiscard]] bool regular_probe_due(const peer& other) const;
   /// Probes the peers whose regular probe is due, and some of those that others suspect.
-  void probe_due_ones();
+  void run_probe_round();
   /// The message sent as a probe and as the answer to one.
   [[nodiscard]] const std::string& probe_bytes();
   /// The hosts that this host suspects.
   [[nodiscard]] std::set<host_key> suspected() const;
-  void hear(peer& other, const probe_message& message);
-  void hear_suspicions(const host_id& from, const std::vector<host_key>& suspected);
+  void handle_message(peer& other, const probe_message& message);
+  void handle_suspicions(const host_id& from, const std::vector<host_key>& suspected);
   /// Versions of this host's state.
-  [[nodiscard]] known_versions known() const;
+  [[nodiscard]] known_versions own_versions() const;
   /// Whether a peer counts as live.
-  [[nodiscard]] bool lives(const peer& other) const;
+  [[nodiscard]] bool is_alive(const peer& other) const;
   /// Whether a peer has answered a request of this host within the silence timeout. A live peer
   /// may be unreachable in this direction only.
   [[nodiscard]] bool reaches(const host_id& other) const;
   /// Compares the peers' versions again once this host's own state has changed.
-  void note_progress();
-  void hear_again(copy_kind kind);
+  void detect_state_changes();
+  void compare_with_peers(copy_kind kind);
   /// Requests the copies that are due.
-  void ask_due();
-  void ask(const std::shared_ptr<peer>& other, copy_kind kind);
-  void take_answer(const host_id& from, copy_kind kind, std::string bytes);
-  std::optional<std::string> give_copy(const copy_request& request);
+  void request_due_copies();
+  void request_copy(const std::shared_ptr<peer>& other, copy_kind kind);
+  void handle_copy_response(const host_id& from, copy_kind kind, std::string bytes);
+  std::optional<std::string> send_copy(const copy_request& request);
   void add_peer(const host_entry& entry);
 
   boost::asio::io_context& context;
   net::deadline_sweeper& sweeper;
   discovery::fleet_state& fleet;
-  store_read_schedule& checks;
+  store_read_schedule& read_schedule;
   gossip_hooks hooks;
   std::map<host_id, std::shared_ptr<peer>> peers;
-  timestamp next_look{};
+  timestamp next_probe_round{};
   /// Invariant: cached copies are of the versions in `last_known`.
   fleet_copies copies;
   suspicion_limits limits;
-  event_loop_lag lateness;
+  event_loop_lag loop_lag;
   /// Invariant: expires at each probe round and with each change of `last_known`.
   probe_encoder encoder;
-  known_versions last_known;
-  copy_fetch_scheduler intake;
-  copy_send_limiter outlet;
+  known_versions last_versions;
+  copy_fetch_scheduler fetch_scheduler;
+  copy_send_limiter send_limiter;
   copy_counters counts;
   /// Expires with this object; answers of peers may arrive later.
   std::shared_ptr<bool> lifetime = std::make_shared<bool>(true);
--- a/libs/front/include/hawthornlane/front/probe_encoder.h
+++ b/libs/front/include/hawthornlane/front/probe_encoder.h
@@ -15,9 +15,9 @@
 public:
   [[nodiscard]] bool is_stale() const { return this->bytes.empty(); }
   /// Marks the message stale because its content has changed or may have changed.
-  void expire() { this->bytes.clear(); }
+  void mark_stale() { this->bytes.clear(); }
   /// Encodes `message` as of `now`.
-  void renew(const probe_message& message, timestamp now);
+  void update(const probe_message& message, timestamp now);
   /// The message with the age of the newest store read as of `now`. Ages reported too low would
   /// keep a read fresh forever as hosts pass it on. Precondition: not stale.
   [[nodiscard]] const std::string& encoded(timestamp now);
@@ -25,10 +25,10 @@
 private:
   std::string bytes;
   /// Offset of the age of the newest read. Invariant: 8 bytes within `bytes`, unless stale.
-  std::size_t age_at = 0;
+  std::size_t age_offset = 0;
   /// Time of the newest read; valid only if `has_checked`.
-  timestamp checked_at{};
-  bool has_checked = false;
+  timestamp read_at{};
+  bool has_read = false;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/probe_schedule.h
+++ b/libs/front/include/hawthornlane/front/probe_schedule.h
@@ -8,11 +8,11 @@
 /// Times of the last probes between this host and one peer.
 struct probe_times {
   /// When this host last sent a probe.
-  timestamp tried{};
+  timestamp last_sent{};
   /// When this host sent the last probe that was answered.
-  timestamp probed{};
+  timestamp last_acked{};
   /// When the last probe of the peer arrived.
-  timestamp was_probed{};
+  timestamp last_received{};
 };
 
 /// Whether this host probes the peer now. A probe and its answer carry the state of both hosts, so
@@ -20,7 +20,7 @@
 /// 5,200 probes a second (calculated), half of them redundant. A failed probe is retried sooner, by
 /// either host. `goes_first` is true for exactly one of the two hosts, which probes next after both
 /// probed at the same time.
-[[nodiscard]] bool is_probe_due(const probe_times& moments, bool goes_first, duration pause,
+[[nodiscard]] bool is_probe_due(const probe_times& times, bool goes_first, duration probe_interval,
                                 timestamp now);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/shutdown_policy.h
+++ b/libs/front/include/hawthornlane/front/shutdown_policy.h
@@ -16,26 +16,26 @@
   duration address_time{};
 
   /// Callers may keep an address answer for up to three times its validity.
-  static constexpr int longest_keep_factor = 3;
+  static constexpr int max_address_age_factor = 3;
   /// With calls still in flight the host exits this long before the kill, so that it ends by
   /// itself.
-  static constexpr duration stop_margin = std::chrono::milliseconds(400);
+  static constexpr duration exit_margin = std::chrono::milliseconds(400);
   /// Calls that arrive within this time before the kill are rejected, since the kill might cut them
   /// off; callers then use another host.
-  static constexpr duration turn_away_before = std::chrono::milliseconds(3200);
+  static constexpr duration rejection_window = std::chrono::milliseconds(3200);
 
-  [[nodiscard]] bool turns_away(duration since) const {
-    return since >= this->grace - turn_away_before;
+  [[nodiscard]] bool rejects_calls(duration elapsed) const {
+    return elapsed >= this->grace - rejection_window;
   }
 
   /// Whether no caller can still hold an address answer with this host, or calls are rejected.
-  [[nodiscard]] bool is_forgotten(duration since) const {
-    return since >= this->address_time * longest_keep_factor || this->turns_away(since);
+  [[nodiscard]] bool is_address_expired(duration elapsed) const {
+    return elapsed >= this->address_time * max_address_age_factor || this->rejects_calls(elapsed);
   }
 
-  [[nodiscard]] bool may_end(duration since, std::size_t calls_under_way) const {
+  [[nodiscard]] bool may_exit(duration elapsed, std::size_t calls_under_way) const {
     const bool idle = calls_under_way == 0;
-    return (this->is_forgotten(since) && idle) || since >= this->grace - stop_margin;
+    return (this->is_address_expired(elapsed) && idle) || elapsed >= this->grace - exit_margin;
   }
 };
 
--- a/libs/front/include/hawthornlane/front/suspicion_limits.h
+++ b/libs/front/include/hawthornlane/front/suspicion_limits.h
@@ -18,7 +18,7 @@
 class host_round_robin {
 public:
   /// At most `most` hosts of `all`, starting after the last one selected before.
-  [[nodiscard]] std::vector<host_key> next(const std::set<host_key>& all, std::size_t most);
+  [[nodiscard]] std::vector<host_key> next(const std::set<host_key>& all, std::size_t max_count);
 
 private:
   host_key last;
@@ -29,25 +29,25 @@
 public:
   /// Hosts named in one message. Four bytes each: a message stays below 0.5 KB for any number of
   /// hosts. If half of 83 hosts fail at once, all of them fit into one message.
-  static constexpr std::size_t most_named = 48;
+  static constexpr std::size_t max_named = 48;
   /// Probes per probe round of 0.1 s on reports of others: 120 a second, four times the regular
   /// probes of a host. Half of 83 hosts are probed within 0.4 s.
-  static constexpr std::size_t most_probes = 12;
+  static constexpr std::size_t max_probes_per_round = 12;
 
   /// Selects the hosts that the next message names, of all that this host suspects.
-  [[nodiscard]] std::vector<host_key> to_name(const std::set<host_key>& suspected);
+  [[nodiscard]] std::vector<host_key> select_to_name(const std::set<host_key>& suspected);
   /// Starts a probe round and selects the hosts to probe, of all that others suspect and this host
   /// has not probed since. The others wait for the next round.
-  [[nodiscard]] std::vector<host_key> to_probe(const std::set<host_key>& doubted);
+  [[nodiscard]] std::vector<host_key> select_to_probe(const std::set<host_key>& confirmation_due);
   /// Whether one more host may be probed on a report of others before the next round; if so, it is
   /// counted.
-  [[nodiscard]] bool admit_probe();
+  [[nodiscard]] bool admit_reported_probe();
 
 private:
-  host_round_robin naming;
-  host_round_robin probing;
+  host_round_robin naming_rotation;
+  host_round_robin probe_rotation;
   /// Probes of the current round. Invariant: at most `most_probes`.
-  std::size_t probed = 0;
+  std::size_t probes_in_round = 0;
 };
 
 }  // namespace hawthornlane::front
--- a/libs/front/src/copy_fetch_scheduler.cc
+++ b/libs/front/src/copy_fetch_scheduler.cc
@@ -7,34 +7,34 @@
 
 namespace hawthornlane::front {
 
-void copy_fetch_scheduler::heard(copy_kind kind, const host_id& from, bool ahead, bool prompt,
-                                 timestamp now) {
-  intake& one = this->intakes[kind];
+void copy_fetch_scheduler::update_peer(copy_kind kind, const host_id& from, bool ahead,
+                                       bool immediate, timestamp now) {
+  fetch& one = this->fetches[kind];
   if (!ahead) {
     one.ahead.erase(from);
     return;
   }
   source& known = one.ahead.try_emplace(from, source{.ahead_since = now}).first->second;
-  known.prompt = known.prompt || prompt;
+  known.immediate = known.immediate || immediate;
 }
 
 std::optional<host_id> copy_fetch_scheduler::next(copy_kind kind, bool urgent, timestamp now) {
-  intake& one = this->intakes[kind];
-  if (one.asked || one.ahead.empty() || now < one.quiet_until) {
+  fetch& one = this->fetches[kind];
+  if (one.asked || one.ahead.empty() || now < one.no_request_until) {
     return std::nullopt;
   }
   // A different order for each host and request, so that the hosts with a copy share the load.
-  const std::uint64_t order = rendezvous_weight(this->self.get(), one.questions);
+  const std::uint64_t order = rendezvous_weight(this->self.get(), one.request_count);
   const bool any_reached =
       std::any_of(one.ahead.begin(), one.ahead.end(),
                   [this](const auto& item) { return this->reaches(item.first); });
   const host_id* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const auto& [name, known] : one.ahead) {
-    const bool due = urgent || known.prompt || now - known.ahead_since >= ask_after;
-    const auto resting = one.resting.find(name);
-    const bool rests = resting != one.resting.end() && now < resting->second.until;
-    if (!due || rests || (any_reached && !this->reaches(name))) {
+    const bool due = urgent || known.immediate || now - known.ahead_since >= request_delay;
+    const auto backoffs = one.backoffs.find(name);
+    const bool in_backoff = backoffs != one.backoffs.end() && now < backoffs->second.until;
+    if (!due || in_backoff || (any_reached && !this->reaches(name))) {
       continue;
     }
     const std::uint64_t weight = rendezvous_weight(name.get(), order);
@@ -46,70 +46,70 @@
   if (best == nullptr) {
     return std::nullopt;
   }
-  ++one.questions;
+  ++one.request_count;
   one.asked = *best;
   return one.asked;
 }
 
 void copy_fetch_scheduler::taken(copy_kind kind) {
-  intake& one = this->intakes[kind];
+  fetch& one = this->fetches[kind];
   if (one.asked) {
-    one.resting.erase(*one.asked);
+    one.backoffs.erase(*one.asked);
   }
   one.asked.reset();
 }
 
-void copy_fetch_scheduler::renew(copy_kind kind) {
-  intake& one = this->intakes[kind];
+void copy_fetch_scheduler::invalidate(copy_kind kind) {
+  fetch& one = this->fetches[kind];
   one.ahead.clear();
-  for (auto& [name, resting] : one.resting) {
-    resting.refusals = 0;
+  for (auto& [name, backoffs] : one.backoffs) {
+    backoffs.refusals = 0;
   }
 }
 
 void copy_fetch_scheduler::busy(copy_kind kind, const std::vector<host_id>& holders,
                                 timestamp now) {
-  intake& one = this->intakes[kind];
-  one.quiet_until = now + question_pause;
+  fetch& one = this->fetches[kind];
+  one.no_request_until = now + refusal_delay;
   if (one.asked) {
-    rest& asked = one.resting[*one.asked];
+    backoff_state& asked = one.backoffs[*one.asked];
     ++asked.refusals;
-    asked.until = now + this->pause_after(asked.refusals);
-    asked.failed_for = failed_pause;
+    asked.until = now + this->backoff_after(asked.refusals);
+    asked.next_failure_backoff = failure_backoff;
     one.asked.reset();
   }
   for (const host_id& holder : holders) {
     if (holder != this->self) {
-      this->heard(kind, holder, true, true, now);
+      this->update_peer(kind, holder, true, true, now);
     }
   }
 }
 
-duration copy_fetch_scheduler::pause_after(int refusals) const {
-  duration pause = busy_pause;
-  for (int refusal = 1; refusal < refusals && pause < longest_busy_pause; ++refusal) {
-    pause *= 2;
+duration copy_fetch_scheduler::backoff_after(int refusals) const {
+  duration backoff = busy_backoff;
+  for (int refusal = 1; refusal < refusals && backoff < max_busy_backoff; ++refusal) {
+    backoff *= 2;
   }
-  const double crowd = static_cast<double>(this->hosts) / crowded_hosts;
-  return from_seconds(to_seconds(std::min(pause, longest_busy_pause)) * std::max(1.0, crowd));
+  const double scale = static_cast<double>(this->hosts) / backoff_scaling_hosts;
+  return from_seconds(to_seconds(std::min(backoff, max_busy_backoff)) * std::max(1.0, scale));
 }
 
 void copy_fetch_scheduler::failed(copy_kind kind, timestamp now) {
   constexpr int growth = 4;
-  intake& one = this->intakes[kind];
+  fetch& one = this->fetches[kind];
   if (!one.asked) {
     return;
   }
-  rest& asked = one.resting[*one.asked];
-  asked.until = now + asked.failed_for;
-  asked.failed_for = std::min(asked.failed_for * growth, longest_failed_pause);
+  backoff_state& asked = one.backoffs[*one.asked];
+  asked.until = now + asked.next_failure_backoff;
+  asked.next_failure_backoff = std::min(asked.next_failure_backoff * growth, max_failure_backoff);
   one.asked.reset();
 }
 
 void copy_fetch_scheduler::forget(const host_id& gone) {
-  for (intake& one : this->intakes) {
+  for (fetch& one : this->fetches) {
     one.ahead.erase(gone);
-    one.resting.erase(gone);
+    one.backoffs.erase(gone);
   }
 }
 
--- a/libs/front/src/copy_messages.cc
+++ b/libs/front/src/copy_messages.cc
@@ -8,8 +8,8 @@
 namespace hawthornlane::front {
 namespace {
 
-constexpr char copy_mark = '+';
-constexpr char busy_mark = '-';
+constexpr char copy_tag = '+';
+constexpr char busy_tag = '-';
 
 }  // namespace
 
@@ -20,28 +20,28 @@
   return known ? std::move(request) : std::nullopt;
 }
 
-std::string to_answer_bytes(copy_response answer) {
+std::string to_response_bytes(copy_response answer) {
   if (answer.copy) {
     std::string bytes = *std::move(answer.copy);
-    bytes += copy_mark;
+    bytes += copy_tag;
     return bytes;
   }
-  return to_bytes(answer.holders) + busy_mark;
+  return to_bytes(answer.holders) + busy_tag;
 }
 
-std::optional<copy_response> copy_answer_from(std::string bytes) {
+std::optional<copy_response> copy_response_from(std::string bytes) {
   if (bytes.empty()) {
     return std::nullopt;
   }
-  const char mark = bytes.back();
+  const char tag = bytes.back();
   bytes.pop_back();
   copy_response answer;
-  if (mark == copy_mark) {
+  if (tag == copy_tag) {
     answer.copy = std::move(bytes);
     return answer;
   }
   auto holders = from_bytes<std::vector<host_id>>(bytes);
-  if (mark != busy_mark || !holders) {
+  if (tag != busy_tag || !holders) {
     return std::nullopt;
   }
   answer.holders = *std::move(holders);
--- a/libs/front/src/copy_send_limiter.cc
+++ b/libs/front/src/copy_send_limiter.cc
@@ -5,46 +5,46 @@
 
 namespace hawthornlane::front {
 
-bool copy_send_limiter::begin(copy_kind kind, const host_id& receiver, std::size_t bytes,
-                              timestamp now) {
-  auto& under_way = this->outlets[kind].under_way;
-  std::erase_if(under_way, [&](const auto& item) {
-    return item.first == receiver || now - item.second.began >= longest_copy;
+bool copy_send_limiter::try_begin(copy_kind kind, const host_id& receiver, std::size_t bytes,
+                                  timestamp now) {
+  auto& in_flight = this->send_states[kind].in_flight;
+  std::erase_if(in_flight, [&](const auto& item) {
+    return item.first == receiver || now - item.second.began >= confirmation_timeout;
   });
   std::size_t sum = bytes;
-  for (const auto& [to, copy] : under_way) {
+  for (const auto& [to, copy] : in_flight) {
     sum += copy.bytes;
   }
-  if (under_way.size() >= least_at_once && sum > burst_bytes) {
+  if (in_flight.size() >= min_concurrent_copies && sum > max_burst_bytes) {
     return false;
   }
-  under_way.emplace(receiver, copy_under_way{now, bytes});
+  in_flight.emplace(receiver, copy_in_flight{now, bytes});
   return true;
 }
 
 void copy_send_limiter::taken(copy_kind kind, const host_id& receiver) {
-  outlet& one = this->outlets[kind];
-  const auto copy = one.under_way.extract(receiver);
-  if (copy.empty() || !copy.mapped().newest) {
+  send_state& one = this->send_states[kind];
+  const auto copy = one.in_flight.extract(receiver);
+  if (copy.empty() || !copy.mapped().is_newest) {
     return;
   }
   std::erase(one.holders, receiver);
   one.holders.push_front(receiver);
-  if (one.holders.size() > most_holders) {
+  if (one.holders.size() > max_holders) {
     one.holders.pop_back();
   }
 }
 
-void copy_send_limiter::renew(copy_kind kind) {
-  outlet& one = this->outlets[kind];
+void copy_send_limiter::invalidate(copy_kind kind) {
+  send_state& one = this->send_states[kind];
   one.holders.clear();
-  for (auto& [receiver, copy] : one.under_way) {
-    copy.newest = false;
+  for (auto& [receiver, copy] : one.in_flight) {
+    copy.is_newest = false;
   }
 }
 
 std::vector<host_id> copy_send_limiter::holders(copy_kind kind) const {
-  const auto& held = this->outlets[kind].holders;
+  const auto& held = this->send_states[kind].holders;
   return {held.begin(), held.end()};
 }
 
--- a/libs/front/src/fleet_copies.cc
+++ b/libs/front/src/fleet_copies.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool fleet_copies::take(const host_id& from, copy_kind kind, const std::string& copy) {
+bool fleet_copies::apply(const host_id& from, copy_kind kind, const std::string& copy) {
   switch (kind) {
     case copy_kind::configuration: {
       const auto config = this->hooks.decode_configuration(copy);
@@ -41,18 +41,18 @@
       return config.has_value();
     }
     case copy_kind::backends: {
-      const auto told = snapshot_from<backend_entry>(copy);
-      if (told) {
-        this->fleet.list_backends(told->at, told->entries, from.get());
+      const auto received = snapshot_from<backend_entry>(copy);
+      if (received) {
+        this->fleet.list_backends(received->at, received->entries, from.get());
       }
-      return told.has_value();
+      return received.has_value();
     }
     case copy_kind::hosts: {
-      const auto told = snapshot_from<host_entry>(copy);
-      if (told) {
-        this->fleet.list_hosts(told->at, told->entries);
+      const auto received = snapshot_from<host_entry>(copy);
+      if (received) {
+        this->fleet.list_hosts(received->at, received->entries);
       }
-      return told.has_value();
+      return received.has_value();
     }
     case copy_kind::ledger: {
       const auto set = from_bytes<ledger_set>(copy);
@@ -66,14 +66,14 @@
 }
 
 const std::optional<std::string>& fleet_copies::ready(copy_kind kind) {
-  auto& ready = this->made[kind];
+  auto& ready = this->cached[kind];
   if (!ready) {
-    ready = this->make(kind);
+    ready = this->encode(kind);
   }
   return ready;
 }
 
-std::optional<std::string> fleet_copies::make(copy_kind kind) const {
+std::optional<std::string> fleet_copies::encode(copy_kind kind) const {
   switch (kind) {
     case copy_kind::configuration:
       return this->fleet.table() ? std::optional(this->fleet.configuration_copy()) : std::nullopt;
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -44,11 +44,11 @@
 /// Connection attempts of callers in a burst; the callers' kernels retry further ones.
 constexpr int accept_backlog = 1024;
 /// Interval at which scarce places are divided among hosts; a call at a model server takes 0.2 s.
-constexpr auto sharing_pause = std::chrono::milliseconds(100);
+constexpr auto demand_update_interval = std::chrono::milliseconds(100);
 /// Interval at which this host reports its loads; a third of their lifetime.
-constexpr auto renewal_pause = std::chrono::seconds(1);
+constexpr auto load_report_interval = std::chrono::seconds(1);
 /// Interval at which idle connections to servers are closed.
-constexpr auto idle_pause = std::chrono::seconds(1);
+constexpr auto idle_sweep_interval = std::chrono::seconds(1);
 
 pool_rules rules_for(const front_settings& settings) {
   pool_rules rules;
@@ -78,7 +78,7 @@
         places(io, settings.host, exchange.entries(), metrics, make_place_hooks()),
         acceptor(io),
         reader({io, settings.host, store, fleet, checks, ledger, gossip, faults}),
-        report(report_of()) {
+        report(make_report_sources()) {
     this->placer.set_directory_exchange(this->exchange);
     if (this->settings.claims_places) {
       this->placer.set_place_exchange(this->places);
@@ -105,19 +105,19 @@
   place_exchange places;
   tcp::acceptor acceptor;
   std::unique_ptr<net::rpc_server> peers;
-  std::vector<std::unique_ptr<http::server>> small_servers;
+  std::vector<std::unique_ptr<http::server>> auxiliary_servers;
   host_entry self;
   discovery::object_faults faults;
   store_reader reader;
   bool leaving = false;
-  net::steady_time leaving_since{};
+  net::steady_time stop_began{};
   net::steady_time next_idle_sweep{};
-  net::steady_time next_sharing{};
-  net::steady_time next_renewal{};
+  net::steady_time next_demand_update{};
+  net::steady_time next_load_report{};
   std::size_t connections = 0;
   host_report report;
 
-  report_sources report_of() {
+  report_sources make_report_sources() {
     return {.metrics = this->metrics,
             .store = this->store,
             .faults = this->faults,
@@ -137,7 +137,7 @@
     hooks.self = [this] { return this->digest(); };
     hooks.decode_configuration = unpack_configuration;
     hooks.ledger = [this] { return this->ledger.current(); };
-    hooks.may_give_copy = [this] {
+    hooks.may_send_copy = [this] {
       const std::size_t most = this->settings.memory_mb * bytes_per_mb / peer_answers_share;
       return this->peers->waiting_bytes() < most;
     };
@@ -154,9 +154,10 @@
       return set ? set->members : std::vector<disk_id>();
     };
     hooks.reaches = [this](const disk_id& disk) { return this->ledger.reaches(disk); };
-    hooks.ask = [this](const disk_id& disk, std::string payload, duration limit,
+    hooks.ask = [this](const disk_id& disk, std::string payload, duration timeout,
                        net::rpc_done done) {
-      this->ledger.ask_disk(disk, ledger_method::quota, std::move(payload), limit, std::move(done));
+      this->ledger.ask_disk(disk, ledger_method::quota, std::move(payload), timeout,
+                            std::move(done));
     };
     return hooks;
   }
@@ -191,9 +192,10 @@
   }
 
   [[nodiscard]] bool claims_places(gossip_method method) const {
-    const bool of_places = method == gossip_method::claim || method == gossip_method::withdraw ||
-                           method == gossip_method::grant;
-    return this->settings.claims_places && of_places;
+    const bool is_place_method = method == gossip_method::claim ||
+                                 method == gossip_method::withdraw ||
+                                 method == gossip_method::grant;
+    return this->settings.claims_places && is_place_method;
   }
 
   gossip_digest digest() const {
@@ -232,8 +234,8 @@
     });
     this->ledger.set_traffic(this->traffic);
     this->ledger.set_relay(
-        [this](const relayed_request& question, duration limit, net::rpc_done done) {
-          this->gossip.relay(question, limit, std::move(done));
+        [this](const relayed_request& question, duration timeout, net::rpc_done done) {
+          this->gossip.relay(question, timeout, std::move(done));
         });
     this->listen();
     asio::co_spawn(this->context,
@@ -263,13 +265,13 @@
           reply(this->gossip.serve(method, payload));
         });
     this->peers->limit_waiting_bytes(this->settings.memory_mb * bytes_per_mb / peer_queue_share);
-    this->serve_small(this->settings.ready_at, [this](const http::request& ask) {
+    this->serve_auxiliary(this->settings.ready_at, [this](const http::request& ask) {
       return platform_adapter::state_answer(platform_adapter::is_readiness_check(ask) &&
                                             this->ready());
     });
-    this->serve_small(this->settings.directory_at,
-                      [this](const http::request& ask) { return this->addresses(ask); });
-    this->serve_small(this->settings.metrics_at, [this](const http::request&) {
+    this->serve_auxiliary(this->settings.directory_at,
+                          [this](const http::request& ask) { return this->addresses(ask); });
+    this->serve_auxiliary(this->settings.metrics_at, [this](const http::request&) {
       http::response answer;
       answer.content_type = "text/plain";
       answer.body = this->report.metrics_text();
@@ -282,9 +284,10 @@
     asio::co_spawn(this->context, http::accept_until_closed(this->acceptor, take), asio::detached);
   }
 
-  void serve_small(const http::endpoint& where,
-                   std::function<http::response(const http::request&)> respond) {
-    this->small_servers.push_back(http::serve_answers(this->context, where, std::move(respond)));
+  void serve_auxiliary(const http::endpoint& where,
+                       std::function<http::response(const http::request&)> respond) {
+    this->auxiliary_servers.push_back(
+        http::serve_answers(this->context, where, std::move(respond)));
   }
 
   http::response addresses(const http::request& ask) {
@@ -333,8 +336,9 @@
       // Closing with unread bytes would send a reset, which discards the answer.
       socket.shutdown_send();
       std::string rest;
-      constexpr std::size_t drained = std::size_t{64} * 1024;
-      co_await socket.read_more(rest, drained, steady::now() + std::chrono::milliseconds(300));
+      constexpr std::size_t max_drained_bytes = std::size_t{64} * 1024;
+      co_await socket.read_more(rest, max_drained_bytes,
+                                steady::now() + std::chrono::milliseconds(300));
     }
     socket.close();
     --self->connections;
@@ -350,22 +354,22 @@
     this->ledger.tick();
     flush_log();
     const net::steady_time now = steady::now();
-    if (now >= this->next_sharing) {
-      this->next_sharing = now + sharing_pause;
+    if (now >= this->next_demand_update) {
+      this->next_demand_update = now + demand_update_interval;
       this->placer.apply_demand(this->gossip.demand_of_others());
     }
-    if (now >= this->next_renewal) {
-      this->next_renewal = now + renewal_pause;
+    if (now >= this->next_load_report) {
+      this->next_load_report = now + load_report_interval;
       this->placer.report_loads();
     }
     if (now >= this->next_idle_sweep) {
-      this->next_idle_sweep = now + idle_pause;
+      this->next_idle_sweep = now + idle_sweep_interval;
       this->close_idle();
-      this->report.watch_memory();
+      this->report.check_memory();
     }
     this->reader.tick(now, this->shared_from_this());
     if (this->leaving) {
-      this->go_on_leaving(now);
+      this->continue_stop(now);
     }
   }
 
@@ -378,24 +382,24 @@
         [&listed](const http::endpoint& where) { return listed.contains(where); });
   }
 
-  void begin_leaving() {
+  void begin_stop() {
     if (this->leaving) {
       return;
     }
     this->leaving = true;
-    this->leaving_since = steady::now();
+    this->stop_began = steady::now();
     log(event::stopping, {{"calls", std::to_string(this->calls.in_flight())},
                           {"connections", std::to_string(this->connections)}});
     this->gossip.broadcast_state();
   }
 
-  void go_on_leaving(net::steady_time now) {
-    const duration since = std::chrono::duration_cast<duration>(now - this->leaving_since);
+  void continue_stop(net::steady_time now) {
+    const duration elapsed = std::chrono::duration_cast<duration>(now - this->stop_began);
     const shutdown_policy stop{this->settings.grace, this->settings.address_time};
-    if (stop.turns_away(since)) {
+    if (stop.rejects_calls(elapsed)) {
       this->calls.reject_new_calls();
     }
-    if (stop.may_end(since, this->calls.in_flight())) {
+    if (stop.may_exit(elapsed, this->calls.in_flight())) {
       log(event::stopped, {{"calls", std::to_string(this->calls.in_flight())}});
       flush_log();
       this->stopped();
@@ -411,6 +415,6 @@
 
 front_host::~front_host() = default;
 
-void front_host::stop() { this->inner->begin_leaving(); }
+void front_host::stop() { this->inner->begin_stop(); }
 
 }  // namespace hawthornlane::front
--- a/libs/front/src/host_report.cc
+++ b/libs/front/src/host_report.cc
@@ -14,7 +14,7 @@
 /// Percentages of the process's memory limit: high use is logged at the first, and may be logged
 /// again after use has fallen below the second.
 constexpr std::size_t memory_high_percent = 60;
-constexpr std::size_t memory_calm_percent = 45;
+constexpr std::size_t memory_normal_percent = 45;
 
 }  // namespace
 
@@ -65,10 +65,10 @@
   }
 }
 
-void host_report::watch_memory() {
+void host_report::check_memory() {
   const std::size_t limit = this->from.memory_limit;
   const std::size_t used = resident_bytes().value_or(0);
-  if (used < limit * memory_calm_percent / 100) {
+  if (used < limit * memory_normal_percent / 100) {
     this->memory_high = false;
   }
   if (this->memory_high || used < limit * memory_high_percent / 100) {
--- a/libs/front/src/peer_failure_detector.cc
+++ b/libs/front/src/peer_failure_detector.cc
@@ -6,77 +6,83 @@
 
 /// Number of other hosts that must also suspect a peer: a single one may merely have lost its own
 /// connection to it.
-constexpr std::size_t least_told = 2;
+constexpr std::size_t min_confirmations = 2;
 /// A probe unanswered for this long, many times the round trip to another zone, raises a suspicion
 /// before it fails at 0.5 s. With this, 340 hosts detect the loss of a zone after 1.3 s; when
 /// only failed probes raise a suspicion, after 2.1 s (failure_detection_test).
-constexpr duration long_unanswered = std::chrono::milliseconds(200);
+constexpr duration suspicion_delay = std::chrono::milliseconds(200);
 /// A probe that fails while this host's event loop lagged by more than this proves nothing: of the
 /// 0.5 s probe timeout, less than `long_unanswered` was left for the answer.
-constexpr duration most_late = std::chrono::milliseconds(300);
+constexpr duration max_lag = std::chrono::milliseconds(300);
 /// A peer that has sent a message within this time is not probed on a report of others: the probe
 /// that they wait for is older.
-constexpr duration just_heard = std::chrono::milliseconds(300);
+constexpr duration recent_message_window = std::chrono::milliseconds(300);
 
 }  // namespace
 
-void peer_failure_detector::heard(timestamp now) {
-  this->last_heard = now;
+void peer_failure_detector::record_message(timestamp now) {
+  this->last_message_at = now;
   this->failed = false;
-  this->told.clear();
+  this->suspected_by.clear();
 }
 
-void peer_failure_detector::was_probed(timestamp now) { this->probes.was_probed = now; }
+void peer_failure_detector::record_probe_received(timestamp now) {
+  this->probes.last_received = now;
+}
 
-void peer_failure_detector::probe_sent(timestamp now, duration late) {
-  this->probes.tried = now;
-  if (this->asked <= this->last_heard) {
-    this->asked = now;
-    this->late_when_asked = late;
+void peer_failure_detector::record_probe_sent(timestamp now, duration lag) {
+  this->probes.last_sent = now;
+  if (this->first_unanswered <= this->last_message_at) {
+    this->first_unanswered = now;
+    this->lag_at_first_unanswered = lag;
   }
 }
 
-bool peer_failure_detector::suspected(timestamp now, duration late) const {
-  const bool is_asked = this->asked > this->last_heard;
-  const duration waited = (now - this->asked) - (late - this->late_when_asked);
-  return this->failed || (is_asked && waited >= long_unanswered);
+bool peer_failure_detector::suspected(timestamp now, duration lag) const {
+  const bool is_probe_unanswered = this->first_unanswered > this->last_message_at;
+  const duration waited = (now - this->first_unanswered) - (lag - this->lag_at_first_unanswered);
+  return this->failed || (is_probe_unanswered && waited >= suspicion_delay);
 }
 
-void peer_failure_detector::probe_answered(timestamp sent) { this->probes.probed = sent; }
+void peer_failure_detector::record_probe_answered(timestamp sent) {
+  this->probes.last_acked = sent;
+}
 
-void peer_failure_detector::probe_failed(timestamp sent, duration late_meanwhile) {
+void peer_failure_detector::record_probe_failed(timestamp sent, duration lag_in_flight) {
   // A message that arrived while the probe was in flight outweighs its failure.
-  const bool proves = sent >= this->last_heard && late_meanwhile <= most_late;
-  this->failed = this->failed || proves;
+  const bool is_conclusive = sent >= this->last_message_at && lag_in_flight <= max_lag;
+  this->failed = this->failed || is_conclusive;
 }
 
-void peer_failure_detector::told_by(const host_id& other, timestamp now) {
-  if (this->told.size() < least_told) {
-    this->told.insert(other);
+void peer_failure_detector::record_suspicion(const host_id& other, timestamp now) {
+  if (this->suspected_by.size() < min_confirmations) {
+    this->suspected_by.insert(other);
   }
-  this->last_told = now;
+  this->last_suspicion_at = now;
 }
 
-bool peer_failure_detector::doubted(timestamp now) const {
-  const bool asked_since = this->probes.tried >= this->last_told;
-  const bool is_doubtful = !this->told.empty() && now - this->last_heard >= just_heard;
-  return is_doubtful && !this->failed && !asked_since;
+bool peer_failure_detector::confirmation_due(timestamp now) const {
+  const bool probed_since = this->probes.last_sent >= this->last_suspicion_at;
+  const bool is_reported =
+      !this->suspected_by.empty() && now - this->last_message_at >= recent_message_window;
+  return is_reported && !this->failed && !probed_since;
 }
 
-bool peer_failure_detector::turn_due(bool goes_first, const detector_timing& pace,
-                                     timestamp now) const {
-  const timestamp begins = this->since + from_seconds(to_seconds(pace.pause) * this->phase);
-  if (this->probes.tried < begins) {
-    return now >= begins;
+bool peer_failure_detector::regular_probe_due(bool goes_first, const detector_timing& timing,
+                                              timestamp now) const {
+  const timestamp first_probe_at =
+      this->watched_since + from_seconds(to_seconds(timing.probe_interval) * this->phase);
+  if (this->probes.last_sent < first_probe_at) {
+    return now >= first_probe_at;
   }
-  return is_probe_due(this->probes, goes_first, pace.pause, now);
+  return is_probe_due(this->probes, goes_first, timing.probe_interval, now);
 }
 
-bool peer_failure_detector::lives(const detector_timing& pace, timestamp now) const {
-  if (now - this->last_heard >= pace.silence) {
+bool peer_failure_detector::is_alive(const detector_timing& timing, timestamp now) const {
+  if (now - this->last_message_at >= timing.silence_timeout) {
     return false;
   }
-  return !this->failed || this->told.size() < least_told;
+  return !this->failed || this->suspected_by.size() < min_confirmations;
 }
 
 }  // namespace hawthornlane::front
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -16,19 +16,19 @@
 
 /// Probe interval of a pair of hosts: at least the first, and the second for each peer. The cost
 /// of probing grows with the number of peers, so the interval grows with it.
-constexpr std::chrono::milliseconds least_probe_pause{400};
-constexpr std::chrono::milliseconds probe_pause_each{16};
+constexpr std::chrono::milliseconds min_probe_interval{400};
+constexpr std::chrono::milliseconds probe_interval_per_peer{16};
 /// Interval of probe rounds; a quarter of the shortest probe interval.
-constexpr duration look_pause = std::chrono::milliseconds(100);
+constexpr duration probe_round_interval = std::chrono::milliseconds(100);
 /// A peer that has missed this many probes is left out of address answers.
-constexpr int probes_missed = 3;
-constexpr std::chrono::milliseconds probe_slack{100};
+constexpr int max_missed_probes = 3;
+constexpr std::chrono::milliseconds silence_margin{100};
 /// Timeout of a probe: long enough for the kernel to retransmit a lost packet, which it does after
 /// 200 ms. A failed probe only causes a suspicion.
-constexpr duration probe_limit = std::chrono::milliseconds(500);
+constexpr duration probe_timeout = std::chrono::milliseconds(500);
 /// A store read younger than this: the sender may be the only host with the new state.
-constexpr duration just_read = std::chrono::milliseconds(50);
-constexpr duration copy_limit = copy_send_limiter::longest_copy;
+constexpr duration recent_read_age = std::chrono::milliseconds(50);
+constexpr duration copy_timeout = copy_send_limiter::confirmation_timeout;
 
 /// Phase within the probe interval at which a pair starts to probe, spread evenly over pairs.
 double phase_of(const host_id& host, const host_id& other) {
@@ -48,8 +48,8 @@
 
   host_entry entry;
   host_key key;
-  std::unique_ptr<net::rpc_client> link;
-  gossip_digest heard;
+  std::unique_ptr<net::rpc_client> client;
+  gossip_digest last_digest;
   peer_failure_detector watch;
   /// When it last answered a request of this host; reset when a copy request fails.
   net::steady_time answered_at{};
@@ -62,24 +62,26 @@
     : context(io),
       sweeper(sweep),
       fleet(state),
-      checks(schedule),
+      read_schedule(schedule),
       hooks(std::move(with)),
       copies(state, static_cast<const copy_hooks&>(this->hooks)),
-      lateness(discovery::scheduler_now()),
-      intake(schedule.owner(), [this](const host_id& other) { return this->reaches(other); }) {}
+      loop_lag(discovery::scheduler_now()),
+      fetch_scheduler(schedule.owner(),
+                      [this](const host_id& other) { return this->reaches(other); }) {}
 
 peer_gossip::~peer_gossip() = default;
 
-std::chrono::milliseconds peer_gossip::probe_pause() const {
-  return std::max(least_probe_pause, probe_pause_each * static_cast<int>(this->peers.size()));
+std::chrono::milliseconds peer_gossip::probe_interval() const {
+  return std::max(min_probe_interval,
+                  probe_interval_per_peer * static_cast<int>(this->peers.size()));
 }
 
-std::chrono::milliseconds peer_gossip::silence() const {
-  return this->probe_pause() * probes_missed + probe_slack;
+std::chrono::milliseconds peer_gossip::silence_timeout() const {
+  return this->probe_interval() * max_missed_probes + silence_margin;
 }
 
 void peer_gossip::add_peer(const host_entry& entry) {
-  if (entry.role != host_role::front || entry.name == this->intake.owner()) {
+  if (entry.role != host_role::front || entry.name == this->fetch_scheduler.owner()) {
     return;
   }
   const auto known = this->peers.find(entry.name);
@@ -89,48 +91,49 @@
   if (known != this->peers.end() && known->second->entry.start > entry.start) {
     return;
   }
-  auto other = std::make_shared<peer>(entry, this->intake.owner(), discovery::scheduler_now());
-  other->link = std::make_unique<net::rpc_client>(this->context, this->sweeper, entry.peers_at);
+  auto other =
+      std::make_shared<peer>(entry, this->fetch_scheduler.owner(), discovery::scheduler_now());
+  other->client = std::make_unique<net::rpc_client>(this->context, this->sweeper, entry.peers_at);
   this->peers[entry.name] = other;
-  this->intake.count_hosts(this->peers.size() + 1);
+  this->fetch_scheduler.set_host_count(this->peers.size() + 1);
   this->probe(*other, this->probe_bytes());
 }
 
 void peer_gossip::refresh_hosts() {
   const auto& listed = this->fleet.hosts().listed();
   std::erase_if(this->peers, [&](const auto& item) {
-    return !listed.contains(item.first) && !this->lives(*item.second);
+    return !listed.contains(item.first) && !this->is_alive(*item.second);
   });
   for (const auto& [name, entry] : listed) {
     this->add_peer(entry);
   }
-  this->intake.count_hosts(this->peers.size() + 1);
+  this->fetch_scheduler.set_host_count(this->peers.size() + 1);
 }
 
 void peer_gossip::tick() {
   const timestamp now = discovery::scheduler_now();
-  this->lateness.pass(now);
-  this->ask_due();
-  if (now < this->next_look) {
+  this->loop_lag.record_pass(now);
+  this->request_due_copies();
+  if (now < this->next_probe_round) {
     return;
   }
-  this->next_look = now + look_pause;
-  this->encoder.expire();
-  this->note_silent();
-  this->probe_due_ones();
+  this->next_probe_round = now + probe_round_interval;
+  this->encoder.mark_stale();
+  this->mark_silent_peers();
+  this->run_probe_round();
 }
 
-void peer_gossip::probe_due_ones() {
+void peer_gossip::run_probe_round() {
   const timestamp now = discovery::scheduler_now();
-  std::set<host_key> doubted;
+  std::set<host_key> confirmation_due;
   for (const auto& [name, other] : this->peers) {
-    if (this->turn_due(*other)) {
+    if (this->regular_probe_due(*other)) {
       this->probe(*other, this->probe_bytes());
-    } else if (other->watch.doubted(now)) {
-      doubted.insert(other->key);
+    } else if (other->watch.confirmation_due(now)) {
+      confirmation_due.insert(other->key);
     }
   }
-  const std::vector<host_key> chosen = this->limits.to_probe(doubted);
+  const std::vector<host_key> chosen = this->limits.select_to_probe(confirmation_due);
   const std::set<host_key> asked(chosen.begin(), chosen.end());
   for (const auto& [name, other] : this->peers) {
     if (asked.contains(other->key)) {
@@ -139,35 +142,38 @@
   }
 }
 
-bool peer_gossip::turn_due(const peer& other) const {
-  const bool goes_first = this->intake.owner() < other.entry.name;
-  return other.watch.turn_due(goes_first, this->pace(), discovery::scheduler_now());
+bool peer_gossip::regular_probe_due(const peer& other) const {
+  const bool goes_first = this->fetch_scheduler.owner() < other.entry.name;
+  return other.watch.regular_probe_due(goes_first, this->timing(), discovery::scheduler_now());
 }
 
-detector_timing peer_gossip::pace() const { return {this->probe_pause(), this->silence()}; }
+detector_timing peer_gossip::timing() const {
+  return {this->probe_interval(), this->silence_timeout()};
+}
 
-bool peer_gossip::lives(const peer& other) const {
-  return other.watch.lives(this->pace(), discovery::scheduler_now());
+bool peer_gossip::is_alive(const peer& other) const {
+  return other.watch.is_alive(this->timing(), discovery::scheduler_now());
 }
 
 bool peer_gossip::reaches(const host_id& other) const {
   const auto known = this->peers.find(other);
-  return known != this->peers.end() && steady::now() - known->second->answered_at < this->silence();
+  return known != this->peers.end() &&
+         steady::now() - known->second->answered_at < this->silence_timeout();
 }
 
 void peer_gossip::broadcast_state() {
-  this->encoder.expire();
+  this->encoder.mark_stale();
   const std::string payload = this->probe_bytes();
   for (const auto& [name, other] : this->peers) {
     this->probe(*other, payload);
   }
 }
 
-void peer_gossip::note_silent() {
+void peer_gossip::mark_silent_peers() {
   for (const auto& [name, other] : this->peers) {
-    if (other->reachable && !this->lives(*other)) {
+    if (other->reachable && !this->is_alive(*other)) {
       other->reachable = false;
-      this->intake.forget(name);
+      this->fetch_scheduler.forget(name);
       log(event::host_silent, {{"peer", name.get()}});
     }
   }
@@ -176,38 +182,38 @@
 void peer_gossip::probe(peer& other, const std::string& payload) {
   const auto known = this->peers.find(other.entry.name)->second;
   const timestamp sent = discovery::scheduler_now();
-  const duration late = this->lateness.total(sent);
-  other.watch.probe_sent(sent, late);
+  const duration lag = this->loop_lag.total(sent);
+  other.watch.record_probe_sent(sent, lag);
   this->call(
-      other, gossip_method::digest, payload, probe_limit,
-      [this, sent, late, weak = std::weak_ptr(known)](net::rpc_failure why, std::string answer) {
-        const auto told = weak.lock();
+      other, gossip_method::digest, payload, probe_timeout,
+      [this, sent, lag, weak = std::weak_ptr(known)](net::rpc_failure why, std::string answer) {
+        const auto target = weak.lock();
         const auto message = probe_message_from(answer);
-        if (!told) {
+        if (!target) {
           return;
         }
         if (why != net::rpc_failure::none || !message) {
-          const duration late_now = this->lateness.total(discovery::scheduler_now());
-          told->watch.probe_failed(sent, late_now - late);
+          const duration lag_now = this->loop_lag.total(discovery::scheduler_now());
+          target->watch.record_probe_failed(sent, lag_now - lag);
           return;
         }
-        told->answered_at = steady::now();
-        told->watch.probe_answered(sent);
-        this->hear(*told, *message);
+        target->answered_at = steady::now();
+        target->watch.record_probe_answered(sent);
+        this->handle_message(*target, *message);
       });
 }
 
-void peer_gossip::call(peer& other, gossip_method method, std::string payload, duration limit,
+void peer_gossip::call(peer& other, gossip_method method, std::string payload, duration timeout,
                        net::rpc_done done) {
   auto counted = this->hooks.traffic.call(kind_of(method), payload.size(), std::move(done));
-  other.link->call(static_cast<std::uint16_t>(method), std::move(payload), limit,
-                   std::move(counted));
+  other.client->call(static_cast<std::uint16_t>(method), std::move(payload), timeout,
+                     std::move(counted));
 }
 
 const std::string& peer_gossip::probe_bytes() {
   const timestamp now = discovery::scheduler_now();
   if (this->encoder.is_stale()) {
-    this->encoder.renew({this->hooks.self(), this->limits.to_name(this->suspected())}, now);
+    this->encoder.update({this->hooks.self(), this->limits.select_to_name(this->suspected())}, now);
   }
   return this->encoder.encoded(now);
 }
@@ -215,16 +221,16 @@
 std::set<host_key> peer_gossip::suspected() const {
   std::set<host_key> keys;
   const timestamp now = discovery::scheduler_now();
-  const duration late = this->lateness.total(now);
+  const duration lag = this->loop_lag.total(now);
   for (const auto& [name, other] : this->peers) {
-    if (other->watch.suspected(now, late)) {
+    if (other->watch.suspected(now, lag)) {
       keys.insert(other->key);
     }
   }
   return keys;
 }
 
-void peer_gossip::hear_suspicions(const host_id& from, const std::vector<host_key>& suspected) {
+void peer_gossip::handle_suspicions(const host_id& from, const std::vector<host_key>& suspected) {
   if (suspected.empty()) {
     return;
   }
@@ -234,85 +240,85 @@
     if (!keys.contains(other->key)) {
       continue;
     }
-    other->watch.told_by(from, now);
-    if (other->watch.doubted(now) && this->limits.admit_probe()) {
+    other->watch.record_suspicion(from, now);
+    if (other->watch.confirmation_due(now) && this->limits.admit_reported_probe()) {
       this->probe(*other, this->probe_bytes());
     }
   }
 }
 
-void peer_gossip::hear(peer& other, const probe_message& message) {
+void peer_gossip::handle_message(peer& other, const probe_message& message) {
   const gossip_digest& digest = message.digest;
-  other.heard = digest;
-  other.watch.heard(discovery::scheduler_now());
-  this->hear_suspicions(other.entry.name, message.suspected);
+  other.last_digest = digest;
+  other.watch.record_message(discovery::scheduler_now());
+  this->handle_suspicions(other.entry.name, message.suspected);
   if (!other.reachable) {
     other.reachable = true;
     log(event::host_reachable, {{"peer", other.entry.name.get()}});
   }
   if (!digest.store_read_by.get().empty()) {
-    this->checks.record_read(digest.store_read_by,
-                             discovery::scheduler_now() - digest.store_read_age);
+    this->read_schedule.record_read(digest.store_read_by,
+                                    discovery::scheduler_now() - digest.store_read_age);
   }
-  this->note_progress();
-  const newer_kinds news = find_newer_kinds(digest, this->last_known);
-  const bool from_reader = digest.store_read_age < just_read;
+  this->detect_state_changes();
+  const newer_kinds news = find_newer_kinds(digest, this->last_versions);
+  const bool from_store_reader = digest.store_read_age < recent_read_age;
   for (const copy_kind kind : all_copy_kinds) {
-    this->intake.heard(kind, other.entry.name, news.of(kind), from_reader,
-                       discovery::scheduler_now());
+    this->fetch_scheduler.update_peer(kind, other.entry.name, news.contains(kind),
+                                      from_store_reader, discovery::scheduler_now());
   }
-  this->ask_due();
+  this->request_due_copies();
 }
 
-void peer_gossip::note_progress() {
-  const known_versions own = this->known();
-  if (own == this->last_known) {
+void peer_gossip::detect_state_changes() {
+  const known_versions own = this->own_versions();
+  if (own == this->last_versions) {
     return;
   }
-  const known_versions before = std::exchange(this->last_known, own);
-  this->encoder.expire();
-  const auto renew = [this](copy_kind kind, bool changed) {
+  const known_versions before = std::exchange(this->last_versions, own);
+  this->encoder.mark_stale();
+  const auto invalidate = [this](copy_kind kind, bool changed) {
     if (changed) {
-      this->outlet.renew(kind);
-      this->copies.renew(kind);
-      this->hear_again(kind);
+      this->send_limiter.invalidate(kind);
+      this->copies.invalidate(kind);
+      this->compare_with_peers(kind);
     }
   };
-  renew(copy_kind::configuration, own.configuration != before.configuration);
-  renew(copy_kind::backends, own.backends_changed_at != before.backends_changed_at);
-  renew(copy_kind::hosts, own.hosts_revision != before.hosts_revision);
-  renew(copy_kind::ledger, own.ledger != before.ledger);
+  invalidate(copy_kind::configuration, own.configuration != before.configuration);
+  invalidate(copy_kind::backends, own.backends_changed_at != before.backends_changed_at);
+  invalidate(copy_kind::hosts, own.hosts_revision != before.hosts_revision);
+  invalidate(copy_kind::ledger, own.ledger != before.ledger);
 }
 
-void peer_gossip::hear_again(copy_kind kind) {
-  this->intake.renew(kind);
+void peer_gossip::compare_with_peers(copy_kind kind) {
+  this->fetch_scheduler.invalidate(kind);
   for (const auto& [name, other] : this->peers) {
-    const bool ahead =
-        this->lives(*other) && find_newer_kinds(other->heard, this->last_known).of(kind);
-    this->intake.heard(kind, name, ahead, false, discovery::scheduler_now());
+    const bool ahead = this->is_alive(*other) &&
+                       find_newer_kinds(other->last_digest, this->last_versions).contains(kind);
+    this->fetch_scheduler.update_peer(kind, name, ahead, false, discovery::scheduler_now());
   }
 }
 
-void peer_gossip::ask_due() {
-  this->note_progress();
-  const known_versions& own = this->last_known;
+void peer_gossip::request_due_copies() {
+  this->detect_state_changes();
+  const known_versions& own = this->last_versions;
   const bool urgent = !own.configuration || !this->fleet.backends().heard() || !own.ledger;
   for (const copy_kind kind : all_copy_kinds) {
-    const auto from = this->intake.next(kind, urgent, discovery::scheduler_now());
+    const auto from = this->fetch_scheduler.next(kind, urgent, discovery::scheduler_now());
     if (!from) {
       continue;
     }
     const auto known = this->peers.find(*from);
     if (known == this->peers.end()) {
-      this->intake.failed(kind, discovery::scheduler_now());
-      this->intake.forget(*from);
+      this->fetch_scheduler.failed(kind, discovery::scheduler_now());
+      this->fetch_scheduler.forget(*from);
       continue;
     }
-    this->ask(known->second, kind);
+    this->request_copy(known->second, kind);
   }
 }
 
-known_versions peer_gossip::known() const {
+known_versions peer_gossip::own_versions() const {
   known_versions own;
   if (const auto& table = this->fleet.table()) {
     own.configuration = table->version();
@@ -325,37 +331,37 @@
   return own;
 }
 
-void peer_gossip::relay(const relayed_request& question, duration limit, net::rpc_done done) {
+void peer_gossip::relay(const relayed_request& question, duration timeout, net::rpc_done done) {
   std::vector<relay_candidate> candidates;
   for (const auto& [name, other] : this->peers) {
-    if (this->lives(*other)) {
-      candidates.push_back({name, other->entry.zone, other->heard.disks_reached});
+    if (this->is_alive(*other)) {
+      candidates.push_back({name, other->entry.zone, other->last_digest.disks_reached});
     }
   }
   const availability_zone zone = this->hooks.self().self.zone;
-  const auto chosen = choose_relay(candidates, this->intake.owner(), zone);
+  const auto chosen = choose_relay(candidates, this->fetch_scheduler.owner(), zone);
   if (!chosen) {
     done(net::rpc_failure::unreachable, {});
     return;
   }
-  this->call(*this->peers.at(*chosen), gossip_method::relay, to_bytes(question), limit,
+  this->call(*this->peers.at(*chosen), gossip_method::relay, to_bytes(question), timeout,
              std::move(done));
 }
 
 std::size_t peer_gossip::rank() const {
   // Called at each pass of the event loop: building a digest only for the own name is too slow.
-  const host_id& own = this->intake.owner();
+  const host_id& own = this->fetch_scheduler.owner();
   std::size_t before = 0;
   for (const auto& [name, other] : this->peers) {
-    before += name < own && this->lives(*other) ? 1 : 0;
+    before += name < own && this->is_alive(*other) ? 1 : 0;
   }
   return before;
 }
 
-void peer_gossip::ask(const std::shared_ptr<peer>& other, copy_kind kind) {
+void peer_gossip::request_copy(const std::shared_ptr<peer>& other, copy_kind kind) {
   ++this->counts.asked;
-  const copy_request request{kind, this->intake.owner()};
-  this->call(*other, gossip_method::copy, to_bytes(request), copy_limit,
+  const copy_request request{kind, this->fetch_scheduler.owner()};
+  this->call(*other, gossip_method::copy, to_bytes(request), copy_timeout,
              [this, alive = std::weak_ptr(this->lifetime), asked = std::weak_ptr(other),
               from = other->entry.name, kind](net::rpc_failure why, std::string bytes) {
                if (alive.expired()) {
@@ -367,32 +373,33 @@
                }
                if (why != net::rpc_failure::none) {
                  ++this->counts.failed;
-                 this->intake.failed(kind, discovery::scheduler_now());
+                 this->fetch_scheduler.failed(kind, discovery::scheduler_now());
                  return;
                }
-               this->take_answer(from, kind, std::move(bytes));
+               this->handle_copy_response(from, kind, std::move(bytes));
              });
 }
 
-void peer_gossip::take_answer(const host_id& from, copy_kind kind, std::string bytes) {
-  const auto answer = copy_answer_from(std::move(bytes));
+void peer_gossip::handle_copy_response(const host_id& from, copy_kind kind, std::string bytes) {
+  const auto answer = copy_response_from(std::move(bytes));
   if (answer && !answer->copy) {
     ++this->counts.put_off;
-    this->intake.busy(kind, answer->holders, discovery::scheduler_now());
+    this->fetch_scheduler.busy(kind, answer->holders, discovery::scheduler_now());
     return;
   }
-  if (!answer || !this->copies.take(from, kind, *answer->copy)) {
+  if (!answer || !this->copies.apply(from, kind, *answer->copy)) {
     ++this->counts.failed;
-    this->intake.failed(kind, discovery::scheduler_now());
+    this->fetch_scheduler.failed(kind, discovery::scheduler_now());
     return;
   }
   ++this->counts.taken;
   this->counts.bytes_taken += answer->copy->size();
-  this->intake.taken(kind);
-  this->hear_again(kind);
-  this->send(from, gossip_method::copy_taken, to_bytes(copy_request{kind, this->intake.owner()}),
+  this->fetch_scheduler.taken(kind);
+  this->compare_with_peers(kind);
+  this->send(from, gossip_method::copy_taken,
+             to_bytes(copy_request{kind, this->fetch_scheduler.owner()}),
              [](net::rpc_failure, const std::string&) {});
-  this->ask_due();
+  this->request_due_copies();
 }
 
 std::optional<std::string> peer_gossip::serve(gossip_method method, const std::string& payload) {
@@ -406,21 +413,21 @@
       this->add_peer(message->digest.self);
       const auto known = this->peers.find(message->digest.self.name);
       if (known != this->peers.end()) {
-        known->second->watch.was_probed(discovery::scheduler_now());
-        this->hear(*known->second, *message);
+        known->second->watch.record_probe_received(discovery::scheduler_now());
+        this->handle_message(*known->second, *message);
       }
       return this->probe_bytes();
     }
     case gossip_method::copy: {
       const auto request = copy_request_from(payload);
-      return request ? this->give_copy(*request) : std::nullopt;
+      return request ? this->send_copy(*request) : std::nullopt;
     }
     case gossip_method::copy_taken: {
       const auto request = copy_request_from(payload);
       if (!request) {
         return std::nullopt;
       }
-      this->outlet.taken(request->kind, request->asker);
+      this->send_limiter.taken(request->kind, request->requester);
       return "";
     }
     case gossip_method::relay:
@@ -435,26 +442,26 @@
   return std::nullopt;
 }
 
-std::optional<std::string> peer_gossip::give_copy(const copy_request& request) {
-  this->note_progress();
+std::optional<std::string> peer_gossip::send_copy(const copy_request& request) {
+  this->detect_state_changes();
   const auto& copy = this->copies.ready(request.kind);
   if (!copy) {
     return std::nullopt;
   }
   const timestamp now = discovery::scheduler_now();
-  if (!this->hooks.may_give_copy() ||
-      !this->outlet.begin(request.kind, request.asker, copy->size(), now)) {
-    return to_answer_bytes({std::nullopt, this->outlet.holders(request.kind)});
+  if (!this->hooks.may_send_copy() ||
+      !this->send_limiter.try_begin(request.kind, request.requester, copy->size(), now)) {
+    return to_response_bytes({std::nullopt, this->send_limiter.holders(request.kind)});
   }
   ++this->counts.given;
   this->counts.bytes_given += copy->size();
-  return to_answer_bytes({copy, {}});
+  return to_response_bytes({copy, {}});
 }
 
 std::vector<host_entry> peer_gossip::ready_hosts() const {
   std::vector<host_entry> ready;
   for (const auto& [name, other] : this->peers) {
-    if (other->heard.ready && !other->heard.leaving && this->lives(*other)) {
+    if (other->last_digest.ready && !other->last_digest.leaving && this->is_alive(*other)) {
       ready.push_back(other->entry);
     }
   }
@@ -464,7 +471,7 @@
 std::vector<host_id> peer_gossip::live_hosts() const {
   std::vector<host_id> hosts;
   for (const auto& [name, other] : this->peers) {
-    if (this->lives(*other) && !other->heard.leaving) {
+    if (this->is_alive(*other) && !other->last_digest.leaving) {
       hosts.push_back(name);
     }
   }
@@ -478,14 +485,14 @@
     done(net::rpc_failure::unreachable, {});
     return;
   }
-  this->call(*found->second, method, payload, probe_limit, std::move(done));
+  this->call(*found->second, method, payload, probe_timeout, std::move(done));
 }
 
 std::vector<service_demand> peer_gossip::demand_of_others() const {
   std::vector<service_demand> all;
   for (const auto& [name, other] : this->peers) {
-    if (this->lives(*other)) {
-      all.insert(all.end(), other->heard.demand.begin(), other->heard.demand.end());
+    if (this->is_alive(*other)) {
+      all.insert(all.end(), other->last_digest.demand.begin(), other->last_digest.demand.end());
     }
   }
   return all;
--- a/libs/front/src/probe_encoder.cc
+++ b/libs/front/src/probe_encoder.cc
@@ -6,20 +6,20 @@
 
 namespace hawthornlane::front {
 
-void probe_encoder::renew(const probe_message& message, timestamp now) {
+void probe_encoder::update(const probe_message& message, timestamp now) {
   const gossip_digest& digest = message.digest;
   this->bytes = to_bytes(message);
   // The age is the last field before the demand and the suspected hosts, which vary in size.
   const std::size_t after = to_bytes(digest.demand).size() + to_bytes(message.suspected).size();
-  this->age_at = this->bytes.size() - after - sizeof(std::int64_t);
-  this->checked_at = now - digest.store_read_age;
-  this->has_checked = !digest.store_read_by.get().empty();
+  this->age_offset = this->bytes.size() - after - sizeof(std::int64_t);
+  this->read_at = now - digest.store_read_age;
+  this->has_read = !digest.store_read_by.get().empty();
 }
 
 const std::string& probe_encoder::encoded(timestamp now) {
-  if (this->has_checked) {
-    const std::int64_t age = (now - this->checked_at).count();
-    std::memcpy(this->bytes.data() + this->age_at, &age, sizeof(age));
+  if (this->has_read) {
+    const std::int64_t age = (now - this->read_at).count();
+    std::memcpy(this->bytes.data() + this->age_offset, &age, sizeof(age));
   }
   return this->bytes;
 }
--- a/libs/front/src/store_reader.cc
+++ b/libs/front/src/store_reader.cc
@@ -18,15 +18,15 @@
 namespace {
 
 /// No registry entry expires during an outage of the store shorter than this.
-constexpr duration lapsing_outage = std::chrono::milliseconds(1500);
+constexpr duration min_expiry_outage = std::chrono::milliseconds(1500);
 /// Interval of reads of the host registry. Hosts change rarely, and changes are also noticed from
 /// refused requests.
-constexpr auto host_check_pause = std::chrono::seconds(3);
+constexpr auto host_check_interval = std::chrono::seconds(3);
 /// Interval of reads by a host that lacks the addresses of others.
-constexpr auto host_read_pause = std::chrono::milliseconds(300);
+constexpr auto host_read_interval = std::chrono::milliseconds(300);
 /// If no host has read the store for this long, each host reads for itself. A failed reader is
 /// replaced by another host long before.
-constexpr duration reader_lost_after = std::chrono::seconds(2);
+constexpr duration reader_timeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -39,12 +39,12 @@
     asio::co_spawn(this->parts.context, this->read_hosts(owner), asio::detached);
   }
   if (!this->checking &&
-      this->parts.checks.due(discovery::scheduler_now(), this->parts.gossip.rank())) {
+      this->parts.read_schedule.due(discovery::scheduler_now(), this->parts.gossip.rank())) {
     asio::co_spawn(this->parts.context, this->check_store(owner), asio::detached);
   }
 }
 
-void store_reader::note_store(bool reachable, const std::string& detail) {
+void store_reader::record_store_state(bool reachable, const std::string& detail) {
   if (reachable == this->store_reachable) {
     return;
   }
@@ -54,14 +54,14 @@
     log(event::platform_unreachable, {{"detail", detail}});
     return;
   }
-  const duration away = std::chrono::duration_cast<duration>(steady::now() - this->store_lost_at);
-  log(event::platform_reachable, {{"away_ms", std::to_string(away.count() / 1000)}});
-  if (away >= lapsing_outage) {
+  const duration outage = std::chrono::duration_cast<duration>(steady::now() - this->store_lost_at);
+  log(event::platform_reachable, {{"away_ms", std::to_string(outage.count() / 1000)}});
+  if (outage >= min_expiry_outage) {
     this->parts.fleet.store_is_back();
   }
 }
 
-void store_reader::take_configuration(const object_page& page) {
+void store_reader::apply_configuration(const object_page& page) {
   store_revision newest;
   for (const auto& item : page.items) {
     newest = std::max(newest, item.object.revision);
@@ -71,44 +71,49 @@
     return;
   }
   this->configuration_at = newest;
-  for (const auto& told : discovery::configurations_of(page, this->parts.faults)) {
-    if (this->parts.fleet.is_newer(told.config)) {
-      this->parts.fleet.offer_configuration(told.config, pack_configuration(told.text), "store");
+  for (const auto& candidate : discovery::configurations_of(page, this->parts.faults)) {
+    if (this->parts.fleet.is_newer(candidate.config)) {
+      this->parts.fleet.offer_configuration(candidate.config, pack_configuration(candidate.text),
+                                            "store");
     }
   }
 }
 
 bool store_reader::reads_for_all() const {
-  return !this->parts.checks.heard() || this->parts.checks.last_reader() == this->parts.self ||
-         this->parts.checks.age(discovery::scheduler_now()) > reader_lost_after;
+  return !this->parts.read_schedule.heard() ||
+         this->parts.read_schedule.last_reader() == this->parts.self ||
+         this->parts.read_schedule.age(discovery::scheduler_now()) > reader_timeout;
 }
 
 asio::awaitable<void> store_reader::check_store(
     [[maybe_unused]] std::shared_ptr<const void> owner) {
   this->checking = true;
   const timestamp began = discovery::scheduler_now();
-  this->parts.checks.began(began);
+  this->parts.read_schedule.began(began);
   failure reason;
   object_page page;
-  const auto took = [this, &reason](platform_adapter::store_outcome outcome) {
+  const auto record_outcome = [this, &reason](platform_adapter::store_outcome outcome) {
     const bool good = outcome == platform_adapter::store_outcome::done;
-    this->note_store(good, reason.detail);
+    this->record_store_state(good, reason.detail);
     return good;
   };
-  bool good = took(co_await this->parts.store.list(object_kind::configuration, page, reason));
+  bool good =
+      record_outcome(co_await this->parts.store.list(object_kind::configuration, page, reason));
   if (good) {
-    this->take_configuration(page);
-    good = took(co_await this->parts.store.list(object_kind::backend_servers, page, reason));
+    this->apply_configuration(page);
+    good =
+        record_outcome(co_await this->parts.store.list(object_kind::backend_servers, page, reason));
   }
   if (good) {
     this->parts.fleet.list_backends(
         page.at, discovery::backend_entries_of(page, this->parts.faults), "store");
     const bool hosts_due =
         !this->parts.fleet.hosts().heard() || steady::now() >= this->next_host_check;
-    this->parts.checks.record_read(this->parts.self, began);
+    this->parts.read_schedule.record_read(this->parts.self, began);
     this->parts.gossip.broadcast_state();
-    if (hosts_due && took(co_await this->parts.store.list(object_kind::hosts, page, reason))) {
-      this->next_host_check = steady::now() + host_check_pause;
+    if (hosts_due &&
+        record_outcome(co_await this->parts.store.list(object_kind::hosts, page, reason))) {
+      this->next_host_check = steady::now() + host_check_interval;
       this->parts.ledger.adopt_ledger_set(page);
       this->parts.fleet.list_hosts(page.at, discovery::host_entries_of(page, this->parts.faults));
     }
@@ -118,7 +123,7 @@
 
 asio::awaitable<void> store_reader::read_hosts(std::shared_ptr<const void> owner) {
   this->reading_hosts = true;
-  this->next_host_read = steady::now() + host_read_pause;
+  this->next_host_read = steady::now() + host_read_interval;
   failure reason;
   object_page page;
   const auto outcome = co_await this->parts.store.list(object_kind::hosts, page, reason);
--- a/libs/front/src/store_reader.h
+++ b/libs/front/src/store_reader.h
@@ -19,7 +19,7 @@
   host_id self;
   platform_adapter::store_client& store;
   discovery::fleet_state& fleet;
-  store_read_schedule& checks;
+  store_read_schedule& read_schedule;
   ledger_client& ledger;
   peer_gossip& gossip;
   discovery::object_faults& faults;
@@ -44,8 +44,8 @@
   /// in 50 s with two new disks, instead of 1,250.
   [[nodiscard]] bool reads_for_all() const;
   /// Records whether the store answers this host, and logs changes.
-  void note_store(bool reachable, const std::string& detail);
-  void take_configuration(const platform_adapter::object_page& page);
+  void record_store_state(bool reachable, const std::string& detail);
+  void apply_configuration(const platform_adapter::object_page& page);
 
   store_reader_parts parts;
   bool checking = false;
--- a/libs/front/src/suspicion_limits.cc
+++ b/libs/front/src/suspicion_limits.cc
@@ -5,9 +5,9 @@
 
 namespace hawthornlane::front {
 
-std::vector<host_key> host_round_robin::next(const std::set<host_key>& all, std::size_t most) {
+std::vector<host_key> host_round_robin::next(const std::set<host_key>& all, std::size_t max_count) {
   std::vector<host_key> taken;
-  const std::size_t count = std::min(most, all.size());
+  const std::size_t count = std::min(max_count, all.size());
   auto item = all.upper_bound(this->last);
   while (taken.size() < count) {
     if (item == all.end()) {
@@ -22,21 +22,22 @@
   return taken;
 }
 
-std::vector<host_key> suspicion_limits::to_name(const std::set<host_key>& suspected) {
-  return this->naming.next(suspected, most_named);
+std::vector<host_key> suspicion_limits::select_to_name(const std::set<host_key>& suspected) {
+  return this->naming_rotation.next(suspected, max_named);
 }
 
-std::vector<host_key> suspicion_limits::to_probe(const std::set<host_key>& doubted) {
-  std::vector<host_key> chosen = this->probing.next(doubted, most_probes);
-  this->probed = chosen.size();
+std::vector<host_key> suspicion_limits::select_to_probe(
+    const std::set<host_key>& confirmation_due) {
+  std::vector<host_key> chosen = this->probe_rotation.next(confirmation_due, max_probes_per_round);
+  this->probes_in_round = chosen.size();
   return chosen;
 }
 
-bool suspicion_limits::admit_probe() {
-  if (this->probed >= most_probes) {
+bool suspicion_limits::admit_reported_probe() {
+  if (this->probes_in_round >= max_probes_per_round) {
     return false;
   }
-  ++this->probed;
+  ++this->probes_in_round;
   return true;
 }
 
--- a/libs/front/test/copy_fetch_scheduler_test.cc
+++ b/libs/front/test/copy_fetch_scheduler_test.cc
@@ -23,7 +23,7 @@
 TEST_CASE("a peer with newer state is asked only after the store reader's message is due") {
   struct row {
     const char* what;
-    bool prompt;
+    bool immediate;
     bool urgent;
     duration after;
     bool asked;
@@ -36,25 +36,25 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_fetch_scheduler intake(self);
-    intake.heard(kind, one, true, item.prompt, at(0ms));
-    intake.heard(kind, one, true, false, at(item.after));
-    CHECK(intake.next(kind, item.urgent, at(item.after)).has_value() == item.asked);
+    copy_fetch_scheduler scheduler(self);
+    scheduler.update_peer(kind, one, true, item.immediate, at(0ms));
+    scheduler.update_peer(kind, one, true, false, at(item.after));
+    CHECK(scheduler.next(kind, item.urgent, at(item.after)).has_value() == item.asked);
   }
 }
 
 TEST_CASE("one copy of a kind is in flight, however many peers have newer state") {
-  copy_fetch_scheduler intake(self);
-  intake.heard(kind, one, true, true, at(0ms));
-  intake.heard(kind, two, true, true, at(0ms));
-  REQUIRE(intake.next(kind, true, at(0ms)));
-  CHECK_FALSE(intake.next(kind, true, at(900ms)));
+  copy_fetch_scheduler scheduler(self);
+  scheduler.update_peer(kind, one, true, true, at(0ms));
+  scheduler.update_peer(kind, two, true, true, at(0ms));
+  REQUIRE(scheduler.next(kind, true, at(0ms)));
+  CHECK_FALSE(scheduler.next(kind, true, at(900ms)));
   // A copy of another kind does not wait for it.
-  intake.heard(copy_kind::backends, one, true, true, at(0ms));
-  CHECK(intake.next(copy_kind::backends, true, at(0ms)) == one);
-  intake.taken(kind);
-  intake.renew(kind);
-  CHECK_FALSE(intake.next(kind, true, at(1s)));
+  scheduler.update_peer(copy_kind::backends, one, true, true, at(0ms));
+  CHECK(scheduler.next(copy_kind::backends, true, at(0ms)) == one);
+  scheduler.taken(kind);
+  scheduler.invalidate(kind);
+  CHECK_FALSE(scheduler.next(kind, true, at(1s)));
 }
 
 TEST_CASE("the next request after an answer without a copy waits for the backoff") {
@@ -65,9 +65,9 @@
     std::optional<host_id> asked;
   };
   const auto busy = [](std::vector<host_id> holders) {
-    return [holders](copy_fetch_scheduler& intake) { intake.busy(kind, holders, at(0ms)); };
+    return [holders](copy_fetch_scheduler& scheduler) { scheduler.busy(kind, holders, at(0ms)); };
   };
-  const auto failed = [](copy_fetch_scheduler& intake) { intake.failed(kind, at(0ms)); };
+  const auto failed = [](copy_fetch_scheduler& scheduler) { scheduler.failed(kind, at(0ms)); };
   const row rows[] = {
       {"a busy peer is not asked during its backoff", busy({}), 59ms, std::nullopt},
       {"a busy peer is asked again after its backoff", busy({}), 60ms, one},
@@ -79,18 +79,18 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_fetch_scheduler intake(self);
-    intake.heard(kind, one, true, true, at(0ms));
-    REQUIRE(intake.next(kind, false, at(0ms)) == one);
-    item.answer(intake);
-    CHECK(intake.next(kind, false, at(item.later)) == item.asked);
+    copy_fetch_scheduler scheduler(self);
+    scheduler.update_peer(kind, one, true, true, at(0ms));
+    REQUIRE(scheduler.next(kind, false, at(0ms)) == one);
+    item.answer(scheduler);
+    CHECK(scheduler.next(kind, false, at(item.later)) == item.asked);
   }
 }
 
 TEST_CASE("backoff of a busy peer grows with refusals and with the number of hosts") {
   struct row {
     std::size_t hosts;
-    int questions;
+    int requests;
   };
   const row rows[] = {
       // At 0, 60, 180, 420 ms and every 240 ms after that.
@@ -103,28 +103,28 @@
   };
   for (const row& item : rows) {
     INFO(item.hosts << " hosts");
-    copy_fetch_scheduler intake(self);
-    intake.count_hosts(item.hosts);
-    intake.heard(kind, one, true, true, at(0ms));
-    int questions = 0;
+    copy_fetch_scheduler scheduler(self);
+    scheduler.set_host_count(item.hosts);
+    scheduler.update_peer(kind, one, true, true, at(0ms));
+    int requests = 0;
     for (duration now{}; now < 2s; now += 5ms) {
-      if (intake.next(kind, false, at(now))) {
-        ++questions;
-        intake.busy(kind, {}, at(now));
+      if (scheduler.next(kind, false, at(now))) {
+        ++requests;
+        scheduler.busy(kind, {}, at(now));
       }
     }
-    CHECK(questions == item.questions);
+    CHECK(requests == item.requests);
   }
 }
 
 TEST_CASE("hosts that lack the same state do not all ask the same peer") {
   std::map<host_id, int> asked;
   for (int number = 0; number < 60; ++number) {
-    copy_fetch_scheduler intake(host_id("front-" + std::to_string(number)));
+    copy_fetch_scheduler scheduler(host_id("front-" + std::to_string(number)));
     for (const char* holder : {"a", "b", "c", "d"}) {
-      intake.heard(kind, host_id(holder), true, true, at(0ms));
+      scheduler.update_peer(kind, host_id(holder), true, true, at(0ms));
     }
-    ++asked[*intake.next(kind, true, at(0ms))];
+    ++asked[*scheduler.next(kind, true, at(0ms))];
   }
   CHECK(asked.size() == 4);
   for (const auto& [holder, times] : asked) {
@@ -133,36 +133,36 @@
 }
 
 TEST_CASE("a failed peer, or one without newer state, is not asked") {
-  copy_fetch_scheduler intake(self);
-  intake.heard(kind, one, true, true, at(0ms));
-  intake.heard(kind, two, true, true, at(0ms));
-  intake.forget(one);
-  intake.heard(kind, two, false, false, at(1ms));
-  CHECK_FALSE(intake.next(kind, true, at(1s)));
+  copy_fetch_scheduler scheduler(self);
+  scheduler.update_peer(kind, one, true, true, at(0ms));
+  scheduler.update_peer(kind, two, true, true, at(0ms));
+  scheduler.forget(one);
+  scheduler.update_peer(kind, two, false, false, at(1ms));
+  CHECK_FALSE(scheduler.next(kind, true, at(1s)));
 }
 
 TEST_CASE("backoff of a failing peer grows until it sends a copy") {
-  copy_fetch_scheduler intake(self);
-  const auto asked_from = [&intake](duration from) {
-    while (!intake.next(kind, true, at(from))) {
+  copy_fetch_scheduler scheduler(self);
+  const auto asked_from = [&scheduler](duration from) {
+    while (!scheduler.next(kind, true, at(from))) {
       from += 10ms;
     }
     return from;
   };
-  intake.heard(kind, one, true, true, at(0ms));
+  scheduler.update_peer(kind, one, true, true, at(0ms));
   duration now = asked_from(0ms);
   for (const duration pause : {500ms, 2000ms, 2000ms}) {
-    intake.failed(kind, at(now));
+    scheduler.failed(kind, at(now));
     // A newer state does not end the backoff.
-    intake.renew(kind);
-    intake.heard(kind, one, true, true, at(now));
+    scheduler.invalidate(kind);
+    scheduler.update_peer(kind, one, true, true, at(now));
     const duration next = asked_from(now);
     CHECK(next - now == pause);
     now = next;
   }
-  intake.taken(kind);
+  scheduler.taken(kind);
   REQUIRE(asked_from(now) == now);
-  intake.failed(kind, at(now));
+  scheduler.failed(kind, at(now));
   CHECK(asked_from(now) - now == 500ms);
 }
 
@@ -178,13 +178,13 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_fetch_scheduler intake(self, [](const host_id& other) { return other != one; });
+    copy_fetch_scheduler scheduler(self, [](const host_id& other) { return other != one; });
     for (const host_id& host : item.ahead) {
-      intake.heard(kind, host, true, true, at(0ms));
+      scheduler.update_peer(kind, host, true, true, at(0ms));
     }
-    CHECK(intake.next(kind, true, at(0ms)) == item.asked);
+    CHECK(scheduler.next(kind, true, at(0ms)) == item.asked);
     // A peer that reaches it may still name it.
-    intake.busy(kind, {one}, at(0ms));
-    CHECK(intake.next(kind, true, at(1s)) == item.asked);
+    scheduler.busy(kind, {one}, at(0ms));
+    CHECK(scheduler.next(kind, true, at(1s)) == item.asked);
   }
 }
--- a/libs/front/test/copy_propagation_test.cc
+++ b/libs/front/test/copy_propagation_test.cc
@@ -36,17 +36,17 @@
 constexpr auto kind = copy_kind::configuration;
 /// Link rate of a small host: 30 Mbit/s.
 constexpr double link_bytes_per_us = 30.0 / 8;
-constexpr duration way = 2ms;
+constexpr duration link_delay = 2ms;
 /// Interval at which a host checks what is due.
-constexpr duration tick_pause = 10ms;
-constexpr duration read_pause = 850ms;
+constexpr duration tick_interval = 10ms;
+constexpr duration read_interval = 850ms;
 /// Interval at which hosts may restart.
-constexpr duration fault_pause = 100ms;
+constexpr duration restart_check_interval = 100ms;
 /// Time in which hosts discover each other and fetch their first state.
 constexpr duration warm_up = 20s;
-constexpr duration copy_limit = 1s;
-constexpr duration probe_limit = 600ms;
-constexpr std::size_t small_message = 200;
+constexpr duration copy_timeout = 1s;
+constexpr duration probe_timeout = 600ms;
+constexpr std::size_t small_message_bytes = 200;
 /// An accepted configuration must be in force on all hosts within this time.
 constexpr duration spread_limit = 3s;
 
@@ -55,7 +55,7 @@
 /// Event queue in virtual time.
 class virtual_clock {
 public:
-  [[nodiscard]] timestamp now() const { return this->moment; }
+  [[nodiscard]] timestamp now() const { return this->current_time; }
   void at(timestamp when, std::function<void()> what) {
     this->events.push({when, this->next++, std::move(what)});
   }
@@ -63,10 +63,10 @@
     while (!this->events.empty() && this->events.top().when <= end) {
       const event first = this->events.top();
       this->events.pop();
-      this->moment = first.when;
+      this->current_time = first.when;
       first.what();
     }
-    this->moment = end;
+    this->current_time = end;
   }
 
 private:
@@ -80,7 +80,7 @@
   };
   std::priority_queue<event> events;
   std::uint64_t next = 0;
-  timestamp moment{1h};
+  timestamp current_time{1h};
 };
 
 /// Kinds of messages between hosts; a `digest` is answered with the digest of the receiver.
@@ -90,7 +90,7 @@
   message_kind what = message_kind::digest;
   state_version version = 0;
   /// The sender has just read the store.
-  bool prompt = false;
+  bool immediate = false;
 };
 
 struct reply {
@@ -100,11 +100,11 @@
 };
 
 /// The copy logic of one host. Replaced at each restart.
-struct member {
-  member(const host_id& name, copy_fetch_scheduler::reaches_hook reaches)
-      : intake(name, std::move(reaches)) {}
-  copy_fetch_scheduler intake;
-  copy_send_limiter outlet;
+struct simulated_host {
+  simulated_host(const host_id& name, copy_fetch_scheduler::reaches_hook reaches)
+      : fetch_scheduler(name, std::move(reaches)) {}
+  copy_fetch_scheduler fetch_scheduler;
+  copy_send_limiter send_limiter;
   state_version version = 0;
   struct word {
     state_version version = 0;
@@ -112,10 +112,10 @@
     /// When it last answered this host; reset when a copy request fails.
     timestamp answered{};
   };
-  std::map<std::size_t, word> heard;
+  std::map<std::size_t, word> peer_states;
 };
 
-struct history {
+struct scenario {
   const char* what;
   std::size_t hosts;
   std::size_t bytes;
@@ -134,20 +134,20 @@
 
 class network {
 public:
-  network(const history& told, unsigned seed) : plan(told), random(seed) {
+  network(const scenario& told, unsigned seed) : plan(told), random(seed) {
     this->members.resize(this->plan.hosts);
-    this->free_at.resize(this->plan.hosts);
-    this->waiting.resize(this->plan.hosts);
+    this->link_free_at.resize(this->plan.hosts);
+    this->queued_bytes.resize(this->plan.hosts);
     for (std::size_t host = 0; host < this->plan.hosts; ++host) {
       this->start(host);
     }
-    this->cut_some();
+    this->cut_random_links();
     for (std::size_t host = 0; host < this->plan.hosts; ++host) {
       this->broadcast_state(host, false);
-      this->probe_later(host, this->part_of(this->probe_pause()));
-      this->tick_later(host, this->part_of(tick_pause));
+      this->schedule_probe(host, this->part_of(this->probe_interval()));
+      this->schedule_tick(host, this->part_of(tick_interval));
     }
-    this->read_later();
+    this->schedule_read();
   }
 
   /// Stores a newer state.
@@ -159,15 +159,15 @@
       this->change();
       const timestamp until = this->clock.now() + this->plan.between;
       while (this->clock.now() < until) {
-        this->clock.run_until(this->clock.now() + fault_pause);
-        this->restart_some();
+        this->clock.run_until(this->clock.now() + restart_check_interval);
+        this->restart_random_hosts();
       }
     }
     this->faults = false;
   }
 
   /// Time from now until all hosts have the newest state; `nullopt` when longer than `limit`.
-  std::optional<duration> settle(duration limit) {
+  std::optional<duration> time_to_converge(duration limit) {
     const timestamp began = this->clock.now();
     while (this->clock.now() < began + limit) {
       if (this->all_have_newest()) {
@@ -182,9 +182,9 @@
   std::uint64_t copies = 0;
   std::uint64_t starts = 0;
   /// Largest number of bytes queued for one link.
-  std::size_t most_waiting = 0;
+  std::size_t max_queued_bytes = 0;
   /// Largest number of copy requests to one host within one second.
-  std::size_t most_questions = 0;
+  std::size_t max_requests_per_second = 0;
 
 private:
   static inline const std::string name_start = "front-";
@@ -200,7 +200,7 @@
   duration part_of(duration whole) {
     return duration(std::uniform_int_distribution<std::int64_t>(0, whole.count())(this->random));
   }
-  [[nodiscard]] duration probe_pause() const {
+  [[nodiscard]] duration probe_interval() const {
     return std::max<duration>(400ms, 16ms * static_cast<int>(this->plan.hosts));
   }
   [[nodiscard]] bool all_have_newest() const {
@@ -211,15 +211,15 @@
   void start(std::size_t host) {
     ++this->starts;
     this->members[host] =
-        std::make_shared<member>(name_of(host), [this, host](const host_id& other) {
-          const auto& heard = this->members[host]->heard;
-          const auto word = heard.find(number_of(other));
-          return word != heard.end() && this->is_recent(word->second.answered);
+        std::make_shared<simulated_host>(name_of(host), [this, host](const host_id& other) {
+          const auto& peer_states = this->members[host]->peer_states;
+          const auto word = peer_states.find(number_of(other));
+          return word != peer_states.end() && this->is_recent(word->second.answered);
         });
-    this->members[host]->intake.count_hosts(this->plan.hosts);
+    this->members[host]->fetch_scheduler.set_host_count(this->plan.hosts);
   }
 
-  void cut_some() {
+  void cut_random_links() {
     for (std::size_t from = 1; from < this->plan.hosts; ++from) {
       for (std::size_t to = 1; to < this->plan.hosts; ++to) {
         if (this->happens(this->plan.one_way_cuts)) {
@@ -233,8 +233,8 @@
     }
   }
 
-  void restart_some() {
-    const double seconds = std::chrono::duration<double>(fault_pause).count();
+  void restart_random_hosts() {
+    const double seconds = std::chrono::duration<double>(restart_check_interval).count();
     for (std::size_t host = 1; host < this->plan.hosts; ++host) {
       if (this->happens(this->plan.restarts * seconds)) {
         this->start(host);
@@ -248,13 +248,13 @@
     const bool lost =
         this->cuts.contains({from, to}) || (this->faults && this->happens(this->plan.loss));
     const duration takes(static_cast<std::int64_t>(static_cast<double>(bytes) / link_bytes_per_us));
-    timestamp& free = this->free_at[from];
+    timestamp& free = this->link_free_at[from];
     free = std::max(free, this->clock.now()) + takes;
-    this->waiting[from] += bytes;
-    this->most_waiting = std::max(this->most_waiting, this->waiting[from]);
-    this->clock.at(free, [this, from, bytes] { this->waiting[from] -= bytes; });
+    this->queued_bytes[from] += bytes;
+    this->max_queued_bytes = std::max(this->max_queued_bytes, this->queued_bytes[from]);
+    this->clock.at(free, [this, from, bytes] { this->queued_bytes[from] -= bytes; });
     if (!lost) {
-      this->clock.at(free + way, std::move(arrives));
+      this->clock.at(free + link_delay, std::move(arrives));
     }
   }
 
@@ -270,165 +270,166 @@
           }
         };
     this->clock.at(this->clock.now() + limit, [finish] { finish(std::nullopt); });
-    this->send(from, to, small_message,
+    this->send(from, to, small_message_bytes,
                [this, from, to, told, finish, asked = std::weak_ptr(this->members[to])] {
                  if (asked.expired()) {
                    return;
                  }
                  const reply answer = this->serve(from, to, told);
-                 this->send(to, from, answer.whole ? this->plan.bytes : small_message,
+                 this->send(to, from, answer.whole ? this->plan.bytes : small_message_bytes,
                             [finish, answer] { finish(answer); });
                });
   }
 
   reply serve(std::size_t from, std::size_t to, const message& told) {
-    member& one = *this->members[to];
+    simulated_host& one = *this->members[to];
     reply answer;
     answer.version = one.version;
     switch (told.what) {
       case message_kind::digest:
-        this->hear(to, from, told.version, told.prompt);
+        this->handle_digest(to, from, told.version, told.immediate);
         break;
       case message_kind::copy:
-        this->count_question(to);
+        this->count_request(to);
         if (one.version > 0 &&
-            one.outlet.begin(kind, name_of(from), this->plan.bytes, this->clock.now())) {
+            one.send_limiter.try_begin(kind, name_of(from), this->plan.bytes, this->clock.now())) {
           ++this->copies;
           answer.whole = true;
         } else {
-          answer.holders = one.outlet.holders(kind);
+          answer.holders = one.send_limiter.holders(kind);
         }
         break;
       case message_kind::taken:
-        one.outlet.taken(kind, name_of(from));
+        one.send_limiter.taken(kind, name_of(from));
         break;
     }
     return answer;
   }
 
-  void count_question(std::size_t host) {
-    std::deque<timestamp>& times = this->asked_at[host];
+  void count_request(std::size_t host) {
+    std::deque<timestamp>& times = this->request_times[host];
     times.push_back(this->clock.now());
     while (this->clock.now() - times.front() > 1s) {
       times.pop_front();
     }
-    this->most_questions = std::max(this->most_questions, times.size());
+    this->max_requests_per_second = std::max(this->max_requests_per_second, times.size());
   }
 
-  void hear(std::size_t host, std::size_t other, state_version version, bool prompt) {
-    member& one = *this->members[host];
-    one.heard[other].version = version;
-    one.heard[other].at = this->clock.now();
-    one.intake.heard(kind, name_of(other), version > one.version, prompt, this->clock.now());
-    this->ask_due(host);
+  void handle_digest(std::size_t host, std::size_t other, state_version version, bool immediate) {
+    simulated_host& one = *this->members[host];
+    one.peer_states[other].version = version;
+    one.peer_states[other].at = this->clock.now();
+    one.fetch_scheduler.update_peer(kind, name_of(other), version > one.version, immediate,
+                                    this->clock.now());
+    this->request_due_copies(host);
   }
 
-  void hear_again(std::size_t host) {
-    member& one = *this->members[host];
-    one.intake.renew(kind);
-    for (const auto& [other, word] : one.heard) {
+  void compare_with_peers(std::size_t host) {
+    simulated_host& one = *this->members[host];
+    one.fetch_scheduler.invalidate(kind);
+    for (const auto& [other, word] : one.peer_states) {
       const bool ahead = this->is_recent(word.at) && word.version > one.version;
-      one.intake.heard(kind, name_of(other), ahead, false, this->clock.now());
+      one.fetch_scheduler.update_peer(kind, name_of(other), ahead, false, this->clock.now());
     }
   }
 
-  void take(std::size_t host, state_version version) {
-    member& one = *this->members[host];
+  void apply(std::size_t host, state_version version) {
+    simulated_host& one = *this->members[host];
     if (version > one.version) {
       one.version = version;
-      one.outlet.renew(kind);
-      this->hear_again(host);
+      one.send_limiter.invalidate(kind);
+      this->compare_with_peers(host);
     }
   }
 
-  void ask_due(std::size_t host) {
-    member& one = *this->members[host];
-    const auto from = one.intake.next(kind, one.version == 0, this->clock.now());
+  void request_due_copies(std::size_t host) {
+    simulated_host& one = *this->members[host];
+    const auto from = one.fetch_scheduler.next(kind, one.version == 0, this->clock.now());
     if (!from) {
       return;
     }
     const std::size_t source = this->number_of(*from);
-    this->call(host, source, {message_kind::copy, one.version, false}, copy_limit,
+    this->call(host, source, {message_kind::copy, one.version, false}, copy_timeout,
                [this, host, source](const std::optional<reply>& answer) {
-                 this->take_answer(host, source, answer);
+                 this->handle_answer(host, source, answer);
                });
   }
 
-  void take_answer(std::size_t host, std::size_t source, const std::optional<reply>& answer) {
-    member& one = *this->members[host];
-    one.heard[source].answered = answer ? this->clock.now() : timestamp{};
+  void handle_answer(std::size_t host, std::size_t source, const std::optional<reply>& answer) {
+    simulated_host& one = *this->members[host];
+    one.peer_states[source].answered = answer ? this->clock.now() : timestamp{};
     if (!answer || (!answer->whole && answer->version == 0)) {
-      one.intake.failed(kind, this->clock.now());
+      one.fetch_scheduler.failed(kind, this->clock.now());
       return;
     }
     if (!answer->whole) {
-      one.intake.busy(kind, answer->holders, this->clock.now());
+      one.fetch_scheduler.busy(kind, answer->holders, this->clock.now());
       return;
     }
-    this->take(host, answer->version);
-    one.intake.taken(kind);
-    this->hear_again(host);
-    this->call(host, source, {message_kind::taken, 0, false}, probe_limit,
+    this->apply(host, answer->version);
+    one.fetch_scheduler.taken(kind);
+    this->compare_with_peers(host);
+    this->call(host, source, {message_kind::taken, 0, false}, probe_timeout,
                [](const std::optional<reply>&) {});
-    this->ask_due(host);
+    this->request_due_copies(host);
   }
 
   /// Whether a host last seen at `moment` still counts as live.
-  [[nodiscard]] bool is_recent(timestamp moment) const {
-    return this->clock.now() - moment < this->probe_pause() * 3 + 100ms;
+  [[nodiscard]] bool is_recent(timestamp current_time) const {
+    return this->clock.now() - current_time < this->probe_interval() * 3 + 100ms;
   }
 
-  void broadcast_state(std::size_t host, bool prompt) {
-    for (const auto& [other, word] : this->members[host]->heard) {
+  void broadcast_state(std::size_t host, bool immediate) {
+    for (const auto& [other, word] : this->members[host]->peer_states) {
       if (!this->is_recent(word.at)) {
-        this->members[host]->intake.forget(name_of(other));
+        this->members[host]->fetch_scheduler.forget(name_of(other));
       }
     }
     for (std::size_t other = 0; other < this->plan.hosts; ++other) {
       if (other == host) {
         continue;
       }
-      this->call(host, other, {message_kind::digest, this->members[host]->version, prompt},
-                 probe_limit, [this, host, other](const std::optional<reply>& answer) {
+      this->call(host, other, {message_kind::digest, this->members[host]->version, immediate},
+                 probe_timeout, [this, host, other](const std::optional<reply>& answer) {
                    if (answer) {
-                     this->members[host]->heard[other].answered = this->clock.now();
-                     this->hear(host, other, answer->version, false);
+                     this->members[host]->peer_states[other].answered = this->clock.now();
+                     this->handle_digest(host, other, answer->version, false);
                    }
                  });
     }
   }
 
-  void probe_later(std::size_t host, duration pause) {
+  void schedule_probe(std::size_t host, duration pause) {
     this->clock.at(this->clock.now() + pause, [this, host] {
       this->broadcast_state(host, false);
-      this->probe_later(host, this->probe_pause());
+      this->schedule_probe(host, this->probe_interval());
     });
   }
 
-  void tick_later(std::size_t host, duration pause) {
+  void schedule_tick(std::size_t host, duration pause) {
     this->clock.at(this->clock.now() + pause, [this, host] {
-      this->ask_due(host);
-      this->tick_later(host, tick_pause);
+      this->request_due_copies(host);
+      this->schedule_tick(host, tick_interval);
     });
   }
 
   /// Host 0 reads the store for all.
-  void read_later() {
-    this->clock.at(this->clock.now() + read_pause, [this] {
-      this->take(0, this->store);
+  void schedule_read() {
+    this->clock.at(this->clock.now() + read_interval, [this] {
+      this->apply(0, this->store);
       this->broadcast_state(0, true);
-      this->read_later();
+      this->schedule_read();
     });
   }
 
-  history plan;
+  scenario plan;
   std::mt19937 random;
   virtual_clock clock;
-  std::vector<std::shared_ptr<member>> members;
-  std::vector<timestamp> free_at;
-  std::vector<std::size_t> waiting;
+  std::vector<std::shared_ptr<simulated_host>> members;
+  std::vector<timestamp> link_free_at;
+  std::vector<std::size_t> queued_bytes;
   std::set<std::pair<std::size_t, std::size_t>> cuts;
-  std::map<std::size_t, std::deque<timestamp>> asked_at;
+  std::map<std::size_t, std::deque<timestamp>> request_times;
   state_version store = 0;
   bool faults = false;
 };
@@ -436,7 +437,7 @@
 }  // namespace
 
 TEST_CASE("the newest state reaches every host in time and with few copies, despite faults") {
-  const history rows[] = {
+  const scenario rows[] = {
       {"few hosts", 9, 700'000, 1, 0ms},
       {"the size of a registry", 60, 30'000, 1, 0ms},
       {"an incompressible text", 60, 400'000, 1, 0ms},
@@ -454,22 +455,22 @@
       {"all faults, the largest deployment", 340, 60'000, 4, 1s, 0.02, 0.05, 0.05, 0.05},
   };
   constexpr unsigned seeds = 2;
-  for (const history& item : rows) {
+  for (const scenario& item : rows) {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
       INFO(item.what << ", seed " << seed);
       network all(item, seed);
       all.change();
-      REQUIRE(all.settle(warm_up));
+      REQUIRE(all.time_to_converge(warm_up));
       all.run_with_faults();
       all.change();
-      CHECK(all.settle(spread_limit));
+      CHECK(all.time_to_converge(spread_limit));
       // The first state, each change with faults, and the last change; lost copies are sent again.
       const std::uint64_t states = static_cast<std::uint64_t>(item.changes) + 2;
       CHECK(all.copies <= (item.hosts * states + all.starts) * 3 / 2);
-      CHECK(all.most_waiting <= 3 * item.bytes + 2 * item.hosts * small_message);
-      CHECK(all.most_questions <= 5 * item.hosts);
+      CHECK(all.max_queued_bytes <= 3 * item.bytes + 2 * item.hosts * small_message_bytes);
+      CHECK(all.max_requests_per_second <= 5 * item.hosts);
       // Backoff grows with the number of hosts; without that one host received 1,450 requests.
-      CHECK(all.most_questions <= 600 + item.hosts * 3 / 2);
+      CHECK(all.max_requests_per_second <= 600 + item.hosts * 3 / 2);
     }
   }
 }
--- a/libs/front/test/event_loop_lag_test.cc
+++ b/libs/front/test/event_loop_lag_test.cc
@@ -22,8 +22,8 @@
   struct row {
     const char* what;
     std::vector<duration> passes;
-    duration asked_at;
-    duration late;
+    duration measured_at;
+    duration lag;
   };
   const row rows[] = {
       {"no delay", {25ms, 50ms, 75ms, 100ms}, 100ms, 0ms},
@@ -37,37 +37,37 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    event_loop_lag lateness(at(0ms));
+    event_loop_lag loop_lag(at(0ms));
     for (const duration pass : item.passes) {
-      lateness.pass(at(pass));
+      loop_lag.record_pass(at(pass));
     }
-    CHECK(lateness.total(at(item.asked_at)) == item.late);
+    CHECK(loop_lag.total(at(item.measured_at)) == item.lag);
   }
 }
 
 TEST_CASE("a host that stalls right after its first probes suspects no peer because of it") {
-  event_loop_lag lateness(at(0s));
+  event_loop_lag loop_lag(at(0s));
   std::vector<peer_failure_detector> watches(300, peer_failure_detector(at(0s), 0));
   for (peer_failure_detector& watch : watches) {
-    watch.probe_sent(at(1ms), lateness.total(at(1ms)));
+    watch.record_probe_sent(at(1ms), loop_lag.total(at(1ms)));
   }
   const auto suspects = [&](timestamp now) {
     return std::count_if(watches.begin(), watches.end(), [&](const peer_failure_detector& watch) {
-      return watch.suspected(now, lateness.total(now));
+      return watch.suspected(now, loop_lag.total(now));
     });
   };
-  const duration stands_still = 900ms;
-  CHECK(suspects(at(stands_still)) == 0);
+  const duration stall = 900ms;
+  CHECK(suspects(at(stall)) == 0);
   // The probes time out before the host has read the answers.
   for (peer_failure_detector& watch : watches) {
-    watch.probe_failed(at(1ms), lateness.total(at(stands_still)));
+    watch.record_probe_failed(at(1ms), loop_lag.total(at(stall)));
   }
-  lateness.pass(at(stands_still));
-  CHECK(suspects(at(stands_still)) == 0);
+  loop_lag.record_pass(at(stall));
+  CHECK(suspects(at(stall)) == 0);
   // The loop runs without lag again; peers that do not answer now are suspected.
-  for (duration now = stands_still; now <= stands_still + 300ms; now += 25ms) {
-    lateness.pass(at(now));
+  for (duration now = stall; now <= stall + 300ms; now += 25ms) {
+    loop_lag.record_pass(at(now));
   }
-  watches[0].heard(at(stands_still + 25ms));
-  CHECK(suspects(at(stands_still + 300ms)) == 299);
+  watches[0].record_message(at(stall + 25ms));
+  CHECK(suspects(at(stall + 300ms)) == 299);
 }
--- a/libs/front/test/gossip_messages_test.cc
+++ b/libs/front/test/gossip_messages_test.cc
@@ -92,14 +92,14 @@
 }
 
 TEST_CASE("a copy request with an unknown kind is rejected") {
-  const host_id asker("front-1");
+  const host_id requester("front-1");
   for (const copy_kind kind : all_copy_kinds) {
-    const auto read = copy_request_from(to_bytes(copy_request{kind, asker}));
+    const auto read = copy_request_from(to_bytes(copy_request{kind, requester}));
     REQUIRE(read);
     CHECK(read->kind == kind);
-    CHECK(read->asker == asker);
+    CHECK(read->requester == requester);
   }
   const auto unknown = static_cast<copy_kind>(all_copy_kinds.size());
-  CHECK_FALSE(copy_request_from(to_bytes(copy_request{unknown, asker})));
+  CHECK_FALSE(copy_request_from(to_bytes(copy_request{unknown, requester})));
   CHECK_FALSE(copy_request_from(""));
 }
--- a/libs/front/test/newer_kinds_test.cc
+++ b/libs/front/test/newer_kinds_test.cc
@@ -11,12 +11,12 @@
 
 gossip_digest digest(std::uint64_t configuration, std::uint64_t backends, std::uint64_t hosts,
                      std::uint64_t ledger) {
-  gossip_digest told;
-  told.configuration = config_version(configuration);
-  told.backends_changed_at = store_revision(backends);
-  told.hosts_revision = store_revision(hosts);
-  told.ledger_epoch = set_epoch(ledger);
-  return told;
+  gossip_digest peer_digest;
+  peer_digest.configuration = config_version(configuration);
+  peer_digest.backends_changed_at = store_revision(backends);
+  peer_digest.hosts_revision = store_revision(hosts);
+  peer_digest.ledger_epoch = set_epoch(ledger);
+  return peer_digest;
 }
 
 std::string text_of(const newer_kinds& news) {
@@ -38,7 +38,7 @@
   own.ledger = set_epoch(3);
   struct row {
     const char* what;
-    gossip_digest told;
+    gossip_digest peer_digest;
     const char* fetched;
   };
   const row rows[] = {
@@ -52,7 +52,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    CHECK(text_of(find_newer_kinds(item.told, own)) == item.fetched);
+    CHECK(text_of(find_newer_kinds(item.peer_digest, own)) == item.fetched);
   }
 }
 
--- a/libs/front/test/probe_encoder_test.cc
+++ b/libs/front/test/probe_encoder_test.cc
@@ -45,7 +45,7 @@
     INFO(item.what);
     probe_encoder encoder;
     CHECK(encoder.is_stale());
-    encoder.renew(item.message, at(0ms));
+    encoder.update(item.message, at(0ms));
     REQUIRE_FALSE(encoder.is_stale());
     for (const duration later : {0ms, 25ms, 99ms, 5ms}) {
       probe_message fresh = item.message;
@@ -54,7 +54,7 @@
       }
       CHECK(encoder.encoded(at(later)) == to_bytes(fresh));
     }
-    encoder.expire();
+    encoder.mark_stale();
     CHECK(encoder.is_stale());
   }
 }
--- a/libs/front/test/shutdown_policy_test.cc
+++ b/libs/front/test/shutdown_policy_test.cc
@@ -13,10 +13,10 @@
   struct row {
     std::string name;
     shutdown_policy stop;
-    duration since;
+    duration elapsed;
     std::size_t calls;
-    bool turns_away;
-    bool may_end;
+    bool rejects_calls;
+    bool may_exit;
   };
   const shutdown_policy usual{30s, 2s};
   const shutdown_policy short_grace{5s, 2s};
@@ -30,7 +30,7 @@
            row{"the same, before calls are rejected", short_grace, 1700ms, 0, false, false},
        }) {
     INFO(item.name);
-    CHECK(item.stop.turns_away(item.since) == item.turns_away);
-    CHECK(item.stop.may_end(item.since, item.calls) == item.may_end);
+    CHECK(item.stop.rejects_calls(item.elapsed) == item.rejects_calls);
+    CHECK(item.stop.may_exit(item.elapsed, item.calls) == item.may_exit);
   }
 }
--- a/libs/front/test/suspicion_limits_test.cc
+++ b/libs/front/test/suspicion_limits_test.cc
@@ -31,14 +31,14 @@
     INFO(item.suspects << " suspects");
     suspicion_limits limits;
     const std::set<host_key> suspects = keys_of(item.suspects);
-    std::set<host_key> told;
+    std::set<host_key> named_so_far;
     for (int message = 0; message < item.messages_until_all; ++message) {
-      CHECK(told.size() < suspects.size());
-      const std::vector<host_key> named = limits.to_name(suspects);
+      CHECK(named_so_far.size() < suspects.size());
+      const std::vector<host_key> named = limits.select_to_name(suspects);
       CHECK(named.size() == item.named);
-      told.insert(named.begin(), named.end());
+      named_so_far.insert(named.begin(), named.end());
     }
-    CHECK(told == suspects);
+    CHECK(named_so_far == suspects);
   }
 }
 
@@ -52,21 +52,21 @@
 
 TEST_CASE("a probe round probes a limited number of reported hosts, and all of them in turn") {
   suspicion_limits limits;
-  const std::set<host_key> doubted = keys_of(30);
+  const std::set<host_key> confirmation_due = keys_of(30);
   std::map<host_key, int> probed;
-  for (int look = 0; look < 5; ++look) {
-    const auto chosen = limits.to_probe(doubted);
-    CHECK(chosen.size() == suspicion_limits::most_probes);
-    CHECK_FALSE(limits.admit_probe());
+  for (int round = 0; round < 5; ++round) {
+    const auto chosen = limits.select_to_probe(confirmation_due);
+    CHECK(chosen.size() == suspicion_limits::max_probes_per_round);
+    CHECK_FALSE(limits.admit_reported_probe());
     for (const host_key host : chosen) {
       ++probed[host];
     }
   }
-  for (const host_key host : doubted) {
+  for (const host_key host : confirmation_due) {
     CHECK(probed[host] == 2);
   }
   // Probes left over in a round may go to hosts that are reported before the next round.
-  CHECK(limits.to_probe(keys_of(11)).size() == 11);
-  CHECK(limits.admit_probe());
-  CHECK_FALSE(limits.admit_probe());
+  CHECK(limits.select_to_probe(keys_of(11)).size() == 11);
+  CHECK(limits.admit_reported_probe());
+  CHECK_FALSE(limits.admit_reported_probe());
 }
