--- a/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
+++ b/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
@@ -22,18 +22,18 @@
   /// of the host that read the store is about to arrive.
   static constexpr duration request_delay = std::chrono::milliseconds(120);
   /// Backoff after a peer refuses because it is busy; doubles with each further refusal, up to
-  /// `longest_busy_pause`. 60 hosts that all ask one host every 40 ms would send it 1,500 requests
-  /// a second, about what an eighth of a core can answer. Above `crowded_hosts` hosts both limits
-  /// grow with the number of hosts, since all of them ask the host that reads the store. If they
-  /// grew from 60 hosts on, hosts that are cut off from a third of the others would wait too long
-  /// for one that they reach.
+  /// `max_busy_backoff`. 60 hosts that all ask one host every 40 ms would send it 1,500 requests
+  /// a second, about what an eighth of a core can answer. Above `backoff_scaling_hosts` hosts both
+  /// limits grow with the number of hosts, since all of them ask the host that reads the store. If
+  /// they grew from 60 hosts on, hosts that are cut off from a third of the others would wait too
+  /// long for one that they reach.
   static constexpr duration busy_backoff = std::chrono::milliseconds(60);
   static constexpr duration max_busy_backoff = std::chrono::milliseconds(240);
   static constexpr std::size_t backoff_scaling_hosts = 120;
   /// Delay between a refusal and the next request to any peer.
   static constexpr duration refusal_delay = std::chrono::milliseconds(20);
   /// Backoff after a peer does not answer; other peers are asked meanwhile. Four times as long
-  /// after each further failure, up to `longest_failed_pause`. A request to an unreachable peer
+  /// after each further failure, up to `max_failure_backoff`. A request to an unreachable peer
   /// costs a second. When such a peer was eligible again for every second choice, 60 hosts with a
   /// fifth of all pairs cut needed 3.1 to 4.2 s for one change.
   static constexpr duration failure_backoff = std::chrono::milliseconds(500);
@@ -48,8 +48,8 @@
 
   /// Sets the number of hosts that may ask the same peer, including this host.
   void set_host_count(std::size_t count) { this->hosts = count; }
-  /// Records whether peer `from` has newer state of a kind. `prompt`: `from` may be the only host
-  /// that has it, so it is asked without delay.
+  /// Records whether peer `from` has newer state of a kind. `immediate`: `from` may be the only
+  /// host that has it, so it is asked without delay.
   void update_peer(copy_kind kind, const host_id& from, bool ahead, bool immediate, timestamp now);
   /// Chooses the peer to ask now and records the request. `urgent`: this host cannot serve without
   /// the state, so it does not wait. A peer that does not answer this host is asked only when no
--- a/libs/front/include/hawthornlane/front/copy_send_limiter.h
+++ b/libs/front/include/hawthornlane/front/copy_send_limiter.h
@@ -46,9 +46,9 @@
     bool is_newest = true;
   };
   struct send_state {
-    /// By receiver. Invariant: at most `least_at_once`, or `burst_bytes` together.
+    /// By receiver. Invariant: at most `min_concurrent_copies`, or `max_burst_bytes` together.
     std::map<host_id, copy_in_flight> in_flight;
-    /// Most recent first. Invariant: at most `most_holders`, each once.
+    /// Most recent first. Invariant: at most `max_holders`, each once.
     std::deque<host_id> holders;
   };
 
--- a/libs/front/include/hawthornlane/front/fleet_copies.h
+++ b/libs/front/include/hawthornlane/front/fleet_copies.h
@@ -28,8 +28,8 @@
 
   /// Applies a received copy to this host's state; false when the bytes are malformed.
   bool apply(const host_id& from, copy_kind kind, const std::string& copy);
-  /// This host's state of one kind, encoded once and cached until `renew`; `nullopt` when it has
-  /// none.
+  /// This host's state of one kind, encoded once and cached until `invalidate`; `nullopt` when it
+  /// has none.
   const std::optional<std::string>& ready(copy_kind kind);
   /// Discards the cached copy because this host's state of that kind has changed.
   void invalidate(copy_kind kind) { this->cached[kind].reset(); }
--- a/libs/front/include/hawthornlane/front/newer_kinds.h
+++ b/libs/front/include/hawthornlane/front/newer_kinds.h
@@ -44,14 +44,14 @@
 };
 
 inline newer_kinds find_newer_kinds(const gossip_digest& digest, const known_versions& own) {
-  newer_kinds news;
-  news.configuration = digest.configuration.get() != 0 &&
-                       (!own.configuration || digest.configuration > *own.configuration);
-  news.backends = digest.backends_changed_at > own.backends_changed_at;
-  news.hosts = digest.hosts_revision > own.hosts_revision;
-  news.ledger =
+  newer_kinds newer;
+  newer.configuration = digest.configuration.get() != 0 &&
+                        (!own.configuration || digest.configuration > *own.configuration);
+  newer.backends = digest.backends_changed_at > own.backends_changed_at;
+  newer.hosts = digest.hosts_revision > own.hosts_revision;
+  newer.ledger =
       digest.ledger_epoch.get() != 0 && (!own.ledger || digest.ledger_epoch > *own.ledger);
-  return news;
+  return newer;
 }
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/peer_failure_detector.h
+++ b/libs/front/include/hawthornlane/front/peer_failure_detector.h
@@ -35,17 +35,18 @@
   /// Records that a message of the peer has arrived.
   void record_message(timestamp now);
   void record_probe_received(timestamp now);
-  /// `late`: total lag of this host's event loop so far.
+  /// `lag`: total lag of this host's event loop so far.
   void record_probe_sent(timestamp now, duration lag = {});
   void record_probe_answered(timestamp sent);
-  /// `late_meanwhile`: lag of the event loop while the probe was in flight.
+  /// `lag_in_flight`: lag of the event loop while the probe was in flight.
   void record_probe_failed(timestamp sent, duration lag_in_flight = {});
   /// Records that `other` suspects this peer.
   void record_suspicion(const host_id& other, timestamp now);
 
   /// Whether an own probe has failed or has been unanswered for long, with no message of the peer
   /// since. A suspicion is reported to the other hosts, which then probe the peer themselves. Event
-  /// loop lag does not count as waiting, since an answer may be unread; `late` as in `probe_sent`.
+  /// loop lag does not count as waiting, since an answer may be unread; `lag` as in
+  /// `record_probe_sent`.
   [[nodiscard]] bool suspected(timestamp now, duration lag = {}) const;
   /// Whether others suspect the peer and this host has neither received a message of it nor probed
   /// it since.
--- a/libs/front/include/hawthornlane/front/peer_gossip.h
+++ b/libs/front/include/hawthornlane/front/peer_gossip.h
@@ -69,7 +69,7 @@
   void broadcast_state();
 
   /// Sends a request to a disk host through a peer that reaches disk hosts.
-  void relay(const relayed_request& question, duration timeout, net::rpc_done done);
+  void relay(const relayed_request& relayed, duration timeout, net::rpc_done done);
   /// This host's index among the live front hosts, ordered by name.
   [[nodiscard]] std::size_t rank() const;
   /// Entries of the live peers that are ready and not leaving.
@@ -112,7 +112,8 @@
   /// Whether a peer has answered a request of this host within the silence timeout. A live peer
   /// may be unreachable in this direction only.
   [[nodiscard]] bool reaches(const host_id& other) const;
-  /// Compares the peers' versions again once this host's own state has changed.
+  /// Discards cached copies and compares versions with the peers again if this host's state has
+  /// changed.
   void detect_state_changes();
   void compare_with_peers(copy_kind kind);
   /// Requests the copies that are due.
@@ -129,11 +130,11 @@
   gossip_hooks hooks;
   std::map<host_id, std::shared_ptr<peer>> peers;
   timestamp next_probe_round{};
-  /// Invariant: cached copies are of the versions in `last_known`.
+  /// Invariant: cached copies are of the versions in `last_versions`.
   fleet_copies copies;
   suspicion_limits limits;
   event_loop_lag loop_lag;
-  /// Invariant: expires at each probe round and with each change of `last_known`.
+  /// Invariant: expires at each probe round and with each change of `last_versions`.
   probe_encoder encoder;
   known_versions last_versions;
   copy_fetch_scheduler fetch_scheduler;
--- a/libs/front/include/hawthornlane/front/probe_encoder.h
+++ b/libs/front/include/hawthornlane/front/probe_encoder.h
@@ -26,7 +26,7 @@
   std::string bytes;
   /// Offset of the age of the newest read. Invariant: 8 bytes within `bytes`, unless stale.
   std::size_t age_offset = 0;
-  /// Time of the newest read; valid only if `has_checked`.
+  /// Time of the newest read; valid only if `has_read`.
   timestamp read_at{};
   bool has_read = false;
 };
--- a/libs/front/include/hawthornlane/front/shutdown_policy.h
+++ b/libs/front/include/hawthornlane/front/shutdown_policy.h
@@ -8,7 +8,7 @@
 
 namespace hawthornlane::front {
 
-/// Rules of a planned stop. Parameter `since`: time since the stop began.
+/// Rules of a planned stop. Parameter `elapsed`: time since the stop began.
 struct shutdown_policy {
   /// Time from the beginning of the stop until the process is killed.
   duration grace{};
--- a/libs/front/include/hawthornlane/front/suspicion_limits.h
+++ b/libs/front/include/hawthornlane/front/suspicion_limits.h
@@ -17,7 +17,7 @@
 /// Selects a few hosts of a set at a time, round robin.
 class host_round_robin {
 public:
-  /// At most `most` hosts of `all`, starting after the last one selected before.
+  /// At most `max_count` hosts of `all`, starting after the last one selected before.
   [[nodiscard]] std::vector<host_key> next(const std::set<host_key>& all, std::size_t max_count);
 
 private:
@@ -46,7 +46,7 @@
 private:
   host_round_robin naming_rotation;
   host_round_robin probe_rotation;
-  /// Probes of the current round. Invariant: at most `most_probes`.
+  /// Probes of the current round. Invariant: at most `max_probes_per_round`.
   std::size_t probes_in_round = 0;
 };
 
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -67,17 +67,17 @@
         sweeper(io),
         codec(platform_adapter::make_call_codec()),
         store(settings.store),
-        checks(settings.host, discovery::scheduler_now()),
+        read_schedule(settings.host, discovery::scheduler_now()),
         backends(io, sweeper, codec),
         ledger(io, sweeper, fleet, settings.zone, settings.memory_mb * cache_bytes_per_mb),
         placer(io, settings.host, settings.zone, fleet, metrics, rules_for(settings)),
         quotas(io, make_quota_hooks()),
         calls(fleet, placer, backends, codec, quotas, ledger, metrics),
-        gossip(io, sweeper, fleet, checks, make_gossip_hooks()),
+        gossip(io, sweeper, fleet, read_schedule, make_gossip_hooks()),
         exchange(io, settings.host, make_exchange_hooks()),
         places(io, settings.host, exchange.entries(), metrics, make_place_hooks()),
         acceptor(io),
-        reader({io, settings.host, store, fleet, checks, ledger, gossip, faults}),
+        reader({io, settings.host, store, fleet, read_schedule, ledger, gossip, faults}),
         report(make_report_sources()) {
     this->placer.set_directory_exchange(this->exchange);
     if (this->settings.claims_places) {
@@ -92,7 +92,7 @@
   relay::call_codec codec;
   platform_adapter::store_client store;
   discovery::fleet_state fleet;
-  store_read_schedule checks;
+  store_read_schedule read_schedule;
   peer_traffic traffic;
   call_metrics metrics;
   relay::backend_pool backends;
@@ -138,8 +138,8 @@
     hooks.decode_configuration = unpack_configuration;
     hooks.ledger = [this] { return this->ledger.current(); };
     hooks.may_send_copy = [this] {
-      const std::size_t most = this->settings.memory_mb * bytes_per_mb / peer_answers_share;
-      return this->peers->waiting_bytes() < most;
+      const std::size_t max_bytes = this->settings.memory_mb * bytes_per_mb / peer_answers_share;
+      return this->peers->waiting_bytes() < max_bytes;
     };
     hooks.apply_ledger_set = [this](const ledger_set& set, const host_id& from) {
       this->ledger.adopt_ledger_set(set, from.get());
@@ -209,9 +209,9 @@
     own.disks_reached = this->ledger.reached();
     own.ledger_epoch = this->ledger.current() ? this->ledger.current()->epoch : set_epoch(0);
     own.demand = this->placer.demand();
-    if (this->checks.heard()) {
-      own.store_read_by = this->checks.last_reader();
-      own.store_read_age = this->checks.age(discovery::scheduler_now());
+    if (this->read_schedule.heard()) {
+      own.store_read_by = this->read_schedule.last_reader();
+      own.store_read_age = this->read_schedule.age(discovery::scheduler_now());
     }
     return own;
   }
--- a/libs/front/src/peer_failure_detector.cc
+++ b/libs/front/src/peer_failure_detector.cc
@@ -12,7 +12,7 @@
 /// only failed probes raise a suspicion, after 2.1 s (failure_detection_test).
 constexpr duration suspicion_delay = std::chrono::milliseconds(200);
 /// A probe that fails while this host's event loop lagged by more than this proves nothing: of the
-/// 0.5 s probe timeout, less than `long_unanswered` was left for the answer.
+/// 0.5 s probe timeout, less than `suspicion_delay` was left for the answer.
 constexpr duration max_lag = std::chrono::milliseconds(300);
 /// A peer that has sent a message within this time is not probed on a report of others: the probe
 /// that they wait for is older.
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -14,7 +14,7 @@
 
 using steady = std::chrono::steady_clock;
 
-/// Probe interval of a pair of hosts: at least the first, and the second for each peer. The cost
+/// Probe interval of a pair of hosts: the larger of a minimum and a fixed time per peer. The cost
 /// of probing grows with the number of peers, so the interval grows with it.
 constexpr std::chrono::milliseconds min_probe_interval{400};
 constexpr std::chrono::milliseconds probe_interval_per_peer{16};
@@ -261,10 +261,10 @@
                                     discovery::scheduler_now() - digest.store_read_age);
   }
   this->detect_state_changes();
-  const newer_kinds news = find_newer_kinds(digest, this->last_versions);
+  const newer_kinds newer = find_newer_kinds(digest, this->last_versions);
   const bool from_store_reader = digest.store_read_age < recent_read_age;
   for (const copy_kind kind : all_copy_kinds) {
-    this->fetch_scheduler.update_peer(kind, other.entry.name, news.contains(kind),
+    this->fetch_scheduler.update_peer(kind, other.entry.name, newer.contains(kind),
                                       from_store_reader, discovery::scheduler_now());
   }
   this->request_due_copies();
@@ -331,7 +331,7 @@
   return own;
 }
 
-void peer_gossip::relay(const relayed_request& question, duration timeout, net::rpc_done done) {
+void peer_gossip::relay(const relayed_request& relayed, duration timeout, net::rpc_done done) {
   std::vector<relay_candidate> candidates;
   for (const auto& [name, other] : this->peers) {
     if (this->is_alive(*other)) {
@@ -344,7 +344,7 @@
     done(net::rpc_failure::unreachable, {});
     return;
   }
-  this->call(*this->peers.at(*chosen), gossip_method::relay, to_bytes(question), timeout,
+  this->call(*this->peers.at(*chosen), gossip_method::relay, to_bytes(relayed), timeout,
              std::move(done));
 }
 
--- a/libs/front/test/copy_propagation_test.cc
+++ b/libs/front/test/copy_propagation_test.cc
@@ -55,7 +55,7 @@
 /// Event queue in virtual time.
 class virtual_clock {
 public:
-  [[nodiscard]] timestamp now() const { return this->current_time; }
+  [[nodiscard]] timestamp now() const { return this->moment; }
   void at(timestamp when, std::function<void()> what) {
     this->events.push({when, this->next++, std::move(what)});
   }
@@ -63,10 +63,10 @@
     while (!this->events.empty() && this->events.top().when <= end) {
       const event first = this->events.top();
       this->events.pop();
-      this->current_time = first.when;
+      this->moment = first.when;
       first.what();
     }
-    this->current_time = end;
+    this->moment = end;
   }
 
 private:
@@ -80,7 +80,7 @@
   };
   std::priority_queue<event> events;
   std::uint64_t next = 0;
-  timestamp current_time{1h};
+  timestamp moment{1h};
 };
 
 /// Kinds of messages between hosts; a `digest` is answered with the digest of the receiver.
@@ -134,7 +134,7 @@
 
 class network {
 public:
-  network(const scenario& told, unsigned seed) : plan(told), random(seed) {
+  network(const scenario& input, unsigned seed) : plan(input), random(seed) {
     this->members.resize(this->plan.hosts);
     this->link_free_at.resize(this->plan.hosts);
     this->queued_bytes.resize(this->plan.hosts);
@@ -187,12 +187,12 @@
   std::size_t max_requests_per_second = 0;
 
 private:
-  static inline const std::string name_start = "front-";
+  static inline const std::string name_prefix = "front-";
   using done_hook = std::function<void(const std::optional<reply>&)>;
 
-  static host_id name_of(std::size_t host) { return host_id(name_start + std::to_string(host)); }
+  static host_id name_of(std::size_t host) { return host_id(name_prefix + std::to_string(host)); }
   static std::size_t number_of(const host_id& name) {
-    return std::stoul(name.get().substr(name_start.size()));
+    return std::stoul(name.get().substr(name_prefix.size()));
   }
   bool happens(double chance) {
     return std::uniform_real_distribution<>(0, 1)(this->random) < chance;
@@ -247,20 +247,22 @@
   void send(std::size_t from, std::size_t to, std::size_t bytes, std::function<void()> arrives) {
     const bool lost =
         this->cuts.contains({from, to}) || (this->faults && this->happens(this->plan.loss));
-    const duration takes(static_cast<std::int64_t>(static_cast<double>(bytes) / link_bytes_per_us));
-    timestamp& free = this->link_free_at[from];
-    free = std::max(free, this->clock.now()) + takes;
+    const duration transmission_time(
+        static_cast<std::int64_t>(static_cast<double>(bytes) / link_bytes_per_us));
+    timestamp& free_at = this->link_free_at[from];
+    free_at = std::max(free_at, this->clock.now()) + transmission_time;
     this->queued_bytes[from] += bytes;
     this->max_queued_bytes = std::max(this->max_queued_bytes, this->queued_bytes[from]);
-    this->clock.at(free, [this, from, bytes] { this->queued_bytes[from] -= bytes; });
+    this->clock.at(free_at, [this, from, bytes] { this->queued_bytes[from] -= bytes; });
     if (!lost) {
-      this->clock.at(free + link_delay, std::move(arrives));
+      this->clock.at(free_at + link_delay, std::move(arrives));
     }
   }
 
   /// Calls `done` once: with the answer, or with `nullopt` at the timeout; never when the caller
   /// has restarted.
-  void call(std::size_t from, std::size_t to, const message& told, duration limit, done_hook done) {
+  void call(std::size_t from, std::size_t to, const message& input, duration limit,
+            done_hook done) {
     const auto open = std::make_shared<done_hook>(std::move(done));
     const auto finish =
         [open, caller = std::weak_ptr(this->members[from])](const std::optional<reply>& answer) {
@@ -271,23 +273,23 @@
         };
     this->clock.at(this->clock.now() + limit, [finish] { finish(std::nullopt); });
     this->send(from, to, small_message_bytes,
-               [this, from, to, told, finish, asked = std::weak_ptr(this->members[to])] {
-                 if (asked.expired()) {
+               [this, from, to, input, finish, receiver = std::weak_ptr(this->members[to])] {
+                 if (receiver.expired()) {
                    return;
                  }
-                 const reply answer = this->serve(from, to, told);
+                 const reply answer = this->serve(from, to, input);
                  this->send(to, from, answer.whole ? this->plan.bytes : small_message_bytes,
                             [finish, answer] { finish(answer); });
                });
   }
 
-  reply serve(std::size_t from, std::size_t to, const message& told) {
+  reply serve(std::size_t from, std::size_t to, const message& input) {
     simulated_host& one = *this->members[to];
     reply answer;
     answer.version = one.version;
-    switch (told.what) {
+    switch (input.what) {
       case message_kind::digest:
-        this->handle_digest(to, from, told.version, told.immediate);
+        this->handle_digest(to, from, input.version, input.immediate);
         break;
       case message_kind::copy:
         this->count_request(to);
@@ -375,8 +377,8 @@
   }
 
   /// Whether a host last seen at `moment` still counts as live.
-  [[nodiscard]] bool is_recent(timestamp current_time) const {
-    return this->clock.now() - current_time < this->probe_interval() * 3 + 100ms;
+  [[nodiscard]] bool is_recent(timestamp moment) const {
+    return this->clock.now() - moment < this->probe_interval() * 3 + 100ms;
   }
 
   void broadcast_state(std::size_t host, bool immediate) {
@@ -399,15 +401,15 @@
     }
   }
 
-  void schedule_probe(std::size_t host, duration pause) {
-    this->clock.at(this->clock.now() + pause, [this, host] {
+  void schedule_probe(std::size_t host, duration delay) {
+    this->clock.at(this->clock.now() + delay, [this, host] {
       this->broadcast_state(host, false);
       this->schedule_probe(host, this->probe_interval());
     });
   }
 
-  void schedule_tick(std::size_t host, duration pause) {
-    this->clock.at(this->clock.now() + pause, [this, host] {
+  void schedule_tick(std::size_t host, duration delay) {
+    this->clock.at(this->clock.now() + delay, [this, host] {
       this->request_due_copies(host);
       this->schedule_tick(host, tick_interval);
     });
--- a/libs/front/test/newer_kinds_test.cc
+++ b/libs/front/test/newer_kinds_test.cc
@@ -19,12 +19,12 @@
   return peer_digest;
 }
 
-std::string text_of(const newer_kinds& news) {
+std::string text_of(const newer_kinds& newer) {
   std::string text;
-  text += news.configuration ? 'c' : '-';
-  text += news.backends ? 'b' : '-';
-  text += news.hosts ? 'h' : '-';
-  text += news.ledger ? 'l' : '-';
+  text += newer.configuration ? 'c' : '-';
+  text += newer.backends ? 'b' : '-';
+  text += newer.hosts ? 'h' : '-';
+  text += newer.ledger ? 'l' : '-';
   return text;
 }
 
--- a/libs/front/test/probe_schedule_test.cc
+++ b/libs/front/test/probe_schedule_test.cc
@@ -48,8 +48,8 @@
   return now - times.last_sent >= probe_interval;
 }
 
-/// Simulates two hosts, of which the second one starts `later`; `arrives` decides whether a message
-/// from host `from` arrives.
+/// Simulates two hosts, of which the second one starts `start_delay` later; `arrives` decides
+/// whether a message of host `from` arrives.
 pair_result simulate(duration start_delay, duration length,
                      const std::function<bool(int from)>& arrives,
                      const probe_rule& is_due = by_turns) {
