--- a/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
+++ b/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
@@ -26,7 +26,7 @@
   /// a second, about what an eighth of a core can answer. Above `backoff_scaling_hosts` hosts both
   /// limits grow with the number of hosts, since all of them ask the host that reads the store. If
   /// they grew from 60 hosts on, hosts that are cut off from a third of the others would wait too
-  /// long for one that they reach.
+  /// long for one that reaches them.
   static constexpr duration busy_backoff = std::chrono::milliseconds(60);
   static constexpr duration max_busy_backoff = std::chrono::milliseconds(240);
   static constexpr std::size_t backoff_scaling_hosts = 120;
--- a/libs/front/test/failure_detection_test.cc
+++ b/libs/front/test/failure_detection_test.cc
@@ -37,7 +37,7 @@
 struct fleet_result {
   /// Time from the failures until every live host has detected all of them; at most 20 s.
   duration detected_after{};
-  /// Number of times a live host was declared failed.
+  /// How often a live host was seen as failed, summed over hosts and time steps.
   int false_detections = 0;
   /// Probes per host and second while no host has failed.
   double probes = 0;
--- a/libs/front/test/peer_failure_detector_test.cc
+++ b/libs/front/test/peer_failure_detector_test.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a peer fails only by a failed probe that two others confirm, or by silence") {
+TEST_CASE("a peer counts as failed only by a failed probe that two others confirm, or by silence") {
   struct row {
     const char* what;
     std::vector<event> events;
--- a/libs/front/test/probe_encoder_test.cc
+++ b/libs/front/test/probe_encoder_test.cc
@@ -26,8 +26,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a cached message differs from a fresh one in nothing, including the age of the store read") {
+TEST_CASE("a cached message equals a fresh one, including the age of the newest store read") {
   const host_id nobody;
   const host_id reader("front-2");
   struct row {
