--- a/libs/front/include/hawthornlane/front/newer_kinds.h
+++ b/libs/front/include/hawthornlane/front/newer_kinds.h
@@ -1,4 +1,4 @@
-// What another host knows that this one does not. No I/O.
+// Which kinds of state a peer has in a newer version. No I/O.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,9 @@
 
 namespace hawthornlane::front {
 
-/// How far a host's knowledge of each kind goes.
+/// Version of each kind of state that a host has.
 struct known_versions {
-  /// Nothing: none yet.
+  /// `nullopt`: no configuration yet.
   std::optional<config_version> configuration;
   store_revision backends_changed_at;
   store_revision hosts_revision;
@@ -19,16 +19,16 @@
   friend bool operator==(const known_versions&, const known_versions&) = default;
 };
 
-/// The kinds of which another host has something newer. Only these are fetched from it:
-/// when all four were, a change of one server's entry had 56 hosts fetch 30 KB each from a
-/// host with a link of 30 Mbit/s, which was deaf for 0.4 s and cut off a call.
+/// The kinds of state of which a peer has a newer version. Only these are fetched. When all four
+/// were fetched, a change of one server entry made 56 hosts fetch 30 KB each from one host with a
+/// link of 30 Mbit/s; that host did not respond for 0.4 s and a call was cut off.
 struct newer_kinds {
   bool configuration = false;
   bool backends = false;
   bool hosts = false;
   bool ledger = false;
 
-  [[nodiscard]] bool of(copy_kind kind) const {
+  [[nodiscard]] bool contains(copy_kind kind) const {
     switch (kind) {
       case copy_kind::configuration:
         return this->configuration;
@@ -44,14 +44,14 @@
 };
 
 inline newer_kinds find_newer_kinds(const gossip_digest& digest, const known_versions& own) {
-  newer_kinds news;
-  news.configuration = digest.configuration.get() != 0 &&
-                       (!own.configuration || digest.configuration > *own.configuration);
-  news.backends = digest.backends_changed_at > own.backends_changed_at;
-  news.hosts = digest.hosts_revision > own.hosts_revision;
-  news.ledger =
+  newer_kinds newer;
+  newer.configuration = digest.configuration.get() != 0 &&
+                        (!own.configuration || digest.configuration > *own.configuration);
+  newer.backends = digest.backends_changed_at > own.backends_changed_at;
+  newer.hosts = digest.hosts_revision > own.hosts_revision;
+  newer.ledger =
       digest.ledger_epoch.get() != 0 && (!own.ledger || digest.ledger_epoch > *own.ledger);
-  return news;
+  return newer;
 }
 
 }  // namespace hawthornlane::front
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -1,4 +1,4 @@
-// A front host: its listeners, its beliefs and its planned stop.
+// A front host: its listeners, its state and its planned stop.
 #include "hawthornlane/front/front_host.h"
 
 #include <algorithm>
@@ -32,22 +32,23 @@
 namespace {
 
 constexpr std::size_t bytes_per_mb = std::size_t{1024} * 1024;
-/// Whole turns are kept in an eighth of the process's memory; the rest is for calls
-/// under way, of which the heaviest day needs 12 MB.
+/// The cache of complete turns may use an eighth of the process's memory; the rest is for calls in
+/// flight, which need 12 MB on the heaviest day.
 constexpr std::size_t cache_bytes_per_mb = bytes_per_mb / 8;
-/// Answers to other hosts that wait for the link may take a thirty-second of the memory
-/// before whole copies are refused: 2.75 MB of 88, which 30 Mbit/s send in 0.7 s.
+/// Divisor of the memory: when the answers queued for other hosts take more than this share, state
+/// copies are refused. 2.75 MB of 88 MB, which a link of 30 Mbit/s sends in 0.7 s.
 constexpr std::size_t peer_answers_share = 32;
-/// All that waits for other hosts, relayed answers of disk hosts included.
+/// Divisor of the memory: limit of everything queued for other hosts, including relayed answers of
+/// disk hosts.
 constexpr std::size_t peer_queue_share = 8;
-/// A caller's connection attempts in a burst; more are sent again by their kernels.
+/// Connection attempts of callers in a burst; the callers' kernels retry further ones.
 constexpr int accept_backlog = 1024;
-/// Between two divisions of scarce places; a call at a model server takes 0.2 s.
-constexpr auto sharing_pause = std::chrono::milliseconds(100);
-/// Between two tellings of this host's loads; a third of their lifetime.
-constexpr auto renewal_pause = std::chrono::seconds(1);
-/// Between two sweeps over idle connections to servers.
-constexpr auto idle_pause = std::chrono::seconds(1);
+/// Interval at which scarce places are divided among hosts; a call at a model server takes 0.2 s.
+constexpr auto demand_update_interval = std::chrono::milliseconds(100);
+/// Interval at which this host reports its loads; a third of their lifetime.
+constexpr auto load_report_interval = std::chrono::seconds(1);
+/// Interval at which idle connections to servers are closed.
+constexpr auto idle_sweep_interval = std::chrono::seconds(1);
 
 pool_rules rules_for(const front_settings& settings) {
   pool_rules rules;
@@ -66,18 +67,18 @@
         sweeper(io),
         codec(platform_adapter::make_call_codec()),
         store(settings.store),
-        checks(settings.host, discovery::scheduler_now()),
+        read_schedule(settings.host, discovery::scheduler_now()),
         backends(io, sweeper, codec),
         ledger(io, sweeper, fleet, settings.zone, settings.memory_mb * cache_bytes_per_mb),
         placer(io, settings.host, settings.zone, fleet, metrics, rules_for(settings)),
         quotas(io, make_quota_hooks()),
         calls(fleet, placer, backends, codec, quotas, ledger, metrics),
-        gossip(io, sweeper, fleet, checks, make_gossip_hooks()),
+        gossip(io, sweeper, fleet, read_schedule, make_gossip_hooks()),
         exchange(io, settings.host, make_exchange_hooks()),
         places(io, settings.host, exchange.entries(), metrics, make_place_hooks()),
         acceptor(io),
-        reader({io, settings.host, store, fleet, checks, ledger, gossip, faults}),
-        report(report_of()) {
+        reader({io, settings.host, store, fleet, read_schedule, ledger, gossip, faults}),
+        report(make_report_sources()) {
     this->placer.set_directory_exchange(this->exchange);
     if (this->settings.claims_places) {
       this->placer.set_place_exchange(this->places);
@@ -91,7 +92,7 @@
   relay::call_codec codec;
   platform_adapter::store_client store;
   discovery::fleet_state fleet;
-  store_read_schedule checks;
+  store_read_schedule read_schedule;
   peer_traffic traffic;
   call_metrics metrics;
   relay::backend_pool backends;
@@ -104,19 +105,19 @@
   place_exchange places;
   tcp::acceptor acceptor;
   std::unique_ptr<net::rpc_server> peers;
-  std::vector<std::unique_ptr<http::server>> small_servers;
+  std::vector<std::unique_ptr<http::server>> auxiliary_servers;
   host_entry self;
   discovery::object_faults faults;
   store_reader reader;
   bool leaving = false;
-  net::steady_time leaving_since{};
+  net::steady_time stop_began{};
   net::steady_time next_idle_sweep{};
-  net::steady_time next_sharing{};
-  net::steady_time next_renewal{};
+  net::steady_time next_demand_update{};
+  net::steady_time next_load_report{};
   std::size_t connections = 0;
   host_report report;
 
-  report_sources report_of() {
+  report_sources make_report_sources() {
     return {.metrics = this->metrics,
             .store = this->store,
             .faults = this->faults,
@@ -136,9 +137,9 @@
     hooks.self = [this] { return this->digest(); };
     hooks.decode_configuration = unpack_configuration;
     hooks.ledger = [this] { return this->ledger.current(); };
-    hooks.may_give_copy = [this] {
-      const std::size_t most = this->settings.memory_mb * bytes_per_mb / peer_answers_share;
-      return this->peers->waiting_bytes() < most;
+    hooks.may_send_copy = [this] {
+      const std::size_t max_bytes = this->settings.memory_mb * bytes_per_mb / peer_answers_share;
+      return this->peers->waiting_bytes() < max_bytes;
     };
     hooks.apply_ledger_set = [this](const ledger_set& set, const host_id& from) {
       this->ledger.adopt_ledger_set(set, from.get());
@@ -153,9 +154,10 @@
       return set ? set->members : std::vector<disk_id>();
     };
     hooks.reaches = [this](const disk_id& disk) { return this->ledger.reaches(disk); };
-    hooks.ask = [this](const disk_id& disk, std::string payload, duration limit,
+    hooks.ask = [this](const disk_id& disk, std::string payload, duration timeout,
                        net::rpc_done done) {
-      this->ledger.ask_disk(disk, ledger_method::quota, std::move(payload), limit, std::move(done));
+      this->ledger.ask_disk(disk, ledger_method::quota, std::move(payload), timeout,
+                            std::move(done));
     };
     return hooks;
   }
@@ -190,9 +192,10 @@
   }
 
   [[nodiscard]] bool claims_places(gossip_method method) const {
-    const bool of_places = method == gossip_method::claim || method == gossip_method::withdraw ||
-                           method == gossip_method::grant;
-    return this->settings.claims_places && of_places;
+    const bool is_place_method = method == gossip_method::claim ||
+                                 method == gossip_method::withdraw ||
+                                 method == gossip_method::grant;
+    return this->settings.claims_places && is_place_method;
   }
 
   gossip_digest digest() const {
@@ -206,15 +209,15 @@
     own.disks_reached = this->ledger.reached();
     own.ledger_epoch = this->ledger.current() ? this->ledger.current()->epoch : set_epoch(0);
     own.demand = this->placer.demand();
-    if (this->checks.heard()) {
-      own.store_read_by = this->checks.last_reader();
-      own.store_read_age = this->checks.age(discovery::scheduler_now());
+    if (this->read_schedule.heard()) {
+      own.store_read_by = this->read_schedule.last_reader();
+      own.store_read_age = this->read_schedule.age(discovery::scheduler_now());
     }
     return own;
   }
 
   bool ready() const {
-    // Without the set of disks no turn can be served; callers do better elsewhere.
+    // Without the set of disks no turn can be served; other hosts may have it.
     return !this->leaving && this->fleet.table() && this->ledger.current() &&
            !this->fleet.backends().listed().empty();
   }
@@ -231,8 +234,8 @@
     });
     this->ledger.set_traffic(this->traffic);
     this->ledger.set_relay(
-        [this](const relayed_request& question, duration limit, net::rpc_done done) {
-          this->gossip.relay(question, limit, std::move(done));
+        [this](const relayed_request& question, duration timeout, net::rpc_done done) {
+          this->gossip.relay(question, timeout, std::move(done));
         });
     this->listen();
     asio::co_spawn(this->context,
@@ -262,13 +265,13 @@
           reply(this->gossip.serve(method, payload));
         });
     this->peers->limit_waiting_bytes(this->settings.memory_mb * bytes_per_mb / peer_queue_share);
-    this->serve_small(this->settings.ready_at, [this](const http::request& ask) {
+    this->serve_auxiliary(this->settings.ready_at, [this](const http::request& ask) {
       return platform_adapter::state_answer(platform_adapter::is_readiness_check(ask) &&
                                             this->ready());
     });
-    this->serve_small(this->settings.directory_at,
-                      [this](const http::request& ask) { return this->addresses(ask); });
-    this->serve_small(this->settings.metrics_at, [this](const http::request&) {
+    this->serve_auxiliary(this->settings.directory_at,
+                          [this](const http::request& ask) { return this->addresses(ask); });
+    this->serve_auxiliary(this->settings.metrics_at, [this](const http::request&) {
       http::response answer;
       answer.content_type = "text/plain";
       answer.body = this->report.metrics_text();
@@ -281,9 +284,10 @@
     asio::co_spawn(this->context, http::accept_until_closed(this->acceptor, take), asio::detached);
   }
 
-  void serve_small(const http::endpoint& where,
-                   std::function<http::response(const http::request&)> respond) {
-    this->small_servers.push_back(http::serve_answers(this->context, where, std::move(respond)));
+  void serve_auxiliary(const http::endpoint& where,
+                       std::function<http::response(const http::request&)> respond) {
+    this->auxiliary_servers.push_back(
+        http::serve_answers(this->context, where, std::move(respond)));
   }
 
   http::response addresses(const http::request& ask) {
@@ -329,11 +333,12 @@
       }
     }
     if (!caller.gone()) {
-      // Unread bytes would turn the close into a reset that destroys the answer.
+      // Closing with unread bytes would send a reset, which discards the answer.
       socket.shutdown_send();
       std::string rest;
-      constexpr std::size_t drained = std::size_t{64} * 1024;
-      co_await socket.read_more(rest, drained, steady::now() + std::chrono::milliseconds(300));
+      constexpr std::size_t max_drained_bytes = std::size_t{64} * 1024;
+      co_await socket.read_more(rest, max_drained_bytes,
+                                steady::now() + std::chrono::milliseconds(300));
     }
     socket.close();
     --self->connections;
@@ -349,22 +354,22 @@
     this->ledger.tick();
     flush_log();
     const net::steady_time now = steady::now();
-    if (now >= this->next_sharing) {
-      this->next_sharing = now + sharing_pause;
+    if (now >= this->next_demand_update) {
+      this->next_demand_update = now + demand_update_interval;
       this->placer.apply_demand(this->gossip.demand_of_others());
     }
-    if (now >= this->next_renewal) {
-      this->next_renewal = now + renewal_pause;
+    if (now >= this->next_load_report) {
+      this->next_load_report = now + load_report_interval;
       this->placer.report_loads();
     }
     if (now >= this->next_idle_sweep) {
-      this->next_idle_sweep = now + idle_pause;
+      this->next_idle_sweep = now + idle_sweep_interval;
       this->close_idle();
-      this->report.watch_memory();
+      this->report.check_memory();
     }
     this->reader.tick(now, this->shared_from_this());
     if (this->leaving) {
-      this->go_on_leaving(now);
+      this->continue_stop(now);
     }
   }
 
@@ -377,24 +382,24 @@
         [&listed](const http::endpoint& where) { return listed.contains(where); });
   }
 
-  void begin_leaving() {
+  void begin_stop() {
     if (this->leaving) {
       return;
     }
     this->leaving = true;
-    this->leaving_since = steady::now();
+    this->stop_began = steady::now();
     log(event::stopping, {{"calls", std::to_string(this->calls.in_flight())},
                           {"connections", std::to_string(this->connections)}});
     this->gossip.broadcast_state();
   }
 
-  void go_on_leaving(net::steady_time now) {
-    const duration since = std::chrono::duration_cast<duration>(now - this->leaving_since);
+  void continue_stop(net::steady_time now) {
+    const duration elapsed = std::chrono::duration_cast<duration>(now - this->stop_began);
     const shutdown_policy stop{this->settings.grace, this->settings.address_time};
-    if (stop.turns_away(since)) {
+    if (stop.rejects_calls(elapsed)) {
       this->calls.reject_new_calls();
     }
-    if (stop.may_end(since, this->calls.in_flight())) {
+    if (stop.may_exit(elapsed, this->calls.in_flight())) {
       log(event::stopped, {{"calls", std::to_string(this->calls.in_flight())}});
       flush_log();
       this->stopped();
@@ -410,6 +415,6 @@
 
 front_host::~front_host() = default;
 
-void front_host::stop() { this->inner->begin_leaving(); }
+void front_host::stop() { this->inner->begin_stop(); }
 
 }  // namespace hawthornlane::front
