--- a/libs/ownership/include/hawthornlane/ownership/actions.h
+++ b/libs/ownership/include/hawthornlane/ownership/actions.h
@@ -1,4 +1,4 @@
-// What a shard core asks its host to do.
+// Actions that a shard core returns and its host carries out.
 #pragma once
 
 #include <cstdint>
@@ -14,45 +14,45 @@
 
 namespace hawthornlane {
 
-/// Names one call inside one host process.
+/// Identifies a call within one host process.
 using call_id = strong_value<struct call_id_tag, std::uint64_t>;
 
-/// Deliver a message; loss, delay, reordering and duplication are all allowed.
+/// Send a message. It may be lost, delayed, reordered or duplicated.
 struct send_message {
   host_incarnation to;
   shard_message message;
 };
 
-/// Write `desired` to the shard map if the entry still equals `expected`.
+/// Write `desired` to the shard map if the entry still equals `expected` (compare-and-swap).
 struct propose_assignment {
   assignment expected;
   assignment desired;
 };
 
-/// Send the call to its backend server, but not outside the two moments.
+/// Send the call to its backend server, not before `not_before` and not after `send_by`.
 struct dispatch_call {
   call_id call;
   intent_logged intent;
-  /// A new owner lets the sends of the former one pass first.
+  /// After a takeover, a call that the former owner may still be sending goes first.
   timestamp not_before;
-  /// Later than this the send has to be confirmed: `shard_core::may_send`.
+  /// After this time the send needs a new confirmation; see `shard_core::may_send`.
   timestamp send_by;
 };
 
-/// Everything that a caller is told about a call or a program.
+/// The answer to a caller's request about a call or a program.
 struct call_answer {
-  /// Absent: the call's answer is kept and stands in `turn`.
+  /// Absent on success; for a call, `turn` then holds the stored answer.
   std::optional<error_kind> error;
   std::string detail;
   std::optional<finished_turn> turn;
-  /// The ticket for the next call; absent when none can be given.
+  /// The ticket for the next call; absent when none can be issued.
   std::optional<ticket> next;
   /// Digest of the history that `next` continues.
   std::uint64_t digest = 0;
-  /// Hosts that hold the answer, the owner counted.
+  /// Number of hosts that hold the answer, including the owner.
   std::uint32_t copies = 0;
   token_count budget_left{0};
-  /// Whether this is an answer that was kept earlier.
+  /// Whether the answer was stored earlier and is only repeated here.
   bool replayed = false;
 };
 
@@ -62,7 +62,7 @@
   call_answer answer;
 };
 
-/// This host began or stopped to serve the shard; for logs, audit and metrics.
+/// This host's role or its replication of the shard changed; for logs, audit and metrics.
 struct role_changed {
   enum class change : std::uint8_t {
     serving,
@@ -76,7 +76,7 @@
   epoch at;
 };
 
-/// Engine memory that the program holds is to be given back.
+/// Release the engine memory that the program holds.
 struct release_program {
   program_id program;
 };
--- a/libs/ownership/include/hawthornlane/ownership/assignment.h
+++ b/libs/ownership/include/hawthornlane/ownership/assignment.h
@@ -1,4 +1,4 @@
-// Who owns a shard, as the platform's shard map says it.
+// Entries of the platform's shard map: the owner and the replicas of a shard.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 namespace hawthornlane {
 
-/// One entry of the shard map; changed only by conditional update.
+/// One entry of the shard map. It is changed only by conditional update.
 struct assignment {
-  /// Rises by one with each change of owner; 0 means never owned.
+  /// Increases by one with each change of owner. 0: the shard was never owned.
   epoch at;
   host_incarnation owner;
-  /// Hosts that hold the log besides the owner; never names the owner.
+  /// Hosts that hold the log in addition to the owner. Never contains the owner.
   std::vector<host_incarnation> replicas;
-  /// Chosen by the proposer, so that it can recognise its own write.
+  /// Random number of the proposer, which recognises its own write by it.
   std::uint64_t nonce = 0;
 
   friend bool operator==(const assignment&, const assignment&) = default;
@@ -25,11 +25,11 @@
   }
 };
 
-/// What became of a conditional update of the shard map.
+/// Result of a conditional update of the shard map.
 enum class proposal_outcome : std::uint8_t {
   applied,
   rejected,
-  /// The answer was lost: the write may have taken effect, or may do so later.
+  /// The answer was lost: the write may have been applied, or may still be applied later.
   unknown,
 };
 
--- a/libs/ownership/include/hawthornlane/ownership/messages.h
+++ b/libs/ownership/include/hawthornlane/ownership/messages.h
@@ -1,4 +1,4 @@
-// Messages between the hosts of one shard.
+// Messages that the hosts of one shard exchange.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace hawthornlane {
 
-/// A new owner asks a host to refuse everything below `at` and to show its log.
+/// A new owner asks a host to reject all epochs below `at` from now on and to return its log.
 struct seal_request {
   epoch at;
 
@@ -20,13 +20,13 @@
   }
 };
 
-/// A host's copy of a shard's log.
+/// A host's copy of a shard's log, as the state that its records lead to.
 struct held_log {
-  /// Epoch and position of the last record; an owner's log of one epoch begins
-  /// with an installed state at index 1.
+  /// Epoch and position of the last record. The log of each epoch starts at index 1 with
+  /// the state that the owner installs.
   epoch at;
   record_index last;
-  /// The last position that every replica was known to hold.
+  /// The last position that every replica is known to hold.
   record_index full;
   shard_state state;
 
@@ -39,9 +39,9 @@
 /// Answer to `seal_request`.
 struct seal_reply {
   epoch at;
-  /// False when the host has already seen a higher epoch.
+  /// False when the host has seen a higher epoch.
   bool granted = false;
-  /// What the host holds, if it holds anything.
+  /// The host's copy of the log; absent when it has none.
   std::optional<held_log> log;
 
   template <class Archive>
@@ -50,7 +50,7 @@
   }
 };
 
-/// The owner replaces a sealed host's copy by its own.
+/// The owner replaces the log copy of a sealed host by its own.
 struct install_request {
   held_log log;
 
@@ -60,13 +60,13 @@
   }
 };
 
-/// The owner adds one record, or asks for a confirmation when there is none.
+/// The owner appends one record, or asks for a confirmation when `record` is absent.
 struct append_request {
   epoch at;
   record_index index;
   record_index full;
   std::optional<log_record> record;
-  /// Comes back in the answer, so that an owner can tell a fresh confirmation.
+  /// Returned in the reply, so that the owner can tell a new confirmation from an old one.
   std::uint64_t probe = 0;
 
   template <class Archive>
@@ -78,9 +78,9 @@
 /// Answer to `install_request` and `append_request`.
 struct append_reply {
   epoch at;
-  /// Whether the host still follows epoch `at`.
+  /// Whether the host still accepts records of epoch `at`.
   bool accepted = false;
-  /// The last record of epoch `at` that the host holds; 0 when it holds none.
+  /// Position of the last record of epoch `at` that the host holds; 0 when it holds none.
   record_index last;
   /// The highest epoch that the host has seen.
   epoch highest;
@@ -92,7 +92,7 @@
   }
 };
 
-/// A former owner brings the result of a call that it had dispatched.
+/// A former owner forwards the result of a call that it dispatched before it was deposed.
 struct late_result {
   turn_finished result;
 
@@ -102,13 +102,13 @@
   }
 };
 
-/// Answer to `late_result`, sent once the result is kept or cannot be.
+/// Answer to `late_result`, sent when the result is stored or is known not to be storable.
 struct late_result_reply {
   program_id program;
   ticket run_under;
   bool kept = false;
   std::uint32_t copies = 0;
-  /// For the caller's next call, which runs at the new owner.
+  /// Ticket for the caller's next call, which runs at the new owner.
   std::optional<ticket> next;
   std::uint64_t digest = 0;
   token_count budget_left{0};
@@ -120,7 +120,7 @@
   }
 };
 
-/// A leaving owner asks a replica to take the shard over at once.
+/// An owner that is about to stop asks a replica to take the shard over immediately.
 struct hand_over_request {
   epoch at;
 
@@ -130,7 +130,7 @@
   }
 };
 
-/// Everything that one shard's hosts say to each other.
+/// Any message between the hosts of one shard.
 using shard_message = std::variant<seal_request, seal_reply, install_request, append_request,
                                    append_reply, late_result, late_result_reply, hand_over_request>;
 
--- a/libs/ownership/include/hawthornlane/ownership/rules.h
+++ b/libs/ownership/include/hawthornlane/ownership/rules.h
@@ -1,50 +1,51 @@
-// Times of the ownership protocol, and the switches that tests use to take a
-// safety rule out.
+// Timeouts of the ownership protocol, and switches with which tests turn off a safety rule.
 #pragma once
 
 #include "hawthornlane/units/quantities.h"
 
 namespace hawthornlane {
 
-/// Times of the ownership protocol. Safety depends on none of them.
+/// Timeouts of the ownership protocol. Safety depends on none of them.
 struct ownership_times {
-  /// Longest gap between a replica's acknowledgement and the send of a call; a
+  /// Longest time between the replica acknowledgement of an intent and the send of its call. A
   /// new owner waits as long before it continues a program with an open call.
   duration dispatch_gap = std::chrono::milliseconds(500);
-  /// How long a new owner waits for all replicas before it serves with a gap.
+  /// How long a new owner waits for all replicas to be sealed before it serves with an
+  /// incomplete log.
   duration seal_wait = std::chrono::seconds(2);
-  /// How long an intent waits for its first acknowledgement.
+  /// How long an intent waits for its first acknowledgement by a replica.
   duration append_wait = std::chrono::seconds(2);
-  /// A replica silent for longer is not waited for when a result is kept.
+  /// A replica that has not answered for longer does not delay the storing of results.
   duration replica_silence = std::chrono::milliseconds(700);
-  /// When an unanswered message is sent again.
+  /// Time after which an unanswered message is sent again.
   duration resend_after = std::chrono::milliseconds(250);
-  /// How long a former owner tries to bring a result to the new one.
+  /// How long a former owner tries to forward a result to the new one.
   duration late_result_wait = std::chrono::seconds(10);
 };
 
-/// The rules whose absence breaks a promise. All on, except in the tests that
-/// show that the search finds each absence.
+/// Safety rules; without any one of them a guarantee of `shard_core` is broken. All are on, except
+/// in tests which show that the state search and the soak find the violation.
 struct ownership_rules {
-  /// A ticket runs only at the owner of its own epoch.
+  /// A ticket runs only at the owner of the epoch in which it was issued.
   bool ticket_bound_to_epoch = true;
-  /// `not_run` after a takeover needs every replica of the former set sealed.
+  /// After a takeover, `not_run` is answered only when every replica of the former set is sealed.
   bool seal_all_before_not_run = true;
-  /// A log's incompleteness is inherited at the next takeover.
+  /// A log that is incomplete stays incomplete at the next takeover.
   bool inherit_incompleteness = true;
-  /// A replica leaves the set only when those that stay hold every record.
+  /// A replica is removed from the set only when one that stays holds every record.
   bool remove_only_when_others_hold_all = true;
-  /// While a set change is undecided, only replicas in both sets count.
+  /// While a change of the replica set is undecided, only acknowledgements of replicas in both
+  /// sets count.
   bool count_only_common_replicas = true;
-  /// Replicas refuse appends below the highest epoch that they have seen.
+  /// Replicas reject appends of epochs below the highest one that they have seen.
   bool replicas_fence = true;
-  /// Nothing is sent before an intent is acknowledged.
+  /// A call is not sent before its intent is acknowledged by a replica.
   bool intent_before_dispatch = true;
-  /// An intent without a result is charged in full at takeover.
+  /// At a takeover, an intent without a result is charged in full.
   bool charge_open_intents = true;
-  /// A split budget is halved on each side.
+  /// When the network may be partitioned, each side spends at most half of the budget.
   bool halve_budget_when_split = true;
-  /// A refusal `not_run` ends the ticket at its owner.
+  /// An answer `not_run` invalidates the ticket at its owner.
   bool refusal_ends_ticket = true;
 };
 
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -1,4 +1,4 @@
-// One host's part in one shard: log replica, owner, or both in turn.
+// The state machine of one host for one shard, as log replica and as owner.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 
 namespace hawthornlane {
 
-/// A call as its owner has to decide on it.
+/// A caller's request for a call, with all that the owner needs to admit it.
 struct call_request {
   call_id call;
   program_id program;
   client_account account;
   ticket presented;
-  /// Digest of the history that the caller knows; absent skips the check.
+  /// Digest of the history that the caller knows; when absent it is not checked.
   std::optional<std::uint64_t> known_digest;
   bool repeatable = true;
   bool is_tool_call = false;
-  /// The most that the call can use, prompt growth and answer together.
+  /// Upper bound of the tokens that the call uses: growth of the prompt and answer together.
   token_count reserved{0};
   backend_server_id server;
   std::uint64_t request_digest = 0;
@@ -32,28 +32,29 @@
   std::int64_t wall_clock_ms = 0;
 };
 
-/// What an engine or a plain service made of a dispatched call.
+/// How a dispatched call ended at its engine or plain service.
 struct call_result {
   call_id call;
   std::string request;
   std::string answer;
   token_count used{0};
   bool failed = false;
-  /// The backend server's connection broke: nobody knows whether it ran.
+  /// The connection to the backend server broke: the call may or may not have run.
   bool unknown = false;
-  /// The call was certainly not taken by the backend server (refused connection).
+  /// The backend server certainly did not accept the call (refused connection).
   bool never_started = false;
 };
 
-/// One host's view of one shard. No I/O, no clock, no randomness of its own:
-/// every input carries the moment and, where needed, a random number; what is to
-/// be done comes back as actions. A value: copies are independent.
+/// One host's state for one shard. It does no I/O and has no clock and no random source: each
+/// input carries the time and, where needed, a random number, and returns the actions that the
+/// host has to carry out. A value type: copies are independent.
 ///
-/// Promises, whatever is lost, late, doubled or reordered:
+/// Guarantees, also when messages are lost, delayed, duplicated or reordered:
 ///  - a non-repeatable ticket is dispatched at most once over all hosts;
 ///  - after an answer `not_run` its ticket is never dispatched;
 ///  - charged and reserved tokens of a program never exceed its budget;
-///  - answers marked as kept stay in the history as long as a holder survives.
+///  - an answer that was reported as stored stays in the history as long as one host that holds
+///    it survives.
 class shard_core {
 public:
   enum class role_kind : std::uint8_t { follower, claiming, sealing, serving };
@@ -62,19 +63,19 @@
              ownership_rules rules = {});
 
   // The shard map.
-  /// The map's entry as read, watched or heard from a peer.
+  /// Takes in the shard's map entry, as read, watched or received from a peer.
   actions learn(const assignment& entry, timestamp now);
-  /// Tries to become the owner, with these replicas. `random` marks the write.
+  /// Proposes this host as the owner, with these replicas. `random` is the proposal's nonce.
   actions claim(std::vector<host_incarnation> replicas, std::uint64_t random, timestamp now);
-  /// Tries to change the replica set; nothing happens when it would lose records.
+  /// Proposes a new replica set; does nothing when that could lose records.
   actions change_replicas(std::vector<host_incarnation> replicas, std::uint64_t random,
                           timestamp now);
-  /// What became of the proposal; `current` is the entry when it is known.
+  /// Takes in the outcome of the proposal; `current` is the map entry if it is known.
   actions proposal_ended(proposal_outcome outcome, const std::optional<assignment>& current,
                          timestamp now);
-  /// Hands the shard to one of its replicas.
+  /// Asks one of the replicas to take the shard over.
   actions hand_over(const host_incarnation& successor);
-  /// The platform's list says that this process start is gone for good.
+  /// Notes that this incarnation of a host has ended for good, by the platform's list.
   void host_gone(const host_incarnation& host);
 
   // The other hosts of the shard.
@@ -84,27 +85,27 @@
   actions open_program(call_id call, const program_opened& program, std::uint64_t random,
                        timestamp now);
   actions close_program(call_id call, const program_id& program, timestamp now);
-  /// Ends a program whose answers have been kept long enough.
+  /// Drops a closed program after the retention time of its answers.
   actions forget_program(const program_id& program, timestamp now);
-  /// The answer that needs no dispatch, if there is one: replay or refusal.
-  /// `random` makes a fresh ticket where one is due.
+  /// The answer to a call that is not dispatched: a stored answer or a refusal. Nothing when the
+  /// call can begin. `random` is the nonce of a new ticket where one is needed.
   std::optional<call_answer> check_call(const call_request& request, std::uint64_t random);
-  /// Logs the intent of a call that `check_call` let pass.
+  /// Logs the intent of a call that passes `check_call`; answers it otherwise.
   actions begin_call(const call_request& request, std::uint64_t random, timestamp now);
-  /// Refuses a call, ends its ticket and gives a fresh one.
+  /// Refuses a call, invalidates its ticket and issues a new one.
   call_answer refuse_call(const call_request& request, error_kind kind, std::string detail,
                           std::uint64_t random);
-  /// True when the call may be sent now; otherwise a confirmation is under way
-  /// and a new `dispatch_call` follows, or the caller is answered.
+  /// True when the call may be sent now. Otherwise either the call is unknown, or a confirmation
+  /// is requested and a new `dispatch_call` follows, or the caller is answered.
   bool may_send(call_id call, timestamp now, actions& out);
-  /// The dispatched call ended. `random` makes the next ticket.
+  /// Takes in the end of a dispatched call. `random` is the nonce of the next ticket.
   actions finish_call(const call_result& result, std::uint64_t random, timestamp now);
-  /// Stops waiting for replicas that do not answer; resends; gives up calls.
+  /// Sends unanswered messages again and applies the timeouts of `ownership_times`.
   actions tick(timestamp now);
-  /// Serves with a gap now, without waiting for `seal_wait`.
+  /// Starts to serve with the logs found so far, without waiting for `seal_wait`.
   actions stop_waiting_for_seals(timestamp now);
 
-  // Reading.
+  // Queries.
   [[nodiscard]] role_kind role() const { return this->current_role; }
   [[nodiscard]] bool serving() const { return this->current_role == role_kind::serving; }
   [[nodiscard]] shard_id shard() const { return this->own_shard; }
@@ -114,14 +115,14 @@
   [[nodiscard]] const std::optional<held_log>& log() const { return this->held; }
   [[nodiscard]] const program_state* find_program(const program_id& program) const;
   [[nodiscard]] bool complete() const;
-  /// Calls that are logged or dispatched and not yet answered.
+  /// Number of calls that are logged or dispatched and not yet answered.
   [[nodiscard]] std::size_t open_calls() const { return this->calls.size(); }
-  /// Replicas that hold every record.
+  /// Number of replicas that hold every record; 0 when this host does not serve the shard.
   [[nodiscard]] std::size_t replicas_in_step() const;
-  /// The first invariant found broken, for assertion by the host; empty if none.
+  /// Description of the first invariant found broken, to be reported by the host; empty if none.
   [[nodiscard]] std::string broken_invariant() const;
-  /// The same for the newest turn of each program only: what a change can have
-  /// broken, at a cost that does not grow with the histories.
+  /// The same for the newest turn of each program only. This covers what a single change can
+  /// break, at a cost that does not grow with the histories.
   [[nodiscard]] std::string broken_by_newest_turn() const;
 
   template <class Archive>
@@ -141,9 +142,9 @@
     record_index acknowledged;
     timestamp heard;
     timestamp sent;
-    /// Since when it has lacked a record.
+    /// Time since which it has lacked a record.
     timestamp behind_since;
-    /// It has lacked a record for too long; it is not waited for.
+    /// It has lacked a record for longer than `replica_silence`; results do not wait for it.
     bool silent = false;
 
     template <class Archive>
@@ -152,17 +153,17 @@
     }
   };
 
-  /// A record that was appended on a caller's behalf and is not yet answered.
+  /// A call, or an opening or closing of a program, that is logged and not yet answered.
   struct open_call {
     program_id program;
     call_stage stage = call_stage::logging_intent;
     record_index index;
     std::optional<intent_logged> intent;
     std::optional<call_answer> answer;
-    /// A former owner that waits for the answer instead of a caller.
+    /// The former owner that forwarded the result and gets the answer in place of a caller.
     std::optional<host_incarnation> brought_by;
     timestamp since;
-    /// While confirming: the probe that a replica has to answer.
+    /// While confirming: the probe number that a replica has to return.
     std::uint64_t probe = 0;
 
     template <class Archive>
@@ -171,7 +172,7 @@
     }
   };
 
-  /// A result that this host got as a former owner.
+  /// A result that arrived after this host was deposed; the new owner has to store it.
   struct late_call {
     call_id call;
     turn_finished result;
@@ -184,13 +185,13 @@
     }
   };
 
-  // Replica part.
+  // As replica.
   actions on(const host_incarnation& from, const seal_request& message, timestamp now);
   actions on(const host_incarnation& from, const install_request& message, timestamp now);
   actions on(const host_incarnation& from, const append_request& message, timestamp now);
   void append_as_replica(const append_request& message);
 
-  // Owner part.
+  // As owner.
   actions on(const host_incarnation& from, const seal_reply& message, timestamp now);
   actions on(const host_incarnation& from, const append_reply& message, timestamp now);
   actions on(const host_incarnation& from, const late_result& message, timestamp now);
@@ -238,38 +239,40 @@
   ownership_rules rules;
 
   role_kind current_role = role_kind::follower;
-  /// The highest map entry seen; while serving, the one served under.
+  /// The map entry with the highest epoch seen; while serving, the one under which it serves.
   assignment known;
-  /// A proposal whose outcome is not known. Invariant: at most one.
+  /// The proposal whose outcome is unknown. Invariant: at most one.
   std::optional<assignment> proposed;
 
-  /// Invariant: only rises; nothing below it is ever appended here again.
+  /// The highest epoch seen. Invariant: never decreases; no record of a lower epoch is appended
+  /// here.
   epoch sealed;
   std::optional<held_log> held;
-  /// Appends of the followed epoch that overtook an earlier one; bounded.
+  /// Appends of the current epoch that arrived before an earlier one; at most `most_early`.
   std::map<record_index, append_request> early;
 
-  // Takeover: the entry that was taken over and what its replicas showed.
+  // Takeover: the map entry of the former owner and the logs of its replicas.
   assignment former;
-  /// Replicas of `former` that have not been sealed.
+  /// Replicas of `former` that are not sealed yet.
   std::set<host_incarnation> former_missing;
   std::vector<held_log> gathered;
   timestamp sealing_since;
-  /// `unknown_below` as the former owner's own log had it; absent when no log
-  /// of its epoch was found.
+  /// `unknown_below` in the log of the former owner's epoch; absent when no log of that epoch was
+  /// found.
   std::optional<epoch> inherited_unknown;
 
   // Serving.
   std::map<host_incarnation, peer_progress> peers;
   std::map<call_id, open_call> calls;
   std::map<ticket, late_call> late;
-  /// Nonce of the one valid ticket of each program. Invariant: changed before a
-  /// `not_run` leaves this host.
+  /// Nonce of the only valid ticket of each program. Invariant: changed before this host answers
+  /// `not_run`.
   std::map<program_id, std::uint64_t> nonces;
-  /// Programs whose former owner may still be sending a call.
+  /// Programs with a call that the former owner may still be sending, and until when.
   std::map<program_id, timestamp> hold_until;
   std::uint64_t last_probe = 0;
-  /// Records that some replica lacks; unsent.front() is at `last` - size + 1.
+  /// Newest records, for replicas that lack them. The first is at position `last` - size + 1; at
+  /// most `longest_unsent`.
   std::deque<log_record> unsent;
   bool degraded = false;
 };
--- a/libs/ownership/src/log_order.h
+++ b/libs/ownership/src/log_order.h
@@ -1,4 +1,4 @@
-// Small comparisons that the parts of the shard core share.
+// Helpers that the source files of the shard core share.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
   return std::find(hosts.begin(), hosts.end(), host) != hosts.end();
 }
 
-/// Whether `a` was written by a later owner, or further on by the same one.
+/// Whether `a` is of a later epoch, or of the same epoch with more records.
 inline bool is_longer(const held_log& a, const held_log& b) {
   return a.at != b.at ? a.at > b.at : a.last > b.last;
 }
--- a/libs/ownership/src/placement.cc
+++ b/libs/ownership/src/placement.cc
@@ -1,4 +1,4 @@
-// Rendezvous ranking and the choice of owners and replicas.
+// Choice of owners and replicas by rendezvous hashing.
 #include "hawthornlane/ownership/placement.h"
 
 #include <xxhash.h>
@@ -22,7 +22,7 @@
                      [&host](const placeable_host& item) { return item.id == host; });
 }
 
-/// Position of `self` among those of `order` that satisfy `takes_part`.
+/// Position of `self` in `order`; nothing when it is not there.
 std::optional<std::size_t> position(const std::vector<host_incarnation>& order,
                                     const host_incarnation& self) {
   const auto found = std::find(order.begin(), order.end(), self);
--- a/libs/ownership/src/shard_core.cc
+++ b/libs/ownership/src/shard_core.cc
@@ -1,5 +1,5 @@
-// The shard core's dealings with the shard map, and its invariants; its programs and calls are
-// in shard_core_calls.cc, the log protocol in shard_core_log.cc.
+// Shard core: the shard map and the invariants. Programs and calls are in shard_core_calls.cc, the
+// log protocol in shard_core_log.cc, the takeover in shard_core_takeover.cc.
 #include "hawthornlane/ownership/shard_core.h"
 
 #include <algorithm>
@@ -88,7 +88,7 @@
       }
       return {};
     case proposal_outcome::unknown:
-      // Neither won nor lost: the host reads the entry back and calls `learn`,
+      // The write may have been applied or not: the host reads the entry back and calls `learn`,
       // or writes the same proposal again.
       return {};
   }
@@ -135,8 +135,9 @@
 }
 
 void shard_core::host_gone(const host_incarnation& host) {
-  // A replica that is gone can acknowledge nothing more, so the other side of a
-  // split cannot go on; what it may have acknowledged before stays unknown.
+  // Without the former owner, or without the only replica that is not sealed, the other side of a
+  // network partition sends no further calls, so its share of the budgets is free again.
+  // What that replica acknowledged before remains unknown.
   if (!this->serving() || !this->held || (this->former_missing.empty())) {
     return;
   }
@@ -151,7 +152,7 @@
 
 namespace {
 
-/// Checks a program's turns from position `first` on, and its open intent.
+/// Checks a program's turns from index `first` on, and its open intent. Empty if they are valid.
 std::string broken_program(const program_state& program, std::size_t first) {
   const std::string& id = program.opened.program.get();
   std::uint64_t digest = first == 0 ? 0 : program.turns[first - 1].digest;
@@ -159,7 +160,7 @@
     const finished_turn& item = program.turns[at];
     digest = chain_digest(digest, item.request, item.answer);
     if (item.digest != digest || item.run_under.turn.get() != at + 1) {
-      return "history of " + id + " does not chain at turn " + std::to_string(at + 1);
+      return "history of " + id + ": wrong digest or ticket at turn " + std::to_string(at + 1);
     }
   }
   if (program.open_intent && program.open_intent->run_under.turn != program.next_turn()) {
--- a/libs/ownership/src/shard_core_calls.cc
+++ b/libs/ownership/src/shard_core_calls.cc
@@ -1,4 +1,4 @@
-// The shard core's programs and calls: opened, checked, begun, finished, closed.
+// Shard core: opening and closing of programs; checks, start and end of calls.
 #include <algorithm>
 #include <utility>
 
@@ -102,7 +102,7 @@
   if (request.presented.turn > program.next_turn()) {
     refusal.error = error_kind::history_incomplete;
     refusal.detail =
-        "history held here ends before turn " + std::to_string(request.presented.turn.get() - 1);
+        "history on this host ends before turn " + std::to_string(request.presented.turn.get() - 1);
     return refusal;
   }
   if (!request.known_digest || request.presented.turn.get() == 0) {
@@ -111,7 +111,7 @@
   const auto held_digest = program.digest_at(turn_number(request.presented.turn.get() - 1));
   if (held_digest != request.known_digest) {
     refusal.error = error_kind::history_incomplete;
-    refusal.detail = "history held here has another digest before that turn";
+    refusal.detail = "history on this host has another digest before that turn";
     return refusal;
   }
   return std::nullopt;
@@ -130,11 +130,11 @@
   if (!own_epoch && asked.issued_in < this->held->state.unknown_below) {
     refusal = this->answer_with(program, random);
     refusal.error = error_kind::may_have_run;
-    refusal.detail = "the log of the ticket's epoch has a gap";
+    refusal.detail = "the log of the ticket's epoch is incomplete";
     return refusal;
   }
   if (program.open_intent) {
-    // Its own call holds the program's one ticket; this one is not it.
+    // The open call has the program's only valid ticket, and it is not this one.
     refusal.error = error_kind::not_run;
     refusal.detail = "another call of the program is running";
     refusal.digest = program.digest();
@@ -158,7 +158,7 @@
   std::string exceeded;
   if (request.reserved > program.left()) {
     exceeded = "tokens: " + std::to_string(program.left().get()) + " left, " +
-               std::to_string(request.reserved.get()) + " asked for";
+               std::to_string(request.reserved.get()) + " requested";
   } else if (program.turns.size() >= limits.turns) {
     exceeded = "turns: " + std::to_string(limits.turns) + " allowed";
   } else if (request.is_tool_call && program.tool_calls >= limits.tool_calls) {
@@ -277,7 +277,8 @@
   if (now - item.since <= this->times.dispatch_gap) {
     return true;
   }
-  // Paused between the acknowledgement and the send: ask a replica again.
+  // The host was paused between the acknowledgement and the send, so a later owner may exist: ask
+  // the replicas for a new confirmation.
   item.stage = call_stage::confirming;
   item.since = now;
   item.probe = ++this->last_probe;
@@ -315,7 +316,7 @@
   if (result.never_started) {
     this->append(intent_voided{item.program, intent.run_under}, now, out);
     answer.error = error_kind::no_backend_server;
-    answer.detail = "the backend server did not take the call";
+    answer.detail = "the backend server did not accept the call";
   } else if (result.unknown) {
     this->append(intent_abandoned{item.program, intent.run_under}, now, out);
     answer.error = error_kind::may_have_run;
--- a/libs/ownership/src/shard_core_log.cc
+++ b/libs/ownership/src/shard_core_log.cc
@@ -1,4 +1,4 @@
-// The shard core's log protocol: appending, committing, and what calls wait for.
+// Shard core: the log protocol, i.e. appends, acknowledgements, and the calls that wait for them.
 #include <algorithm>
 #include <utility>
 
@@ -8,9 +8,9 @@
 namespace hawthornlane {
 namespace {
 
-/// Beyond this many unacknowledged records a replica gets the whole state.
+/// A replica that lacks more records than this is sent the whole state.
 constexpr std::size_t longest_unsent = 512;
-/// Appends kept that arrived before an earlier one.
+/// Most appends that a replica buffers because an earlier one has not arrived.
 constexpr std::size_t most_early = 64;
 
 }  // namespace
@@ -225,7 +225,7 @@
   }
   const auto found = this->peers.find(from);
   if (found == this->peers.end() || !message.accepted) {
-    // A refusal means that a later owner exists; the map will name it.
+    // A rejection means that a later owner exists; the shard map will show it.
     return out;
   }
   peer_progress& peer = found->second;
@@ -338,17 +338,18 @@
   item.brought_by = from;
   item.since = now;
   if (known_turn == nullptr) {
-    // The turn is taken now: the fresh ticket that was given for it must not run.
+    // The result takes this turn, so the new ticket that was issued for the turn must not run.
     this->nonces.erase(result.program);
     this->append(result, now, out);
   }
   item.index = this->held->last;
-  // No random number comes with a message; this one follows from the ticket's own
-  // and differs from every nonce that was given out for the turn.
+  // A message carries no random number. The nonce is derived from the ticket and the epoch, and
+  // differs from each nonce that was issued for the turn.
   const std::uint64_t fresh = chain_digest(result.run_under.nonce, to_string(result.run_under),
                                            std::to_string(this->known.at.get()));
   item.answer = this->answer_with(this->held->state.programs.at(result.program), fresh);
-  // Keys of calls that no caller waits for count down from the top.
+  // Calls without a waiting caller have ids from the largest number downwards, so that they do
+  // not collide with ids of callers' calls.
   std::uint64_t key = ~std::uint64_t{0};
   while (this->calls.contains(call_id(key))) {
     --key;
@@ -391,7 +392,7 @@
   if (this->current_role != role_kind::follower || message.at != this->known.at) {
     return {};
   }
-  // The nonce need only differ from those of other proposals for this epoch.
+  // The nonce only has to differ from those of other proposals for this epoch.
   std::vector<host_incarnation> replicas = this->known.replicas;
   return this->claim(std::move(replicas), this->known.nonce + this->self.start.get() + 1, now);
 }
--- a/libs/ownership/src/shard_core_takeover.cc
+++ b/libs/ownership/src/shard_core_takeover.cc
@@ -1,4 +1,5 @@
-// The shard core's takeover: sealing, merging, serving, and being deposed.
+// Shard core: takeover of a shard (sealing, merging of logs, start of service) and the end of
+// ownership.
 #include <algorithm>
 #include <utility>
 
@@ -23,7 +24,7 @@
   this->unsent.clear();
   this->inherited_unknown.reset();
   if (won.at < this->sealed) {
-    // Somebody with a higher epoch has already sealed this host.
+    // A later owner has already sealed this host.
     this->current_role = role_kind::follower;
     return;
   }
@@ -235,7 +236,7 @@
   const bool was_serving = this->serving();
   this->current_role = role_kind::follower;
   for (auto at = this->calls.begin(); at != this->calls.end();) {
-    // A dispatched call runs on here; its result goes to the new owner.
+    // A dispatched call continues to run; its result is forwarded to the new owner.
     if (at->second.stage == call_stage::dispatched) {
       ++at;
       continue;
--- a/libs/ownership/test/ownership_search_test.cc
+++ b/libs/ownership/test/ownership_search_test.cc
@@ -1,5 +1,5 @@
-// Exhaustive search over the real cores: every order of a small world, and the
-// counterexample that each missing rule brings.
+// Exhaustive search over the real shard cores: all orders of messages and faults within small
+// bounds, and a counterexample for each safety rule that is turned off.
 #include <malloc.h>
 
 #include <catch2/catch.hpp>
@@ -18,8 +18,8 @@
   return text;
 }
 
-/// The search makes and drops many small states; giving their memory back to the
-/// system each time would cost more than the search.
+/// The search allocates and frees many small states. Returning their memory to the system each
+/// time would cost more than the search.
 void keep_freed_memory() {
   constexpr int keep = 1 << 30;
   mallopt(M_TRIM_THRESHOLD, keep);
@@ -66,14 +66,15 @@
   return limits;
 }
 
-/// Wider than the exhausted one: enough for a counterexample to be found.
+/// Larger than `late_set_change`, which is searched exhaustively, so that it contains a
+/// counterexample.
 search::bounds late_set_change_two_sends() {
   search::bounds limits = late_set_change();
   limits.sends = 2;
   return limits;
 }
 
-/// The caller goes on with each fresh ticket; only one call fits into the budget.
+/// The caller continues with each new ticket; only one call fits into the budget.
 search::bounds split_budget() {
   search::bounds limits;
   limits.sends = 3;
@@ -93,7 +94,9 @@
 
 }  // namespace
 
-TEST_CASE("no order of messages and faults breaks a promise") {
+// Each row explores all states within its bounds: calls, takeovers, losses of messages and hosts,
+// and changes of the replica set, in every order.
+TEST_CASE("no order of messages and faults violates a guarantee") {
   keep_freed_memory();
   using row = std::tuple<std::string, search::bounds (*)()>;
   const auto [name, bounds] = GENERATE(table<std::string, search::bounds (*)()>(
@@ -109,7 +112,9 @@
   CHECK(found.exhausted);
 }
 
-TEST_CASE("without any one rule the search finds a counterexample of a few steps") {
+// Guards against a safety rule without effect, and against a model in which its violation cannot
+// occur.
+TEST_CASE("the search finds a short counterexample for each safety rule that is turned off") {
   keep_freed_memory();
   using rule = bool ownership_rules::*;
   using row = std::tuple<std::string, rule, search::bounds (*)()>;
--- a/libs/ownership/test/placement_test.cc
+++ b/libs/ownership/test/placement_test.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("copies of a shard are in different zones while there are enough") {
+TEST_CASE("owner and replicas of a shard are in different zones if there are enough zones") {
   const auto hosts = hosts_of(9);
   for (std::uint32_t shard = 0; shard < 50; ++shard) {
     const auto replicas = choose_replicas(shard_id(shard), hosts[0], hosts, {}, 2);
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("replicas that are still there are kept") {
+TEST_CASE("replicas that are still available are kept") {
   const auto hosts = hosts_of(9);
   const std::vector<host_incarnation> keep{hosts[5].id, hosts[8].id};
   const auto replicas = choose_replicas(shard_id(3), hosts[0], hosts, keep, 2);
@@ -45,6 +45,7 @@
         std::set<host_incarnation>(keep.begin(), keep.end()));
 }
 
+// Claims at the same time compete for the same map entry. Other hosts have no copy of the log.
 TEST_CASE("only replicas claim a shard whose owner ended, one after the other") {
   const auto hosts = hosts_of(5);
   assignment entry;
@@ -57,7 +58,7 @@
   CHECK_FALSE(claim_delay(shard_id(1), entry, hosts[4].id, hosts, everybody, stagger));
 }
 
-TEST_CASE("any host claims a shard of which no holder is left") {
+TEST_CASE("any host claims a shard when no host that holds its log is left") {
   const auto hosts = hosts_of(4);
   assignment entry;
   entry.at = epoch(4);
@@ -69,7 +70,9 @@
   CHECK(claims == 4);
 }
 
-TEST_CASE("hosts that all even out at once come to rest") {
+// All hosts decide from the same counts in each round. Moves of more than half of the difference
+// would go back and forth.
+TEST_CASE("balancing ends when all hosts decide at the same time") {
   auto hosts = hosts_of(3);
   std::map<host_incarnation, std::size_t> owned{
       {hosts[0].id, 16}, {hosts[1].id, 0}, {hosts[2].id, 0}};
--- a/libs/ownership/test/search.h
+++ b/libs/ownership/test/search.h
@@ -1,4 +1,4 @@
-// Breadth-first search through every state of the model, on several threads.
+// Multi-threaded breadth-first search through all states of the model.
 #pragma once
 
 #include <array>
@@ -10,7 +10,7 @@
 
 namespace hawthornlane::search {
 
-/// What a search found.
+/// Result of a search.
 struct finding {
   std::size_t states = 0;
   bool exhausted = false;
@@ -18,7 +18,7 @@
   std::vector<std::string> trace;
 };
 
-/// The states seen so far, shared between threads.
+/// Hashes of the states seen so far; shared between threads.
 class seen_states {
 public:
   struct origin {
@@ -68,7 +68,7 @@
   return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-/// What one thread found in one level of the search.
+/// Result of one thread for one level of the search.
 struct level_part {
   std::vector<model> next;
   std::optional<std::uint64_t> violating;
@@ -93,8 +93,9 @@
   }
 }
 
-/// Visits every reachable state, breadth first, until a violation or the end.
-/// The verdict and the length of the trace do not depend on the threads' timing.
+/// Visits the reachable states, breadth first, until a violation is found, all states are visited
+/// or `most_states` are seen. The verdict and the length of the trace do not depend on the timing
+/// of the threads.
 inline finding search(const bounds& limits, const ownership_rules& rules) {
   constexpr std::size_t thread_count = 8;
   const explorer moves(limits, rules);
--- a/libs/ownership/test/search_model.h
+++ b/libs/ownership/test/search_model.h
@@ -1,5 +1,5 @@
-// A small model round the real shard cores: one shard, three hosts, one map
-// entry, a network that delivers in any order, and a caller that repeats itself.
+// A small model around the real shard cores: one shard, three hosts, one map entry, a network
+// that delivers in any order, and a caller that repeats its requests.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace hawthornlane::search {
 
-/// The model's rules of motion and its promises.
+/// Computes the possible steps of a state and checks the guarantees of `shard_core`.
 class explorer {
 public:
   explorer(bounds limits, ownership_rules rules) : limits(limits), rules(rules) {}
@@ -81,7 +81,7 @@
       proposal.desired = write->desired;
       const bool is_claim = write->desired.at != write->expected.at;
       if (is_claim && !this->limits.late_answers && state.faults_left == 0) {
-        // A claim that is written later is the same as a later claim.
+        // Writing a claim later equals claiming later, so it is written immediately.
         this->deliver_map_write(state, proposal, false);
       } else {
         this->put(state, std::move(proposal));
@@ -115,7 +115,7 @@
     this->note_answer(state, *answer, item.presented);
     return;
   }
-  // A caller that was admitted may yet be refused, for its turn in a queue.
+  // An admitted call may wait in a queue and be refused after all; `begin_call` checks it again.
   this->carry_out(state, item.to, host.begin_call(request, random, this->now));
 }
 
@@ -137,8 +137,8 @@
   }
 }
 
-/// Answers to seals and installs arrive with the request's delivery: a late one
-/// is the same as a late request. Answers to appends have delays of their own.
+/// Whether a message is delivered immediately. Answers to seals and installs are, since a late
+/// answer equals a late request. Answers to appends are delayed on their own with `late_answers`.
 inline bool explorer::is_prompt(const in_flight& item) const {
   const auto* reply = std::get_if<append_reply>(&*item.message);
   const bool to_install = reply != nullptr && reply->last <= record_index(1);
@@ -200,7 +200,7 @@
   }
 }
 
-/// Whether delivery of `item` does nothing, now and at any later time.
+/// Whether the delivery of `item` has no effect, now or later.
 inline bool explorer::has_no_effect(const model& state, const in_flight& item) const {
   if (item.what == in_flight::kind::map_write) {
     return false;
@@ -234,7 +234,7 @@
       state.violation = "ticket dispatched " + std::to_string(times) + " times";
     }
     if (state.refused.contains(presented)) {
-      state.violation = "ticket was refused as not run, and ran";
+      state.violation = "ticket was refused as not run, but was dispatched";
     }
   }
   if (state.spent > this->limits.budget.get()) {
@@ -346,7 +346,7 @@
       this->carry_out(after, host, after.hosts[host].stop_waiting_for_seals(this->now));
       this->add(out, "serve with gap " + name, std::move(after));
     }
-    // A follower that reads the map does nothing by itself; a claim reads it first.
+    // A follower does nothing when it reads the map, and a claim reads it first.
     const bool acts = core.role() != shard_core::role_kind::follower;
     const bool news =
         acts && (core.known_assignment().at < state.map_entry.at || core.proposal_open());
@@ -388,7 +388,7 @@
     --after.sends_left;
     this->deliver(after, request);
     this->add(out, "call at " + host_at(host).host.get(), std::move(after));
-    // The owner's limits may refuse it instead.
+    // Alternatively the owner's limits refuse the call.
     model refused = state;
     --refused.sends_left;
     call_request asked;
@@ -416,7 +416,7 @@
   return out;
 }
 
-/// The model with the first owner serving and one program open at turn 1.
+/// The first state: the first owner serves, and one program is open at turn 1.
 inline model explorer::initial() const {
   model state;
   for (std::size_t host = 0; host < host_count; ++host) {
--- a/libs/ownership/test/search_state.h
+++ b/libs/ownership/test/search_state.h
@@ -1,4 +1,4 @@
-// One state of the search's model: the hosts' cores, the map entry, what is under way.
+// A state of the search's model: the hosts' cores, the map entry and everything in flight.
 #pragma once
 
 #include <xxhash.h>
@@ -23,7 +23,7 @@
 #include "hawthornlane/ownership/shard_core.h"
 
 namespace cereal {
-// Time stands still in the search, so moments do not tell states apart.
+// The search's clock does not advance, so states do not differ in their timestamps.
 template <class Archive>
 void serialize(Archive& /*archive*/, hawthornlane::timestamp& /*moment*/) {}
 }  // namespace cereal
@@ -33,7 +33,7 @@
 constexpr std::size_t host_count = 3;
 constexpr shard_id the_shard{1};
 
-/// How much may happen in one search.
+/// Limits and variants of one search.
 struct bounds {
   int sends = 3;
   int faults = 2;
@@ -42,19 +42,20 @@
   bool repeatable = false;
   token_count budget{100};
   token_count reserved{10};
-  /// Whether the caller goes on with each fresh ticket that it is given.
+  /// Whether the caller continues with each new ticket that it gets.
   bool follow_fresh_tickets = false;
   /// Whether dispatched calls end and their results are logged.
   bool with_results = false;
-  /// Whether answers of replicas and of the map may come late. Without it they
-  /// come with the delivery of what they answer, which may itself be late or lost.
+  /// Whether answers of replicas and of the map can be delayed. If not, they arrive with the
+  /// delivery of the request, which can itself be delayed or lost.
   bool late_answers = false;
-  /// Whether a new owner names the former one as a replica.
+  /// Whether a new owner includes the former one in its replicas.
   bool claim_keeps_owner = true;
   std::size_t most_states = 4'000'000;
 };
 
-/// Something under way: a message, a map write, an order to send, a result.
+/// Something in flight: a message, a map write or its answer, an order to send a call, a call's
+/// result, a caller's request.
 struct in_flight {
   enum class kind : std::uint8_t { message, map_write, map_answer, send_order, result, request };
   kind what = kind::message;
@@ -66,7 +67,7 @@
   proposal_outcome outcome = proposal_outcome::applied;
   call_id call;
   ticket presented;
-  /// Serialised form; the order of the bag and the state's hash follow it.
+  /// Serialised form; determines the order of `model::bag` and the state's hash.
   std::string key;
 
   template <class Archive>
@@ -84,7 +85,7 @@
   return out.str();
 }
 
-/// One state of the model. A value.
+/// One state of the model. A value type.
 struct model {
   std::vector<shard_core> hosts;
   std::array<bool, host_count> alive{true, true, true};
@@ -120,15 +121,15 @@
 
 inline std::size_t index_of(const host_incarnation& host) { return host.start.get() - 1; }
 
-/// A number that differs wherever two random numbers must, and nowhere else, so
-/// that states reached in two orders are the same state.
+/// Replaces a random number. It differs only where two random numbers have to differ, so that
+/// orders of steps which lead to the same state lead to equal numbers.
 inline std::uint64_t fresh_number(std::size_t host, const model& state) {
   constexpr std::uint64_t per_host = 1000;
   return per_host * (host + 1) + static_cast<std::uint64_t>(10 * state.takeovers_left) +
          static_cast<std::uint64_t>(state.sends_left);
 }
 
-/// One step that the model can take, with the name that a trace shows.
+/// One possible step of the model, with its name in a trace.
 struct step {
   std::string name;
   model after;
--- a/libs/ownership/test/shard_core_test.cc
+++ b/libs/ownership/test/shard_core_test.cc
@@ -1,4 +1,4 @@
-// Tests of a shard's owner and replicas together, one fault at a time.
+// Tests of a shard's owner and replicas together, with one fault at a time.
 #include "hawthornlane/ownership/shard_core.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 const program_id program = make_program_id(shard_id(1), 1);
 
-/// Three hosts whose messages arrive at once, unless a host is cut off.
+/// Three hosts whose messages are delivered immediately, unless a host is cut off.
 class trio {
 public:
   trio() {
@@ -124,7 +124,7 @@
 
 }  // namespace
 
-TEST_CASE("a call is dispatched after its intent is held twice and kept by all three") {
+TEST_CASE("a call is dispatched once a replica holds its intent, and all hosts store its result") {
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   REQUIRE(hosts.dispatched.size() == 1);
@@ -136,7 +136,7 @@
   CHECK(answer.next->turn == turn_number(2));
 }
 
-TEST_CASE("a ticket asked again gives the kept answer and runs nothing") {
+TEST_CASE("a repeated ticket gets the stored answer and dispatches nothing") {
   trio hosts;
   const ticket first = hosts.first_ticket();
   hosts.begin(0, 2, first);
@@ -147,7 +147,9 @@
   CHECK(hosts.answers.at(call_id(3)).turn->answer == "a");
 }
 
-TEST_CASE("a host that is alone sends nothing and claims nothing of the ticket") {
+// An owner without a replica can't know whether it is still the owner. It must not dispatch, and
+// the ticket stays valid.
+TEST_CASE("an owner that reaches no replica dispatches nothing and leaves the ticket valid") {
   trio hosts;
   hosts.cut_off = {1, 2};
   hosts.begin(0, 2, hosts.first_ticket());
@@ -160,7 +162,9 @@
   CHECK(hosts.dispatched.size() == 1);
 }
 
-TEST_CASE("after the owner is killed the next owner tells the truth of each ticket") {
+// The owner is lost before the intent is logged, after the intent, or after the result. The next
+// owner answers not_run, may_have_run or the stored answer, and dispatches nothing.
+TEST_CASE("after the loss of the owner, the next one answers correctly for its tickets") {
   enum class killed : std::uint8_t { before_intent, after_intent, after_result };
   struct truth {
     killed when;
@@ -185,12 +189,13 @@
   hosts.begin(1, 3, first);
   CHECK(hosts.dispatched.size() == before);
   CHECK(hosts.answers.at(call_id(3)).error == row.told);
-  // The program goes on under the fresh ticket.
+  // The program continues with the new ticket.
   hosts.begin(1, 4, *hosts.answers.at(call_id(3)).next);
   CHECK(hosts.dispatched.size() == before + 1);
 }
 
-TEST_CASE("a former owner's late result is kept by the new one, with a ticket to go on") {
+// A takeover happens while a call runs. Its result reaches the former owner only.
+TEST_CASE("a former owner's late result is stored by the new one, which issues the next ticket") {
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.claim(1, {host(2), host(0)});
@@ -204,7 +209,7 @@
   CHECK(hosts.dispatched.size() == 2);
 }
 
-TEST_CASE("an owner that was paused past a takeover sends nothing when it wakes") {
+TEST_CASE("an owner that was paused during a takeover does not send afterwards") {
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.claim(1, {host(2), host(0)});
@@ -212,7 +217,8 @@
   CHECK_FALSE(hosts.cores[0].may_send(call_id(2), hosts.now, out));
 }
 
-TEST_CASE("an owner that was paused before a send asks a replica again") {
+// The pause is longer than the time that a new owner waits for sends of the former one.
+TEST_CASE("an owner that was paused before a send asks the replicas for a new confirmation") {
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.now += std::chrono::seconds(2);
@@ -224,7 +230,7 @@
   CHECK(hosts.cores[0].may_send(call_id(2), hosts.now, more));
 }
 
-TEST_CASE("a takeover whose answer was lost is recognised when the map is read back") {
+TEST_CASE("a claim whose answer was lost is recognised when the map is read back") {
   trio hosts;
   hosts.lose_map_answer = true;
   hosts.claim(1, {host(2), host(0)});
@@ -234,7 +240,7 @@
   CHECK(hosts.map.at == epoch(2));
 }
 
-TEST_CASE("of two hosts that claim at once one wins and the other follows") {
+TEST_CASE("of two hosts that claim at the same time, one wins and the other stays a follower") {
   trio hosts;
   hosts.cut_off = {0};
   hosts.cores[2].learn(hosts.map, hosts.now);
@@ -245,7 +251,9 @@
   CHECK(hosts.cores[2].role() == shard_core::role_kind::follower);
 }
 
-TEST_CASE("a shard taken over with a gap heals when the missing replica comes back") {
+// One replica is missing at the takeover, so the log may be incomplete and the answer for an old
+// ticket is may_have_run.
+TEST_CASE("a shard taken over without a replica becomes complete when that replica returns") {
   trio hosts;
   const ticket first = hosts.first_ticket();
   hosts.cut_off = {0, 2};
@@ -260,7 +268,7 @@
   CHECK(hosts.cores[1].complete());
 }
 
-TEST_CASE("a replica is not removed while it alone holds a record") {
+TEST_CASE("a replica is not removed while no other replica holds the newest record") {
   trio hosts;
   hosts.cut_off = {2};
   hosts.begin(0, 2, hosts.first_ticket());
@@ -269,7 +277,7 @@
   CHECK_FALSE(hosts.cores[0].change_replicas({host(1)}, 78, hosts.now).empty());
 }
 
-TEST_CASE("a hand-over passes the shard on with its whole log") {
+TEST_CASE("a hand-over passes on the shard with its whole log") {
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.finish(0, 2);
@@ -281,7 +289,7 @@
   CHECK(hosts.cores[2].find_program(program)->turns.size() == 1);
 }
 
-TEST_CASE("another account's ticket shows nothing and runs nothing") {
+TEST_CASE("a ticket of another account reveals nothing and dispatches nothing") {
   trio hosts;
   call_request ask = hosts.request(2, hosts.first_ticket());
   ask.account = client_account("south");
@@ -291,7 +299,7 @@
   CHECK_FALSE(hosts.answers.at(call_id(2)).next.has_value());
 }
 
-TEST_CASE("a history that the caller knows otherwise is refused") {
+TEST_CASE("a call is refused when the caller's digest of the history differs") {
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.finish(0, 2);
@@ -301,7 +309,7 @@
   CHECK(hosts.answers.at(call_id(3)).error == error_kind::history_incomplete);
 }
 
-TEST_CASE("a budget that is used up refuses and says what is left") {
+TEST_CASE("a call above the budget is refused with the tokens left and a new ticket") {
   trio hosts;
   call_request ask = hosts.request(2, hosts.first_ticket());
   ask.reserved = token_count(1001);
