--- a/libs/turn_log/src/turn_log.cc
+++ b/libs/turn_log/src/turn_log.cc
@@ -1,4 +1,4 @@
-// An append-only log on a small disk.
+// Writer and reader of the segmented log.
 #include "hawthornlane/turn_log/turn_log.h"
 
 #include <fcntl.h>
@@ -25,8 +25,8 @@
 constexpr std::string_view suffix = ".log";
 constexpr std::size_t record_head_size = 8;
 constexpr std::size_t largest_record = std::size_t{16} * 1024 * 1024;
-/// Read at once when a log is opened, bytes: small beside a host's memory, long beside
-/// what a call to the system costs.
+/// Bytes per read when a log is opened: little of a host's memory, and enough that system calls
+/// cost little.
 constexpr std::size_t piece_size = std::size_t{1024} * 1024;
 constexpr mode_t file_mode = 0644;
 
@@ -152,14 +152,14 @@
   struct job {
     std::string bytes;
     std::uint64_t up_to = 0;
-    /// A new segment begins after each of these numbers of `bytes`.
+    /// Offsets in `bytes` at which a new segment begins.
     std::vector<std::size_t> cuts;
-    /// What stands below it goes once `bytes` are synced; 0: nothing.
+    /// Segments below this number are removed after `bytes` is synced. 0: none.
     std::uint64_t remove_below = 0;
     bool stop = false;
   };
 
-  /// The next append goes to a new segment. Needs `mutex`.
+  /// Makes the next append begin a new segment. The caller holds `mutex`.
   void begin_segment() {
     if (this->newest_size == 0) {
       return;
@@ -201,7 +201,7 @@
     }
   }
 
-  /// A segment is synced before the next one begins, so that only the last can be torn.
+  /// Syncs each segment before the next one begins, so that only the last one can be torn.
   void write(const job& one) {
     const std::string_view bytes = one.bytes;
     std::size_t from = 0;
@@ -221,7 +221,7 @@
     ++this->segment;
   }
 
-  /// Writes and syncs; after a failure nothing more is written.
+  /// Writes and syncs `bytes`. After a failure nothing more is written.
   void write_group(std::string_view bytes) {
     if (bytes.empty() || !this->is_good) {
       return;
@@ -240,9 +240,9 @@
     this->total += bytes.size();
   }
 
-  /// Removes one segment, the oldest, for good: a later one never goes before it, so that
-  /// what a power loss leaves is always the newest part of the log. Between two of them
-  /// appends are served. False when none is left to remove.
+  /// Removes the oldest segment durably if it is below `below`. Segments are removed in order, so
+  /// that after a power loss the remaining log is always its newest part. Appends are written
+  /// between two removals. Returns false when none is left to remove or the removal failed.
   bool remove_oldest(std::uint64_t below) {
     const auto oldest = this->sizes.begin();
     const bool is_due = this->is_good && oldest != this->sizes.end() && oldest->first < below &&
@@ -272,26 +272,26 @@
   }
 
   std::string folder;
-  /// A segment takes no record that would make it longer, unless it is empty.
+  /// Maximum size of a segment; a longer record gets a segment of its own.
   std::uint64_t segment_bytes;
   mutable std::mutex mutex;
   std::condition_variable wakeup;
-  /// Guarded by `mutex`, as are the next seven.
+  /// Guarded by `mutex`, like the next seven members: frames to be written.
   std::string waiting;
-  /// Positions in `waiting`, in order: a new segment begins at each.
+  /// Offsets in `waiting` at which a new segment begins, ascending.
   std::vector<std::size_t> cuts;
   std::uint64_t appended = 0;
-  /// The segment of the next append, and what it holds or will hold, bytes.
+  /// Number of the segment of the next append, and its size in bytes including queued records.
   std::uint64_t newest;
   std::uint64_t newest_size = 0;
-  /// Bytes of all segments.
+  /// Size of all segments, bytes.
   std::uint64_t total;
   std::uint64_t remove_below = 0;
   bool stopping = false;
-  /// Used by the writer alone, as are the next four. The segment it writes: `newest`
-  /// less the cuts that it has not come to.
+  /// Used by the writer thread only, like the next four members. Number of the segment that it
+  /// writes: `newest` less the number of `cuts` that it has not reached.
   std::uint64_t segment;
-  /// Bytes of each segment; `total` is their sum.
+  /// Size of each segment, bytes; `total` is their sum.
   std::map<std::uint64_t, std::uint64_t> sizes;
   int file = -1;
   bool is_good = true;
@@ -322,8 +322,8 @@
   }
 }
 
-/// Hands on the whole records of one segment and holds no more of it than a piece, or
-/// a record where that is longer.
+/// Reads the valid records of one segment. It buffers at most `piece_size` bytes, or one record if
+/// that is longer.
 class segment_reader {
 public:
   explicit segment_reader(const std::string& path) : file(::open(path.c_str(), O_RDONLY)) {}
@@ -335,8 +335,8 @@
     }
   }
 
-  /// False, with `errno`, when the file cannot be read; what was handed on by then
-  /// are whole records of it.
+  /// Passes each valid record to `on_record`. Returns false and leaves `errno` set when the file
+  /// cannot be read; the records passed on before are valid.
   bool replay(const std::function<void(std::string_view)>& on_record) {
     if (!this->measure()) {
       return false;
@@ -351,7 +351,7 @@
 
   [[nodiscard]] std::size_t records() const { return this->handed_on; }
   [[nodiscard]] std::uint64_t size() const { return this->file_size; }
-  /// Bytes behind the last whole record.
+  /// Bytes after the last valid record.
   [[nodiscard]] std::uint64_t torn_bytes() const { return this->file_size - this->whole_bytes; }
 
 private:
@@ -365,7 +365,8 @@
     return true;
   }
 
-  /// Nothing at the end of the file or of what is whole in it. Valid until the next.
+  /// The next record; nothing at the end of the file or at the first torn or changed record. The
+  /// view is valid until the next call.
   std::optional<std::string_view> next_record() {
     if (!this->hold(record_head_size)) {
       return std::nullopt;
@@ -387,13 +388,13 @@
     return record;
   }
 
-  /// Makes so many bytes from `at` on lie in `held`; false when the file has fewer.
+  /// Reads until `held` has `count` bytes from `at` on; false when the file has fewer.
   bool hold(std::size_t count) {
     const std::size_t rest = this->held.size() - this->at;
     if (rest >= count) {
       return true;
     }
-    // Asked first: a length that is no length takes no memory.
+    // Checked before any memory is allocated, since `count` may come from a corrupt length.
     if (this->unread < count - rest) {
       return false;
     }
@@ -407,7 +408,7 @@
     return true;
   }
 
-  /// Reads once, until at most so many bytes are held; false when nothing came.
+  /// Reads once, up to `most` bytes in `held`; false when nothing was read.
   bool read_up_to(std::size_t most) {
     const std::size_t before = this->held.size();
     this->held.resize(most);
@@ -423,8 +424,8 @@
   }
 
   int file;
-  /// Invariant: `held` from `at` on is what follows the records handed on, `unread` is
-  /// what the file has behind it.
+  /// Invariant: `held` from `at` on follows the last record that was passed on, and `unread` is
+  /// the number of bytes in the file after `held`.
   std::string held;
   std::size_t at = 0;
   std::uint64_t unread = 0;
--- a/libs/turn_log/test/live_log.h
+++ b/libs/turn_log/test/live_log.h
@@ -1,4 +1,4 @@
-// A log under test: written by its own thread, and damaged as a loss of power does.
+// Helpers for tests of the log: waiting for durability, simulated power loss.
 #pragma once
 
 #include <unistd.h>
@@ -79,7 +79,7 @@
   CHECK(done.wait_for(last));
 }
 
-/// Bytes of each segment, by its name.
+/// Size of each segment in bytes, by file name.
 inline std::map<std::string, std::uintmax_t> sizes_in(const scratch_folder& folder) {
   std::map<std::string, std::uintmax_t> sizes;
   for (const auto& segment : segments_in(folder)) {
@@ -88,7 +88,7 @@
   return sizes;
 }
 
-/// An open log whose records can be waited for.
+/// An open log with a call that waits until its records are durable.
 class live_log {
 public:
   explicit live_log(const scratch_folder& folder,
@@ -101,7 +101,7 @@
     REQUIRE(this->log);
   }
   void append(const std::string& record) { this->last = this->log->append(record); }
-  /// Returns once all that was appended is durable.
+  /// Waits until all appended records are durable.
   void sync() {
     if (this->last > 0) {
       REQUIRE(this->done.wait_for(this->last));
@@ -113,14 +113,14 @@
   durability done;
   log_recovery found;
   std::uint64_t last = 0;
-  /// Ends before the others do: its thread notes in them.
+  /// Declared last, so that it is destroyed first: its thread uses `done`.
   std::unique_ptr<turn_log> log;
 };
 
-/// What a power loss may do to what was written after the last sync.
+/// Possible effects of a power loss on bytes that were written after the last sync.
 enum class tail_loss { cut, zeroes, garbage, gone };
 
-/// Spoils the log from a byte on, which lies behind all that was synced.
+/// Simulates a power loss: corrupts the log from a random unsynced byte on.
 class power_loss {
 public:
   power_loss(std::mt19937& source, std::map<std::string, std::uintmax_t> safe)
@@ -170,12 +170,12 @@
   }
 
   std::mt19937& random;
-  /// Bytes of each segment that were synced; a segment not named has none.
+  /// Synced bytes of each segment, by file name; 0 for other segments.
   std::map<std::string, std::uintmax_t> synced;
 };
 
 constexpr std::size_t mebibyte = std::size_t{1} << 20U;
-/// Length and checksum before each record.
+/// Bytes of length and checksum before each record.
 constexpr std::size_t head_size = 8;
 
 inline std::string text_of(const std::filesystem::path& path) {
@@ -183,7 +183,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// Bytes of this process that are in memory.
+/// Resident memory of this process, bytes.
 inline std::size_t resident_bytes() {
   std::ifstream file("/proc/self/statm");
   std::size_t all_pages = 0;
@@ -192,7 +192,7 @@
   return resident_pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
-/// A record that can be told from others of its size.
+/// A record whose bytes differ by `mark` from others of its size.
 inline std::string record_of(std::size_t size, char mark) {
   std::string record(size, mark);
   for (std::size_t at = 0; at < size; at += 61) {
--- a/libs/turn_log/test/turn_log_test.cc
+++ b/libs/turn_log/test/turn_log_test.cc
@@ -1,4 +1,4 @@
-// The log after crashes: torn tails, bytes that changed, segments that went.
+// Tests of the log after crashes: torn records, changed bytes, removed segments.
 #include "hawthornlane/turn_log/turn_log.h"
 
 #include <unistd.h>
@@ -21,7 +21,7 @@
 using namespace hawthornlane::live_logs;
 using test_support::scratch_folder;
 
-TEST_CASE("records come back in order over several openings") {
+TEST_CASE("records are read back in order after several openings") {
   const scratch_folder folder("turn-log");
   write(folder, {"one", "two"});
   write(folder, {"three"});
@@ -31,7 +31,8 @@
   CHECK(found.torn_bytes == 0);
 }
 
-TEST_CASE("a tail that is torn anywhere loses only what was torn") {
+// A crash cuts the last record at any byte. A log opened after it must not append to that segment.
+TEST_CASE("a segment cut at any byte loses only the torn record") {
   for (std::uintmax_t cut = 1; cut <= 11; ++cut) {
     INFO("cut off " << cut << " bytes");
     const scratch_folder folder("turn-log");
@@ -45,7 +46,7 @@
   }
 }
 
-TEST_CASE("a record whose bytes changed ends its segment") {
+TEST_CASE("a record with a changed byte is dropped with the rest of its segment") {
   const scratch_folder folder("turn-log");
   write(folder, {"one", "two"});
   const auto segment = segments_in(folder).front();
@@ -58,7 +59,7 @@
   CHECK(read_all(folder, found) == std::vector<std::string>{"three"});
 }
 
-TEST_CASE("segments go once what lives was written again") {
+TEST_CASE("old segments are removed after their live records were appended again") {
   const scratch_folder folder("turn-log");
   write(folder, {"dead", "alive"});
   durability done;
@@ -79,7 +80,7 @@
   CHECK(read_all(folder, after) == std::vector<std::string>{"alive"});
 }
 
-TEST_CASE("a folder that is not there is refused with a reason") {
+TEST_CASE("opening a missing folder fails with a reason") {
   log_recovery found;
   failure reason;
   CHECK_FALSE(turn_log::open(
@@ -87,7 +88,8 @@
   CHECK_FALSE(reason.detail.empty());
 }
 
-TEST_CASE("a long segment is replayed in little memory") {
+// A reader that loads whole segments would need memory of the size of the log at start.
+TEST_CASE("reading a long segment needs little memory") {
   constexpr std::size_t copies = 80;
   constexpr std::size_t records_a_copy = 16;
   constexpr std::size_t most_growth = 8 * mebibyte;
@@ -117,7 +119,8 @@
   CHECK(most - before < most_growth);
 }
 
-TEST_CASE("records that lie across a mebibyte of the file come back") {
+// The reader reads the file in pieces of 1 MiB; a record header or a record may cross a border.
+TEST_CASE("records that cross a border between pieces of the file are read back") {
   for (std::size_t before = 0; before <= head_size + 2; ++before) {
     INFO("second record begins " << before << " bytes before the border");
     const scratch_folder folder("turn-log");
@@ -131,7 +134,7 @@
   }
 }
 
-TEST_CASE("the longest record comes back") {
+TEST_CASE("a record of the maximum length is read back") {
   const scratch_folder folder("turn-log");
   const std::vector<std::string> records{"before", record_of(16 * mebibyte, 'l'), "after"};
   write(folder, records);
@@ -139,7 +142,7 @@
   CHECK(read_all(folder, found) == records);
 }
 
-TEST_CASE("a tail that is torn about a mebibyte of the file loses only what was torn") {
+TEST_CASE("a segment cut near a border between pieces loses only the torn record") {
   const std::string first = record_of(mebibyte - head_size - 4, 'a');
   const std::string second = record_of(2 * mebibyte + 20, 'b');
   for (const std::size_t border : {mebibyte, 2 * mebibyte, 3 * mebibyte}) {
@@ -168,8 +171,8 @@
   }
 }
 
-TEST_CASE("a changed byte in any mebibyte of a segment drops that record and what follows it") {
-  // Two records of three lie across a border.
+TEST_CASE("a changed byte in any piece of a segment drops that record and the rest") {
+  // Two of three records cross a border between pieces.
   constexpr std::size_t record_size = 2 * mebibyte / 3;
   const std::vector<std::string> records(6, record_of(record_size, 'r'));
   for (std::size_t bad = 0; bad < records.size(); ++bad) {
@@ -197,7 +200,7 @@
   }
 }
 
-TEST_CASE("a segment that cannot be read is refused with a reason") {
+TEST_CASE("opening a log with an unreadable segment fails with a reason") {
   const scratch_folder folder("turn-log");
   write(folder, {"one"});
   std::filesystem::create_directory(folder.path() / "turns-00000002.log");
@@ -208,7 +211,7 @@
   CHECK_FALSE(reason.detail.empty());
 }
 
-TEST_CASE("a full segment is followed by the next") {
+TEST_CASE("a new segment begins when one is full") {
   constexpr std::uint64_t segment_bytes = 100;
   const scratch_folder folder("turn-log");
   const std::vector<std::string> records{record_of(30, 'a'), record_of(54, 'b'),
@@ -231,9 +234,11 @@
   CHECK(read_all(folder, found) == records);
 }
 
-TEST_CASE("what is appended after a new segment was asked for outlives those before it") {
+// Records appended after `start_segment` must not land in an older segment, however far the writer
+// thread lags behind the appends; `remove_before` would remove them.
+TEST_CASE("records appended after start_segment survive the removal of older segments") {
   constexpr std::uint64_t segment_bytes = 100;
-  // The writer is somewhere behind, or has written all.
+  // The writer thread lags behind by some records, or has written all of them.
   for (const bool is_written : {false, true}) {
     for (int dead = 0; dead < 12; ++dead) {
       INFO(dead << " dead records, written: " << is_written);
@@ -265,7 +270,9 @@
   }
 }
 
-TEST_CASE("no segment goes before an older one is gone") {
+// If a newer segment were removed first, a crash could leave outdated records without the ones
+// that replaced them.
+TEST_CASE("no segment is removed before an older one") {
   constexpr std::uint64_t segment_bytes = 100;
   const scratch_folder folder("turn-log");
   live_log log(folder, segment_bytes);
@@ -273,7 +280,7 @@
     log.append(record_of(60, 'd'));
   }
   log.sync();
-  // The second of four cannot be removed.
+  // The second of four segments cannot be removed.
   const auto stuck = segments_in(folder)[1];
   std::filesystem::remove(stuck);
   std::filesystem::create_directory(stuck);
@@ -293,7 +300,8 @@
                                           "turns-00000004.log", "turns-00000005.log"});
 }
 
-TEST_CASE("after any power loss every synced record comes back and nothing is made up") {
+// Bytes written after the last sync may be cut, zeroed, replaced by garbage or lost.
+TEST_CASE("after a power loss all synced records and only appended ones are read back") {
   constexpr unsigned seeds = 40;
   constexpr int losses = 5;
   for (unsigned seed = 1; seed <= seeds; ++seed) {
