--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -1,4 +1,4 @@
-// What a shard's log says of one program, and how records change it.
+// The state of one program, as the records of its shard's log lead to it.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace hawthornlane {
 
-/// A call whose answer is part of the history.
+/// A finished call; its request and answer are part of the history.
 struct finished_turn {
   ticket run_under;
   std::uint64_t request_digest = 0;
@@ -18,7 +18,7 @@
   std::string answer;
   token_count used{0};
   bool failed = false;
-  /// Running digest of the history up to and with this turn.
+  /// Chained digest of the history up to and including this turn.
   std::uint64_t digest = 0;
 
   friend bool operator==(const finished_turn&, const finished_turn&) = default;
@@ -29,7 +29,7 @@
   }
 };
 
-/// Tokens left after the record at `index`; see `program_state::left_since`.
+/// Tokens left in the budget after the record at `index`; see `program_state::left_since`.
 struct left_mark {
   record_index index;
   token_count left{0};
@@ -41,47 +41,50 @@
   }
 };
 
-/// One program as its log tells it. A value: replicas hold equal copies.
+/// The state of one program. A value type; replicas hold equal copies.
 struct program_state {
   program_opened opened;
   /// Invariant: `turns[i].run_under.turn` is i + 1 and the digests chain.
   std::vector<finished_turn> turns;
-  /// Invariant: its turn is `next_turn()`; at most one call is open.
+  /// The logged call without a result, at most one. Invariant: its turn is `next_turn()`.
   std::optional<intent_logged> open_intent;
-  /// Calls that may have run without a kept answer; each is charged in full.
+  /// Calls that may have run without a stored answer; each is charged in full.
   std::vector<intent_logged> abandoned;
-  /// Answers kept on the far side of a split, which this history does not contain.
+  /// Calls that the other side of a network partition stored and this history does not contain.
   std::vector<finished_turn> side_answers;
-  /// Tokens of finished, abandoned and side calls. Invariant: never above the limit.
+  /// Tokens of finished calls, abandoned calls and `side_answers`. Invariant: never above the
+  /// limit.
   token_count charged{0};
-  /// Tokens that the other side of a split may still spend; see `withhold_for_split`.
+  /// Tokens that the other side of a network partition may still spend; see
+  /// `withhold_for_split`.
   token_count withheld{0};
   std::uint32_t tool_calls = 0;
   bool closed = false;
-  /// What was left at each record since the last that all replicas held, oldest first.
+  /// Tokens left after each record, from the last record that all replicas held on, oldest first.
   std::vector<left_mark> left_since;
 
-  /// The turn that the next ticket is for.
+  /// The turn of the next ticket.
   [[nodiscard]] turn_number next_turn() const;
   /// Digest of the whole history; 0 before the first turn.
   [[nodiscard]] std::uint64_t digest() const;
-  /// Digest after `turn` turns; nothing when the history is shorter.
+  /// Digest of the first `turn` turns; nothing when the history is shorter.
   [[nodiscard]] std::optional<std::uint64_t> digest_at(turn_number turn) const;
-  /// Tokens that may still be reserved, open reservation taken off.
+  /// Tokens that can still be reserved; the open reservation is already subtracted.
   [[nodiscard]] token_count left() const;
   /// Tokens left at the last record known to be held by every replica.
   [[nodiscard]] token_count left_at_full() const;
-  /// The least that was left at any record from there on.
+  /// The fewest tokens left at any record from that record on.
   [[nodiscard]] token_count least_left_since_full() const;
 
   [[nodiscard]] const finished_turn* find_finished(const ticket& asked) const;
   [[nodiscard]] const intent_logged* find_abandoned(const ticket& asked) const;
 
-  /// Sets `withheld` so that both sides of a split together stay in the budget.
+  /// Sets `withheld` so that both sides of a network partition together stay within the budget.
   void withhold_for_split();
-  /// Moves an open intent to `abandoned`; used by a new owner.
+  /// Moves an open intent to `abandoned` and charges it in full.
   void abandon_open_intent();
-  /// Notes what is left after the record at `index`, and forgets marks below `full`.
+  /// Stores the tokens left after the record at `index`, and drops the marks before the last one
+  /// at or below `full`.
   void mark_left(record_index index, record_index full);
 
   friend bool operator==(const program_state& a, const program_state& b) {
@@ -95,7 +98,7 @@
   }
 };
 
-/// Digest of a history that had `before` and got one more turn.
+/// Digest of a history with digest `before` after one more turn.
 std::uint64_t chain_digest(std::uint64_t before, const std::string& request,
                            const std::string& answer);
 /// Digest of a request body.
--- a/libs/program/include/hawthornlane/program/records.h
+++ b/libs/program/include/hawthornlane/program/records.h
@@ -11,12 +11,12 @@
 
 namespace hawthornlane {
 
-/// What a program may use at most, from its service's document.
+/// Budget of a program, from its service's document.
 struct budget_limits {
   token_count tokens{0};
   std::uint32_t turns = 0;
   std::uint32_t tool_calls = 0;
-  /// Milliseconds from open to the last dispatch.
+  /// Milliseconds from the opening of the program to its last dispatch.
   std::int64_t wall_time_ms = 0;
 
   friend bool operator==(const budget_limits&, const budget_limits&) = default;
@@ -26,7 +26,7 @@
   }
 };
 
-/// A program begins.
+/// A program is opened.
 struct program_opened {
   program_id program;
   client_account account;
@@ -41,16 +41,16 @@
   }
 };
 
-/// A call is about to be sent; written before anything reaches a backend server.
+/// A call is about to be sent. Logged before anything is sent to a backend server.
 struct intent_logged {
   program_id program;
-  /// The ticket that the call runs under; its epoch is the appending owner's.
+  /// The ticket that the call runs under; its epoch is that of the owner that logs it.
   ticket run_under;
   bool repeatable = true;
   token_count reserved{0};
   bool is_tool_call = false;
   backend_server_id server;
-  /// Digest of the request body, to tell a changed request under one ticket.
+  /// Digest of the request body, to detect a different request under the same ticket.
   std::uint64_t request_digest = 0;
 
   friend bool operator==(const intent_logged&, const intent_logged&) = default;
@@ -61,16 +61,16 @@
   }
 };
 
-/// A call ended and its answer is to be kept.
+/// A call ended; its answer becomes part of the history.
 struct turn_finished {
   program_id program;
   ticket run_under;
-  /// What the call adds to the history: the request's new messages, JSON text.
+  /// The request's new messages, which the call adds to the history, JSON text.
   std::string request;
   /// The whole answer, JSON text.
   std::string answer;
   token_count used{0};
-  /// Whether the backend server reported failure; the turn still counts.
+  /// Whether the backend server reported a failure; the turn counts all the same.
   bool failed = false;
 
   template <class Archive>
@@ -79,7 +79,7 @@
   }
 };
 
-/// An intent that was certainly never sent; its reservation is returned.
+/// An intent whose call was certainly never sent; its reservation is released.
 struct intent_voided {
   program_id program;
   ticket run_under;
@@ -90,7 +90,7 @@
   }
 };
 
-/// An intent that was sent and whose result will not come; charged in full.
+/// An intent whose call was sent and will have no result; charged in full.
 struct intent_abandoned {
   program_id program;
   ticket run_under;
@@ -101,7 +101,7 @@
   }
 };
 
-/// A program ends; its answers can still be fetched until it is forgotten.
+/// A program is closed; its answers can still be fetched until its state is dropped.
 struct program_closed {
   program_id program;
 
@@ -111,7 +111,7 @@
   }
 };
 
-/// A closed program's answers have been kept long enough; its state is dropped.
+/// The retention time of a closed program is over; its state is dropped.
 struct program_forgotten {
   program_id program;
 
--- a/libs/program/include/hawthornlane/program/shard_state.h
+++ b/libs/program/include/hawthornlane/program/shard_state.h
@@ -7,12 +7,12 @@
 
 namespace hawthornlane {
 
-/// The materialised log of one shard.
+/// The state that the records of one shard's log lead to.
 struct shard_state {
   std::map<program_id, program_state> programs;
-  /// Tickets of epochs below this may have been run without a trace in this
-  /// state. Invariant: it never falls while one owner serves, except when every
-  /// replica that was missing at its takeover has been sealed.
+  /// Calls under tickets of epochs below this may have run without a record in this state.
+  /// Invariant: it does not decrease while one owner serves, except when every replica that was
+  /// missing at the takeover has been sealed.
   epoch unknown_below;
 
   template <class Archive>
@@ -21,15 +21,14 @@
   }
 };
 
-/// Applies one record; false when it contradicts the state, which is then unchanged.
+/// Applies one record; returns false and changes nothing when it contradicts the state.
 ///
 /// `index` is the record's position and `full` the last position that every
 /// replica is known to hold.
 bool apply(shard_state& state, const log_record& record, record_index index, record_index full);
 
-/// Merges into `base` what only `other` knows: the log of a replica that was
-/// sealed at an older epoch. Where histories part, `base` stays the history and
-/// the other calls are kept as side answers and charged.
+/// Merges `other`, from the log of a replica that was sealed at an older epoch, into `base`. Where
+/// histories diverge, that of `base` remains; the other calls go to `side_answers` and are charged.
 void absorb(shard_state& base, const shard_state& other);
 
 }  // namespace hawthornlane
--- a/libs/program/src/program_state.cc
+++ b/libs/program/src/program_state.cc
@@ -71,9 +71,9 @@
 }
 
 void program_state::withhold_for_split() {
-  // The other side stops at half of what was left at the last record that all
-  // replicas held. That record is one of the marked ones, so half of the least
-  // marked value is safe for this side.
+  // The other side of a network partition stops at half of the tokens left at the last record that
+  // all replicas held. That record has one of the marks, so half of the lowest mark is safe for
+  // this side.
   const token_count allowance = half(std::max(token_count(0), this->least_left_since_full()));
   this->withheld = token_count(0);
   this->withheld = std::max(token_count(0), this->left() - allowance);
--- a/libs/program/src/shard_state.cc
+++ b/libs/program/src/shard_state.cc
@@ -1,4 +1,4 @@
-// Applying records to a shard's state, and merging two states after a split.
+// Applies records to a shard's state, and merges two states after a network partition.
 #include "hawthornlane/program/shard_state.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   return true;
 }
 
-/// Removes the abandoned call under that ticket and returns its charge.
+/// Removes the abandoned call with that ticket, if there is one, and takes back its charge.
 std::optional<intent_logged> take_abandoned(program_state& program, const ticket& run_under) {
   const auto found = std::find_if(
       program.abandoned.begin(), program.abandoned.end(),
@@ -63,7 +63,7 @@
     add_turn(program, intent, record);
     return true;
   }
-  // The late result of a call that a new owner had given up.
+  // A late result of a call that a new owner had abandoned.
   const std::optional<intent_logged> intent = take_abandoned(program, record.run_under);
   if (!intent) {
     return false;
@@ -128,7 +128,7 @@
                     });
 }
 
-/// Whether `base` has begun nothing since the point where `other` goes on.
+/// Whether the history of `base` is a prefix of that of `other` and no call is open in `base`.
 bool may_extend(const program_state& base, const program_state& other) {
   return !base.open_intent && is_prefix(base.turns, other.turns);
 }
--- a/libs/program/src/ticket.cc
+++ b/libs/program/src/ticket.cc
@@ -28,7 +28,7 @@
   return value;
 }
 
-/// Splits off the text before the next `separator`; takes the rest if none.
+/// Removes and returns the text before the next `separator`, or the whole text if there is none.
 std::string_view take_until(std::string_view& text, char separator) {
   const std::size_t at = text.find(separator);
   const std::string_view head = text.substr(0, at);
--- a/libs/program/test/program_state_test.cc
+++ b/libs/program/test/program_state_test.cc
@@ -1,4 +1,4 @@
-// Tests of tickets and of the records' effect on a shard's state.
+// Tests of tickets, and of the effect of records on a shard's state.
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/program/shard_state.h"
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("a ticket's text leads back to it and anything else is refused") {
+TEST_CASE("a ticket's text is parsed back, and any other text is rejected") {
   const ticket original = ticket_of(12, 3, 0x9f04c1d2e3a4b5c6);
   CHECK(to_string(original) == "1.3.12.9f04c1d2e3a4b5c6");
   CHECK(ticket_from_string(to_string(original)) == original);
@@ -47,7 +47,7 @@
   CHECK_FALSE(ticket_from_string(bad).has_value());
 }
 
-TEST_CASE("a program id names its shard and anything else names none") {
+TEST_CASE("a program id contains its shard, and a malformed id has none") {
   CHECK(shard_of(make_program_id(shard_id(4095), 1)) == shard_id(4095));
   const auto bad = GENERATE(as<std::string>{}, "", "p", "p-1", "p7", "q7-00000000000000aa",
                             "p7-00000000000000aaa", "p7-00000000000000zz");
@@ -55,7 +55,7 @@
   CHECK_FALSE(shard_of(program_id(bad)).has_value());
 }
 
-TEST_CASE("a result settles its reservation and chains the history") {
+TEST_CASE("a result replaces its reservation by the tokens used and extends the digest chain") {
   shard_state state = opened(100);
   const ticket first = ticket_of(1, 1, 5);
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
@@ -70,7 +70,7 @@
 TEST_CASE("records that contradict the state change nothing") {
   shard_state state = opened(100);
   const ticket first = ticket_of(1, 1, 5);
-  SECTION("a reservation above what is left") {
+  SECTION("a reservation above the tokens left") {
     CHECK_FALSE(apply(state, intent(first, 101), record_index(3), record_index(2)));
   }
   SECTION("an intent for a later turn") {
@@ -86,7 +86,7 @@
   CHECK(state.programs.at(program).turns.empty());
 }
 
-TEST_CASE("use above the reservation is never charged") {
+TEST_CASE("tokens used above the reservation are not charged") {
   shard_state state = opened(100);
   const ticket first = ticket_of(1, 1, 5);
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
@@ -94,7 +94,7 @@
   CHECK(state.programs.at(program).charged == token_count(60));
 }
 
-TEST_CASE("an abandoned intent is charged in full until its late result settles it") {
+TEST_CASE("an abandoned intent is charged in full until its late result arrives") {
   shard_state state = opened(100);
   const ticket first = ticket_of(1, 1, 5);
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
@@ -105,18 +105,19 @@
   CHECK(state.programs.at(program).abandoned.empty());
 }
 
-TEST_CASE("absorbing the far side of a split never mixes histories") {
+// Both sides of a network partition may run a call for the same turn under different tickets.
+TEST_CASE("merging the other side of a network partition does not mix histories") {
   shard_state ours = opened(100);
   shard_state theirs = opened(100);
   const ticket old_ticket = ticket_of(1, 1, 5);
   REQUIRE(apply(theirs, intent(old_ticket, 30), record_index(3), record_index(2)));
   REQUIRE(apply(theirs, result(old_ticket, 20), record_index(4), record_index(2)));
-  SECTION("what only they went on with becomes the history") {
+  SECTION("turns that only the other side has extend the history") {
     absorb(ours, theirs);
     CHECK(ours.programs.at(program).turns.size() == 1);
     CHECK(ours.programs.at(program).charged == token_count(20));
   }
-  SECTION("where histories part, theirs is charged and kept for its own ticket") {
+  SECTION("turns that diverge are charged and stay available under their own tickets") {
     const ticket new_ticket = ticket_of(1, 2, 9);
     REQUIRE(apply(ours, intent(new_ticket, 30), record_index(3), record_index(2)));
     REQUIRE(apply(ours, result(new_ticket, 10), record_index(4), record_index(2)));
@@ -131,7 +132,8 @@
   }
 }
 
-TEST_CASE("withholding for a split leaves half of the least that was left") {
+// The other side may spend half of what was left at the last record that all replicas held.
+TEST_CASE("withholding for a network partition leaves half of the fewest tokens left") {
   shard_state state = opened(100);
   const ticket first = ticket_of(1, 1, 5);
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
