--- a/libs/membership/include/hawthornlane/membership/membership_core.h
+++ b/libs/membership/include/hawthornlane/membership/membership_core.h
@@ -1,4 +1,5 @@
-// Who is alive: probing by one random host a period, with rumours on each probe.
+// Membership and failure detection in the manner of SWIM: each host probes one random host per
+// period, and membership updates are spread by gossip on the probe messages.
 #pragma once
 
 #include <cstdint>
@@ -12,50 +13,53 @@
 
 namespace hawthornlane {
 
-/// Times and sizes of the probing.
+/// Timeouts and sizes of probing and gossip.
 struct membership_times {
   duration period = std::chrono::milliseconds(500);
-  /// Without an answer for this long, others are asked to probe.
+  /// Time without an answer after which other hosts are asked to probe the target.
   duration direct_wait = std::chrono::milliseconds(200);
-  /// How long a suspicion lasts before the host counts as gone.
+  /// Time after which a suspected host counts as gone.
   duration suspicion = std::chrono::seconds(3);
   std::uint32_t indirect_probes = 2;
-  /// Rumours on one message; bounds its size.
+  /// Most updates on one message; limits its size.
   std::uint32_t updates_per_message = 6;
-  /// Times that one rumour is passed on, per doubling of the number of hosts.
+  /// How many times an update is sent per doubling of the number of hosts.
   std::uint32_t repeats = 3;
 };
 
-/// Deliver a probe message.
+/// Send a probe message.
 struct send_probe {
   std::string address;
   probe_message message;
 };
 
-/// The belief about a host changed.
+/// The state of a host changed in this host's view.
 struct member_changed {
   member now;
   std::optional<member_state> before;
 };
 
-/// What the membership core asks its host to do.
+/// Actions that the membership core returns and its host carries out.
 struct membership_actions {
   std::vector<send_probe> probes;
   std::vector<member_changed> changes;
 };
 
-/// One host's view of all hosts of its region. No I/O, clock or randomness.
+/// One host's view of all hosts of its region. It does no I/O and has no clock and no random
+/// source.
 ///
-/// Promise: what it says steers preference only. A wrong suspicion costs a move
-/// of a shard, never safety.
+/// Its output is used for preference only: a wrong suspicion moves a shard, and safety does not
+/// depend on it.
 class membership_core {
 public:
   membership_core(member self, membership_times times);
 
-  /// Probes the next host; `random` orders the round. Call once a `period`.
+  /// Probes the next host; to be called once per `period`. `random` is the seed of the probe order
+  /// when a new round begins.
   membership_actions tick(timestamp now, std::uint64_t random);
   membership_actions receive(const probe_message& message, timestamp now);
-  /// A host from the platform's lagging list; older news than a peer's own.
+  /// Adds a host from the platform's list if it is unknown. The list lags behind, so it does not
+  /// change a host that is known already.
   membership_actions listed(const member& seen, timestamp now);
   /// Announces the planned stop of this host.
   void leave();
@@ -63,9 +67,9 @@
   [[nodiscard]] const member& self() const { return this->own; }
   [[nodiscard]] const std::map<host_id, member>& members() const { return this->known; }
   [[nodiscard]] const member* find(const host_id& host) const;
-  /// The member if this very incarnation of the host is alive or leaving.
+  /// The member if exactly this incarnation of the host is alive or leaving.
   [[nodiscard]] const member* find_live(const host_incarnation& host) const;
-  /// Hosts that may get new work, this one included when it stays.
+  /// Hosts that may get new work, including this one unless it is leaving.
   [[nodiscard]] std::vector<member> usable() const;
   void set_documents(std::uint64_t digest, bool current) {
     this->documents_digest = digest;
@@ -77,7 +81,7 @@
     host_incarnation target;
     timestamp sent;
     bool asked_others = false;
-    /// Set when this host probes for another one.
+    /// Reply address of the host that requested this probe; absent for this host's own probes.
     std::optional<std::string> on_behalf_of;
     std::uint64_t their_sequence = 0;
   };
@@ -97,7 +101,7 @@
   membership_times times;
   std::map<host_id, member> known;
   std::map<host_id, timestamp> suspected_since;
-  /// Times that the current belief about a host is still to be passed on.
+  /// How many more times the current state of each host is sent.
   std::map<host_id, std::uint32_t> to_spread;
   std::map<std::uint64_t, waiting_probe> waiting;
   std::vector<host_id> round;
--- a/libs/membership/include/hawthornlane/membership/messages.h
+++ b/libs/membership/include/hawthornlane/membership/messages.h
@@ -1,4 +1,4 @@
-// What hosts tell each other of who is there.
+// Messages of the membership protocol.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace hawthornlane {
 
-/// What is believed of a host. Higher wins at the same `version`.
+/// State of a host in another host's view. The higher value wins at the same `version`.
 enum class member_state : std::uint8_t {
   alive,
   suspected,
-  /// Planned stop; takes no new work, still answers.
+  /// Before a planned stop: takes no new work but still answers.
   leaving,
   gone,
 };
 
-/// One host as known; spread in pieces on every probe.
+/// One host, as other hosts know it. Sent as an update on probe messages.
 struct member {
   host_incarnation id;
   availability_zone zone;
-  /// Where its callers and its peers reach it, "IP:port".
+  /// Addresses for callers and for other hosts, "IP:port".
   std::string front_address;
   std::string peer_address;
   member_state state = member_state::alive;
-  /// Raised only by the host itself, to refute a suspicion or to announce a stop.
+  /// Incremented only by the host itself, to refute a suspicion or to announce a planned stop.
   std::uint32_t version = 0;
 
   friend bool operator==(const member&, const member&) = default;
@@ -38,7 +38,7 @@
   }
 };
 
-/// A generation of one service document that a host follows.
+/// The generation of one service document that a host uses.
 struct document_mark {
   service_name service;
   generation at;
@@ -49,7 +49,7 @@
   }
 };
 
-/// A service document as hosts pass it on.
+/// A service document, as sent from one host to another.
 struct document_copy {
   service_name service;
   generation at;
@@ -61,25 +61,25 @@
   }
 };
 
-/// A probe, its answer, or a request to probe somebody else.
+/// A probe, its answer, a request to probe another host, or an exchange of service documents.
 struct probe_message {
   enum class kind : std::uint8_t { ping, acknowledge, ping_request, documents };
   kind what = kind::ping;
   host_incarnation from;
-  /// Where answers go.
+  /// Address for answers.
   std::string reply_to;
   std::uint64_t sequence = 0;
-  /// In a ping request: whom to probe for the sender.
+  /// In a ping request: the host to probe for the sender.
   std::optional<host_incarnation> target;
   std::vector<member> updates;
-  /// Digest over all document generations that the sender follows.
+  /// Digest of all document generations that the sender uses.
   std::uint64_t documents_digest = 0;
-  /// Whether the sender knows that these generations are current; only then may
-  /// another host become ready by agreeing with it.
+  /// Whether the sender knows that these generations are current. Only then may another host
+  /// become ready because its own digest is equal.
   bool documents_current = false;
-  /// Sent when digests differ: what the sender follows.
+  /// Generations that the sender uses; sent when the digests differ.
   std::vector<document_mark> marks;
-  /// What the receiver lacked.
+  /// Documents that the receiver lacks.
   std::vector<document_copy> documents;
 
   template <class Archive>
--- a/libs/membership/src/membership_core.cc
+++ b/libs/membership/src/membership_core.cc
@@ -1,4 +1,4 @@
-// Probing, suspicion and the spread of rumours.
+// Probing, suspicion and gossip of membership updates.
 #include "hawthornlane/membership/membership_core.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace hawthornlane {
 namespace {
 
-/// Whether `a` is newer news of a host than `b`.
+/// Whether `a` replaces `b` as the state of the same host.
 bool is_newer(const member& a, const member& b) {
   if (a.id.start != b.id.start) {
     return a.id.start > b.id.start;
@@ -177,7 +177,8 @@
 }
 
 void membership_core::refute(const member& seen) {
-  // Somebody says worse of this host than it says itself.
+  // Another host reports a state of this host that differs from its own: a higher version
+  // overrides it.
   if (seen.id == this->own.id && seen.state != this->own.state &&
       seen.version >= this->own.version) {
     this->own.version = seen.version + 1;
@@ -230,7 +231,7 @@
 membership_actions membership_core::receive(const probe_message& message, timestamp now) {
   membership_actions out;
   for (const member& seen : message.updates) {
-    // The sender speaks for itself; its word of a new incarnation is first-hand.
+    // The sender's entry for itself is always included, so a new incarnation is known at once.
     this->merge(seen, now, out);
   }
   const std::uint64_t sequence = message.sequence;
--- a/libs/membership/test/membership_core_test.cc
+++ b/libs/membership/test/membership_core_test.cc
@@ -1,4 +1,4 @@
-// Tests of membership on virtual time, many cores in one process.
+// Tests of membership with simulated time and many cores in one process.
 #include "hawthornlane/membership/membership_core.h"
 
 #include <catch2/catch.hpp>
@@ -17,14 +17,14 @@
   return host;
 }
 
-/// Hosts that exchange probes; a stopped one neither sends nor answers.
+/// Hosts that exchange probes. A stopped host neither sends nor answers.
 class world {
 public:
   explicit world(std::size_t count, double loss) : drop(loss) {
     for (std::size_t at = 0; at < count; ++at) {
       this->cores.emplace_back(member_of(at), membership_times{});
       this->stopped.push_back(false);
-      // Everybody knows the first host, and it everybody, as from the platform's list.
+      // As from the platform's list, each host knows the first one, and the first one knows all.
       this->cores[at].listed(member_of(0), this->now);
     }
     for (std::size_t at = 1; at < count; ++at) {
@@ -78,7 +78,8 @@
 
 }  // namespace
 
-TEST_CASE("every host learns of every other") {
+// At first each host knows only itself and the first host; the rest is spread by gossip.
+TEST_CASE("every host learns about every other host") {
   const auto count = GENERATE(std::size_t{3}, std::size_t{9}, std::size_t{40});
   world hosts(count, 0);
   hosts.run(60);
@@ -88,7 +89,7 @@
   }
 }
 
-TEST_CASE("a host that stopped answering is gone everywhere within seconds") {
+TEST_CASE("a host that stops answering is gone in the view of all others within seconds") {
   world hosts(9, 0);
   hosts.run(40);
   hosts.stopped[4] = true;
@@ -96,6 +97,7 @@
   CHECK(hosts.seen_as(4, member_state::gone) == 8);
 }
 
+// One message in ten is lost. Probes through other hosts and refutation prevent a false removal.
 TEST_CASE("lost messages alone do not make hosts disappear") {
   world hosts(9, 0.1);
   hosts.run(400);
@@ -105,7 +107,8 @@
   }
 }
 
-TEST_CASE("a host that was only paused refutes its suspicion") {
+// The pause is shorter than the suspicion timeout.
+TEST_CASE("a host that was paused for a short time refutes the suspicion against it") {
   world hosts(5, 0);
   hosts.run(30);
   hosts.stopped[2] = true;
@@ -123,7 +126,8 @@
   CHECK(hosts.seen_as(3, member_state::leaving) == 5);
 }
 
-TEST_CASE("a probe says whether its sender knows its documents to be current") {
+// A host must not become ready because it agrees with a host whose documents may be outdated.
+TEST_CASE("a probe tells whether its sender knows its documents to be current") {
   membership_core core(member_of(0), {});
   core.listed(member_of(1), timestamp{});
   const auto current = GENERATE(false, true);
