--- a/libs/ownership/include/hawthornlane/ownership/actions.h
+++ b/libs/ownership/include/hawthornlane/ownership/actions.h
@@ -33,7 +33,7 @@
 struct dispatch_call {
   call_id call;
   intent_logged intent;
-  /// After a takeover, a call that the former owner may still be sending goes first.
+  /// Until then, after a takeover, the former owner may still be sending a call of the program.
   timestamp not_before;
   /// After this time the send needs a new confirmation; see `shard_core::may_send`.
   timestamp send_by;
--- a/libs/ownership/include/hawthornlane/ownership/assignment.h
+++ b/libs/ownership/include/hawthornlane/ownership/assignment.h
@@ -15,7 +15,7 @@
   host_incarnation owner;
   /// Hosts that hold the log in addition to the owner. Never contains the owner.
   std::vector<host_incarnation> replicas;
-  /// Random number of the proposer, which recognises its own write by it.
+  /// Chosen by the proposer to recognise its own write.
   std::uint64_t nonce = 0;
 
   friend bool operator==(const assignment&, const assignment&) = default;
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -172,7 +172,7 @@
     }
   };
 
-  /// A result that arrived after this host was deposed; the new owner has to store it.
+  /// A result that this host has as a former owner; the new owner has to store it.
   struct late_call {
     call_id call;
     turn_finished result;
@@ -244,8 +244,8 @@
   /// The proposal whose outcome is unknown. Invariant: at most one.
   std::optional<assignment> proposed;
 
-  /// The highest epoch seen. Invariant: never decreases; no record of a lower epoch is appended
-  /// here.
+  /// The highest epoch to which this host was sealed. Invariant: never decreases; no record of a
+  /// lower epoch is appended here.
   epoch sealed;
   std::optional<held_log> held;
   /// Appends of the current epoch that arrived before an earlier one; at most `most_early`.
