--- a/bench/policy.cc
+++ b/bench/policy.cc
@@ -104,7 +104,7 @@
 
 class own_policy final : public policy {
 public:
-  own_policy(std::size_t count, schedule_parts chosen) : servers(count), parts(chosen) {
+  own_policy(std::size_t count, policy_features chosen) : servers(count), parts(chosen) {
     this->make();
   }
 
@@ -171,7 +171,7 @@
 
 private:
   void make() {
-    this->core = std::make_unique<scheduler>(window_limits{}, schedule_times{}, this->parts);
+    this->core = std::make_unique<scheduler>(window_limits{}, scheduler_settings{}, this->parts);
     for (std::size_t server = 0; server < this->servers; ++server) {
       this->core->add_server(server_id(server), timestamp{});
     }
@@ -186,23 +186,23 @@
   }
 
   std::size_t servers;
-  schedule_parts parts;
+  policy_features parts;
   std::unique_ptr<scheduler> core;
   double mean_answer = 200;
   /// Calls that a removed server gave up; sent with the next tick.
   std::vector<bench_decision> moved;
 };
 
-const std::map<std::string, bool schedule_parts::*>& switches() {
-  static const std::map<std::string, bool schedule_parts::*> table{
-      {"window", &schedule_parts::window},
-      {"program-order", &schedule_parts::program_order},
-      {"ageing", &schedule_parts::ageing},
-      {"predicted-choice", &schedule_parts::predicted_choice},
-      {"stealing", &schedule_parts::stealing},
-      {"working-set", &schedule_parts::working_set},
-      {"fair-accounts", &schedule_parts::fair_accounts},
-      {"exclude-failing", &schedule_parts::exclude_failing}};
+const std::map<std::string, bool policy_features::*>& switches() {
+  static const std::map<std::string, bool policy_features::*> table{
+      {"window", &policy_features::window},
+      {"program-order", &policy_features::program_order},
+      {"ageing", &policy_features::ageing},
+      {"predicted-choice", &policy_features::predicted_choice},
+      {"stealing", &policy_features::stealing},
+      {"working-set", &policy_features::working_set},
+      {"fair-accounts", &policy_features::fair_accounts},
+      {"exclude-failing", &policy_features::exclude_failing}};
   return table;
 }
 
@@ -226,7 +226,7 @@
   if (name == "affinity") {
     return std::make_unique<affinity>(servers);
   }
-  schedule_parts parts;
+  policy_features parts;
   if (name == "hawthornlane") {
     return std::make_unique<own_policy>(servers, parts);
   }
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -12,9 +12,9 @@
 
 #include "hawthornlane/accounts/account_table.h"
 #include "hawthornlane/document/service_document.h"
-#include "hawthornlane/limits/credit_steward.h"
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/credit_split.h"
 #include "hawthornlane/limits/quota_lease.h"
+#include "hawthornlane/limits/quota_manager.h"
 #include "hawthornlane/limits/quota_round.h"
 #include "hawthornlane/membership/membership_core.h"
 #include "hawthornlane/ownership/placement.h"
@@ -135,21 +135,22 @@
         shard.turn(program, 4000);
       }
     }
-    const held_log log = *shard.cores[0].log();
+    const log_snapshot log = *shard.cores[0].log();
     std::string bytes;
     const double us = each_us(20, [&](std::size_t) { bytes = to_bytes(log); });
     print("install: 40 kB programs in the shard", programs, "bytes",
           static_cast<double>(bytes.size()));
     print("install: 40 kB programs in the shard", programs, "us encode", us);
-    const double back = each_us(20, [&](std::size_t) { held_log_from_bytes(bytes); });
+    const double back = each_us(20, [&](std::size_t) { log_snapshot_from_bytes(bytes); });
     print("install: 40 kB programs in the shard", programs, "us decode", back);
     const double tick = each_us(1000, [&](std::size_t) { shard.cores[0].tick(shard.now); });
     print("tick of an idle shard: programs", programs, "us", tick);
     std::size_t broken = 0;
     const double whole =
         each_us(50, [&](std::size_t) { broken += shard.cores[0].broken_invariant().size(); });
-    const double newest =
-        each_us(50, [&](std::size_t) { broken += shard.cores[0].broken_by_newest_turn().size(); });
+    const double newest = each_us(50, [&](std::size_t) {
+      broken += shard.cores[0].broken_invariant_in_newest_turns().size();
+    });
     print("check of whole histories: 40 kB programs", programs, "us", whole);
     print("check of newest turns: 40 kB programs", programs, "us", newest);
     print("checks that failed: 40 kB programs", programs, "count", static_cast<double>(broken));
@@ -281,14 +282,14 @@
     rules.learns_speed = true;
     server_pool pool(rules, host_id("host-0"), availability_zone("zone-0"));
     pool.set_servers(servers_over_zones(servers), timestamp{});
-    pool.note_fill(1);
+    pool.set_utilization(1);
     timestamp now{};
     std::vector<placement> placed;
     const double us = each_us(10'000, [&](std::size_t at) {
       now += std::chrono::milliseconds(1);
       placement_request request = turn_of(at);
       request.prompt.clear();
-      if (pool.question_for(request, now).servers.size() > servers) {
+      if (pool.directory_request_for(request, now).servers.size() > servers) {
         return;
       }
       pool.submit(request, now, placed);
@@ -313,7 +314,7 @@
     const auto place = [&] {
       now += std::chrono::milliseconds(1);
       const placement_request request = turn_of(number++);
-      if (pool.question_for(request, now).parts.empty()) {
+      if (pool.directory_request_for(request, now).parts.empty()) {
         return;
       }
       pool.submit(request, now, placed);
@@ -409,7 +410,7 @@
     const account_table_ptr table = table_of(accounts);
     const double before = resident_mb();
     constexpr std::size_t keepers = 5;
-    quota_keeper keeper(quota_rules{std::chrono::seconds(5), 0.1, 20});
+    quota_manager keeper(quota_tolerance{std::chrono::seconds(5), 0.1, 20});
     ledger_set set;
     quota_lease_view lease{disk_id("disk-0"), set, {}, {}};
     for (std::size_t at = 0; at < keepers; ++at) {
@@ -417,12 +418,12 @@
       lease.heard.push_back({set.members.back(), {}, {}});
     }
     timestamp now{};
-    keeper.keep(1.0 / keepers, now);
+    keeper.set_share(1.0 / keepers, now);
     std::size_t granted = 0;
     const auto check = [&](std::size_t at) {
       now += std::chrono::microseconds(100);
-      for (member_word& word : lease.heard) {
-        word.heard_at = now;
+      for (member_probe_result& word : lease.heard) {
+        word.received_at = now;
       }
       const account& caller = table->accounts()[at * 7919 % accounts];
       quota_round round(keepers);
--- a/libs/cache/include/hawthornlane/cache/prefix_mirror.h
+++ b/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
@@ -14,9 +14,9 @@
 /// and with gaps; this costs no message and is right as long as the engine evicts
 /// in about that order. A program that is wrongly believed to be held costs a
 /// prefill, never more.
-class prefix_mirror {
+class prefix_cache_model {
 public:
-  explicit prefix_mirror(token_count most) : capacity(most) {}
+  explicit prefix_cache_model(token_count most) : capacity(most) {}
 
   /// A call of the program is at the server with that many tokens.
   void use(const program_id& program, token_count tokens, timestamp now);
--- a/libs/cache/include/hawthornlane/cache/release_ledger.h
+++ b/libs/cache/include/hawthornlane/cache/release_tracker.h
@@ -12,7 +12,7 @@
 namespace hawthornlane {
 
 /// Ask that server to give back the program's memory.
-struct release_order {
+struct release_request {
   program_id program;
   backend_server_id server;
 };
@@ -25,7 +25,7 @@
   std::set<program_id> holding;
 };
 
-struct release_times {
+struct release_settings {
   duration retry_after = std::chrono::seconds(1);
   duration longest_retry = std::chrono::seconds(30);
   /// Reports may be this old; what was sent since is not judged by them.
@@ -37,20 +37,20 @@
 /// Promise: a program that has ended and was ever sent to a server, or was ever
 /// reported by one, is ordered to be released there until the server confirms or
 /// a later report no longer names it, whatever is lost on the way.
-class release_ledger {
+class release_tracker {
 public:
-  explicit release_ledger(release_times timing) : times(timing) {}
+  explicit release_tracker(release_settings timing) : times(timing) {}
 
   /// A call of the program went to the server.
   void sent(const program_id& program, const backend_server_id& server, timestamp now);
   /// The program has ended, failed, used its budget up or been idle too long.
-  std::vector<release_order> ended(const program_id& program, timestamp now);
+  std::vector<release_request> ended(const program_id& program, timestamp now);
   void confirmed(const program_id& program, const backend_server_id& server);
   /// Compares a report with the programs that live; orphans are ordered out.
-  std::vector<release_order> reported(const cache_report& report, timestamp now,
-                                      const std::set<program_id>& living);
+  std::vector<release_request> reported(const cache_report& report, timestamp now,
+                                        const std::set<program_id>& living);
   /// Orders that are due again.
-  std::vector<release_order> tick(timestamp now);
+  std::vector<release_request> tick(timestamp now);
   [[nodiscard]] std::size_t open_releases() const { return this->releasing.size(); }
 
 private:
@@ -60,9 +60,9 @@
     duration wait;
   };
   using place = std::pair<program_id, backend_server_id>;
-  void order(const place& where, timestamp now, std::vector<release_order>& out);
+  void order(const place& where, timestamp now, std::vector<release_request>& out);
 
-  release_times times;
+  release_settings times;
   std::map<program_id, std::map<backend_server_id, timestamp>> resident;
   std::map<place, pending> releasing;
 };
--- a/libs/cache/src/prefix_mirror.cc
+++ b/libs/cache/src/prefix_cache_model.cc
@@ -1,11 +1,11 @@
 // A mirrored least-recently-used cache.
-#include "hawthornlane/cache/prefix_mirror.h"
+#include "hawthornlane/cache/prefix_cache_model.h"
 
 #include <iterator>
 
 namespace hawthornlane {
 
-void prefix_mirror::use(const program_id& program, token_count tokens, timestamp now) {
+void prefix_cache_model::use(const program_id& program, token_count tokens, timestamp now) {
   this->erase(program);
   this->entries.push_back({program, tokens, now});
   this->index[program] = std::prev(this->entries.end());
@@ -15,7 +15,7 @@
   }
 }
 
-void prefix_mirror::erase(const program_id& program) {
+void prefix_cache_model::erase(const program_id& program) {
   const auto found = this->index.find(program);
   if (found == this->index.end()) {
     return;
@@ -25,15 +25,17 @@
   this->index.erase(found);
 }
 
-void prefix_mirror::clear() {
+void prefix_cache_model::clear() {
   this->entries.clear();
   this->index.clear();
   this->sum = token_count(0);
 }
 
-bool prefix_mirror::holds(const program_id& program) const { return this->index.contains(program); }
+bool prefix_cache_model::holds(const program_id& program) const {
+  return this->index.contains(program);
+}
 
-bool prefix_mirror::would_evict_recent(token_count tokens, duration age, timestamp now) const {
+bool prefix_cache_model::would_evict_recent(token_count tokens, duration age, timestamp now) const {
   token_count free = this->capacity - this->sum;
   for (const entry& item : this->entries) {
     if (free >= tokens) {
--- a/libs/cache/src/release_ledger.cc
+++ b/libs/cache/src/release_tracker.cc
@@ -1,17 +1,17 @@
 // Releases until they are confirmed.
-#include "hawthornlane/cache/release_ledger.h"
+#include "hawthornlane/cache/release_tracker.h"
 
 #include <algorithm>
 
 namespace hawthornlane {
 
-void release_ledger::sent(const program_id& program, const backend_server_id& server,
-                          timestamp now) {
+void release_tracker::sent(const program_id& program, const backend_server_id& server,
+                           timestamp now) {
   this->resident[program][server] = now;
   this->releasing.erase({program, server});
 }
 
-void release_ledger::order(const place& where, timestamp now, std::vector<release_order>& out) {
+void release_tracker::order(const place& where, timestamp now, std::vector<release_request>& out) {
   const auto [at, added] =
       this->releasing.emplace(where, pending{now, now, this->times.retry_after});
   if (added) {
@@ -19,8 +19,8 @@
   }
 }
 
-std::vector<release_order> release_ledger::ended(const program_id& program, timestamp now) {
-  std::vector<release_order> out;
+std::vector<release_request> release_tracker::ended(const program_id& program, timestamp now) {
+  std::vector<release_request> out;
   const auto found = this->resident.find(program);
   if (found == this->resident.end()) {
     return out;
@@ -32,13 +32,13 @@
   return out;
 }
 
-void release_ledger::confirmed(const program_id& program, const backend_server_id& server) {
+void release_tracker::confirmed(const program_id& program, const backend_server_id& server) {
   this->releasing.erase({program, server});
 }
 
-std::vector<release_order> release_ledger::reported(const cache_report& report, timestamp now,
-                                                    const std::set<program_id>& living) {
-  std::vector<release_order> out;
+std::vector<release_request> release_tracker::reported(const cache_report& report, timestamp now,
+                                                       const std::set<program_id>& living) {
+  std::vector<release_request> out;
   for (auto at = this->releasing.begin(); at != this->releasing.end();) {
     const bool gone = at->first.second == report.server &&
                       !report.holding.contains(at->first.first) && report.as_of > at->second.since;
@@ -60,8 +60,8 @@
   return out;
 }
 
-std::vector<release_order> release_ledger::tick(timestamp now) {
-  std::vector<release_order> out;
+std::vector<release_request> release_tracker::tick(timestamp now) {
+  std::vector<release_request> out;
   for (auto& [where, item] : this->releasing) {
     if (now - item.last >= item.wait) {
       item.last = now;
--- a/libs/cache/test/cache_test.cc
+++ b/libs/cache/test/cache_test.cc
@@ -2,8 +2,8 @@
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/cache/pause_predictor.h"
-#include "hawthornlane/cache/prefix_mirror.h"
-#include "hawthornlane/cache/release_ledger.h"
+#include "hawthornlane/cache/prefix_cache_model.h"
+#include "hawthornlane/cache/release_tracker.h"
 
 using namespace hawthornlane;
 
@@ -15,7 +15,7 @@
 }  // namespace
 
 TEST_CASE("the mirror evicts the least recently used and protects recent ones") {
-  prefix_mirror mirror(token_count(100));
+  prefix_cache_model mirror(token_count(100));
   mirror.use(one, token_count(60), at(0));
   mirror.use(two, token_count(30), at(10));
   CHECK_FALSE(mirror.would_evict_recent(token_count(10), std::chrono::seconds(5), at(11)));
@@ -41,7 +41,7 @@
 }
 
 TEST_CASE("a release is ordered again until the server confirms it") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   ledger.sent(one, server, at(0));
   CHECK(ledger.ended(one, at(1)).size() == 1);
   CHECK(ledger.tick(at(1)).empty());
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("an order whose answer was lost ends with a later report, not an older one") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(10));
   ledger.reported({server, at(9), {}}, at(11), {});
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("memory of programs that nobody here knows is ordered out by report") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   const auto orders = ledger.reported({server, at(5), {one, two}}, at(6), {two});
   REQUIRE(orders.size() == 1);
   CHECK(orders.front().program == one);
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("a program that goes on after its release was ordered is not released") {
-  release_ledger ledger({});
+  release_tracker ledger({});
   ledger.sent(one, server, at(0));
   ledger.ended(one, at(1));
   ledger.sent(one, server, at(2));
--- a/libs/discovery/include/hawthornlane/discovery/fleet_state.h
+++ b/libs/discovery/include/hawthornlane/discovery/fleet_state.h
@@ -36,7 +36,7 @@
   /// lapsed meanwhile and are doubted for a while.
   void store_is_back();
   /// Drops entries whose doubt is over.
-  void settle();
+  void drop_expired_removals();
 
   [[nodiscard]] const route_table_ptr& table() const { return this->config.current(); }
   /// The configuration in force, for peers that lack it.
--- a/libs/discovery/src/fleet_state.cc
+++ b/libs/discovery/src/fleet_state.cc
@@ -63,7 +63,7 @@
     if (this->servers.listed().contains(id)) {
       continue;
     }
-    const bool doubted = this->servers.in_doubt().contains(id);
+    const bool doubted = this->servers.pending_removals().contains(id);
     log_backend(doubted ? event::backend_doubted : event::backend_gone, entry, at, source);
   }
   this->servers_changed_at = at;
@@ -101,21 +101,21 @@
 }
 
 void fleet_state::store_is_back() {
-  this->servers.doubt_removals_until(scheduler_now() + lapse_grace);
+  this->servers.defer_removals_until(scheduler_now() + lapse_grace);
 }
 
-void fleet_state::settle() {
-  if (this->servers.in_doubt().empty()) {
+void fleet_state::drop_expired_removals() {
+  if (this->servers.pending_removals().empty()) {
     return;
   }
-  const auto doubted = this->servers.in_doubt();
-  this->servers.settle(scheduler_now());
+  const auto doubted = this->servers.pending_removals();
+  this->servers.drop_expired_removals(scheduler_now());
   for (const auto& [id, entry] : doubted) {
-    if (!this->servers.in_doubt().contains(id) && !this->servers.listed().contains(id)) {
+    if (!this->servers.pending_removals().contains(id) && !this->servers.listed().contains(id)) {
       log_backend(event::backend_gone, entry, this->servers.at(), "doubt over");
     }
   }
-  if (this->servers.in_doubt().size() != doubted.size()) {
+  if (this->servers.pending_removals().size() != doubted.size()) {
     this->backends_hook();
   }
 }
@@ -130,7 +130,7 @@
     }
   };
   add(this->servers.listed());
-  add(this->servers.in_doubt());
+  add(this->servers.pending_removals());
   return usable;
 }
 
--- a/libs/disk/include/hawthornlane/disk/disk_settings.h
+++ b/libs/disk/include/hawthornlane/disk/disk_settings.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "hawthornlane/discovery/host_settings.h"
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 namespace hawthornlane::disk {
 
@@ -19,7 +19,7 @@
   /// Disk hosts that may be lost at the same time.
   std::uint32_t tolerated_losses = 1;
   /// How exactly client accounts' quotas have to be kept.
-  quota_rules quotas;
+  quota_tolerance quotas;
 };
 
 /// The keys that a settings file may hold.
--- a/libs/disk/include/hawthornlane/disk/ledger_store.h
+++ b/libs/disk/include/hawthornlane/disk/ledger_store.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "hawthornlane/turn_ledger/ledger_copy.h"
+#include "hawthornlane/turn_ledger/ledger_replica.h"
 #include "hawthornlane/turn_ledger/set_change.h"
 #include "hawthornlane/turn_log/turn_log.h"
 
@@ -48,7 +48,7 @@
   void tick();
 
   [[nodiscard]] const disk_id& identity() const { return this->id; }
-  [[nodiscard]] const ledger_copy& held() const { return this->copy; }
+  [[nodiscard]] const ledger_replica& held() const { return this->copy; }
   [[nodiscard]] std::uint64_t log_bytes() const { return this->log->size(); }
   [[nodiscard]] bool failed() const { return this->broken; }
 
@@ -88,7 +88,7 @@
   std::uint64_t most_bytes;
   side_journal beside;
   disk_id id;
-  ledger_copy copy;
+  ledger_replica copy;
   /// Nothing, or one whose epoch is the fence or lower.
   std::optional<ledger_set> newest;
   set_epoch copied;
--- a/libs/disk/include/hawthornlane/disk/quota_service.h
+++ b/libs/disk/include/hawthornlane/disk/quota_service.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "hawthornlane/disk/ledger_store.h"
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 #include "hawthornlane/net/rpc.h"
 
 namespace hawthornlane::disk {
@@ -25,7 +25,7 @@
 /// For one thread. Without the lease it grants nothing.
 class quota_service {
 public:
-  quota_service(quota_rules rules, quota_hooks hooks);
+  quota_service(quota_tolerance rules, quota_hooks hooks);
   quota_service(const quota_service&) = delete;
   quota_service& operator=(const quota_service&) = delete;
   ~quota_service() = default;
@@ -35,7 +35,7 @@
   /// Answers a front host's question; a grant is answered with nothing when the disk failed.
   void serve(const std::string& payload, const net::rpc_reply& reply);
   /// From now on this host keeps so much of each quota.
-  void keep(double part);
+  void set_share(double part);
   /// Forgets accounts that need not be remembered.
   void forget_idle();
   /// Accounts in use.
@@ -50,7 +50,7 @@
   void write_grants();
 
   quota_hooks hooks;
-  quota_keeper keeper;
+  quota_manager keeper;
   /// Grants that are not on disk yet: their askers are told when they are.
   std::vector<std::function<void(bool good)>> unwritten;
   bool writing = false;
--- a/libs/disk/src/disk_host.cc
+++ b/libs/disk/src/disk_host.cc
@@ -89,7 +89,7 @@
   add("quota_calls_of_a_program",
       static_cast<std::uint64_t>(std::lround(this->quotas.calls_of_a_program())));
   add("set_epoch", this->set ? this->set->epoch.get() : 0);
-  add("fence", this->ledger.held().fenced_at().get());
+  add("fence", this->ledger.held().fence_epoch().get());
   add("store_objects_malformed", this->faults.count());
   add("store_reads", this->store.counters().reads);
   add("store_watches", this->store.counters().watches);
@@ -104,12 +104,12 @@
         {{"kind", "hosts"}, {"detail", detail}});
   };
   hosts.on_listing = [this](const object_page& page) {
-    this->take_set(page);
+    this->adopt_ledger_set(page);
     this->fleet.list_hosts(page.at, discovery::host_entries_of(page, this->faults));
     this->refresh_peers();
   };
   hosts.on_changes = [this](const object_page& page) {
-    this->take_set(page);
+    this->adopt_ledger_set(page);
     this->fleet.change_hosts(page.at, discovery::host_changes_of(page, this->faults));
     this->refresh_peers();
   };
@@ -148,29 +148,29 @@
   this->faults.note(object_kind::retirements, found);
 }
 
-void disk_host::state::take_set(const object_page& page) {
+void disk_host::state::adopt_ledger_set(const object_page& page) {
   for (const auto& item : page.items) {
     if (!item.removed && platform_adapter::is_ledger_object(item.object)) {
-      this->take_set(item.object);
+      this->adopt_ledger_set(item.object);
     }
   }
 }
 
-void disk_host::state::take_set(const platform_adapter::stored_object& object) {
+void disk_host::state::adopt_ledger_set(const platform_adapter::stored_object& object) {
   // One that cannot be read is told of where the hosts' entries of the page are read.
   failure ignored;
   const auto told = platform_adapter::ledger_set_from(object, ignored);
   if (!told) {
     return;
   }
-  this->set_told_at = steady::now();
+  this->set_confirmed_at = steady::now();
   if (this->set && told->epoch <= this->set->epoch) {
     return;
   }
   this->set = told;
   this->set_revision = object.revision;
   this->ledger.set_newest(*told);
-  this->quotas.keep(quota_part(*told, this->ledger.identity()));
+  this->quotas.set_share(quota_share(*told, this->ledger.identity()));
   log(event::ledger_set_changed, {{"epoch", std::to_string(told->epoch.get())},
                                   {"members", std::to_string(told->members.size())},
                                   {"joint", told->joint() ? "yes" : "no"}});
@@ -191,7 +191,7 @@
     known.link = std::make_shared<net::rpc_client>(this->context, this->sweeper, entry.peers_at);
     known.heard = {};
     this->probe(name, known);
-    known.heard_at = steady::now();
+    known.received_at = steady::now();
     known.answered = false;
   }
 }
@@ -226,13 +226,13 @@
 void disk_host::state::probe(const host_id& name, const peer& other) {
   other.link->call(static_cast<std::uint16_t>(ledger_method::probe), "", probe_limit,
                    [this, name](net::rpc_failure why, const std::string& bytes) {
-                     const auto answer = from_bytes<probe_answer>(bytes);
+                     const auto answer = from_bytes<probe_response>(bytes);
                      const auto found = this->peers.find(name);
                      if (why != net::rpc_failure::none || !answer || found == this->peers.end()) {
                        return;
                      }
                      found->second.heard = *answer;
-                     found->second.heard_at = steady::now();
+                     found->second.received_at = steady::now();
                      found->second.answered = true;
                    });
 }
--- a/libs/disk/src/disk_host_state.h
+++ b/libs/disk/src/disk_host_state.h
@@ -29,8 +29,8 @@
   struct peer {
     host_entry entry;
     std::shared_ptr<net::rpc_client> link;
-    probe_answer heard;
-    net::steady_time heard_at{};
+    probe_response heard;
+    net::steady_time received_at{};
     /// `heard_at` is the time of an answer, and not of the first news of the host.
     bool answered = false;
   };
@@ -60,7 +60,7 @@
   std::optional<ledger_set> set;
   store_revision set_revision;
   /// When the store last named the set, while this process ran.
-  net::steady_time set_told_at{};
+  net::steady_time set_confirmed_at{};
   /// Hosts to be emptied, and since when this host knows.
   struct known_retirement {
     platform_adapter::retirement request;
@@ -85,8 +85,8 @@
   std::string metrics_text();
   void follow_store();
   void take_retirements(const platform_adapter::object_page& page);
-  void take_set(const platform_adapter::object_page& page);
-  void take_set(const platform_adapter::stored_object& object);
+  void adopt_ledger_set(const platform_adapter::object_page& page);
+  void adopt_ledger_set(const platform_adapter::stored_object& object);
   void refresh_peers();
   void on_pass();
   void probe_peers();
@@ -100,7 +100,7 @@
   /// Half of the time to empty a host is left for a spare to come.
   [[nodiscard]] bool must_leave(const host_id& name) const;
   /// So many disks before this one have had their time to make a change that is due.
-  std::size_t passed_over();
+  std::size_t skipped_candidates();
   [[nodiscard]] set_view view() const;
   static boost::asio::awaitable<void> run_duties(std::shared_ptr<state> self);
   static boost::asio::awaitable<void> change_set(std::shared_ptr<state> self);
--- a/libs/disk/src/disk_membership.cc
+++ b/libs/disk/src/disk_membership.cc
@@ -22,7 +22,7 @@
 /// One of a set of two: without it nothing can be decided, so waiting costs service.
 /// Several probes and a repeated packet fit in; a hiccup must not leave one alone.
 constexpr auto patience_of_two = std::chrono::milliseconds(1000);
-static_assert(quota_lease < patience);
+static_assert(quota_lease_duration < patience);
 /// Disk hosts start within 0.3 s of each other; the first set waits for them.
 constexpr auto first_set_wait = std::chrono::milliseconds(1500);
 /// For the first disk to make a change that is due, before the next one does: two
@@ -46,11 +46,12 @@
   if (!this->set) {
     return false;
   }
-  quota_lease_view view{this->ledger.identity(), *this->set, timestamp_of(this->set_told_at), {}};
+  quota_lease_view view{
+      this->ledger.identity(), *this->set, timestamp_of(this->set_confirmed_at), {}};
   for (const auto& [name, other] : this->peers) {
     if (other.answered) {
       view.heard.push_back(
-          {disk_id(other.entry.disk), timestamp_of(other.heard_at), other.heard.fence});
+          {disk_id(other.entry.disk), timestamp_of(other.received_at), other.heard.fence});
     }
   }
   return holds_quota_lease(view, discovery::scheduler_now());
@@ -62,9 +63,9 @@
          steady::now() - known->second.since >= known->second.request.within / 2;
 }
 
-std::size_t disk_host::state::passed_over() {
+std::size_t disk_host::state::skipped_candidates() {
   set_view anybody = this->view();
-  anybody.passed_over = anybody.disks.size();
+  anybody.skipped_candidates = anybody.disks.size();
   const bool due = decide_set_change(anybody).step == set_step::propose;
   const net::steady_time now = steady::now();
   const set_epoch epoch = this->set ? this->set->epoch : set_epoch(0);
@@ -83,11 +84,11 @@
   set_view view;
   view.self = this->ledger.identity();
   view.set = this->set;
-  view.wanted = std::size_t{2} * this->settings.tolerated_losses + 1;
+  view.target_size = std::size_t{2} * this->settings.tolerated_losses + 1;
   view.disks.push_back({view.self, true, this->is_retiring(this->self.name),
                         this->must_leave(this->self.name), this->copied});
   for (const auto& [name, other] : this->peers) {
-    view.disks.push_back({disk_id(other.entry.disk), now - other.heard_at < wait,
+    view.disks.push_back({disk_id(other.entry.disk), now - other.received_at < wait,
                           this->is_retiring(name), this->must_leave(name), other.heard.copied});
   }
   return view;
@@ -107,7 +108,7 @@
   }
   for (int step = 0; step < most_steps; ++step) {
     set_view view = self->view();
-    view.passed_over = self->passed_over();
+    view.skipped_candidates = self->skipped_candidates();
     const set_decision decision = decide_set_change(view);
     if (decision.step == set_step::nothing) {
       break;
@@ -139,7 +140,7 @@
   const store_outcome read = co_await self->store.get(
       object_kind::hosts, platform_adapter::ledger_object_name, held, read_reason);
   if (read == store_outcome::done) {
-    self->take_set(held);
+    self->adopt_ledger_set(held);
   }
   log(outcome == store_outcome::done ? event::ledger_set_changed : event::ledger_set_change_failed,
       {{"epoch", std::to_string(decision.proposed.epoch.get())},
@@ -219,7 +220,7 @@
                                                   const ledger_set joint, const disk_id member) {
   const std::string fence_bytes = to_bytes(fence_request{joint});
   const auto fenced = co_await ask(self, member, ledger_method::fence, fence_bytes, fence_limit);
-  const auto state_there = fenced ? from_bytes<probe_answer>(*fenced) : std::nullopt;
+  const auto state_there = fenced ? from_bytes<probe_response>(*fenced) : std::nullopt;
   if (!state_there || state_there->disk != member) {
     co_return false;
   }
--- a/libs/disk/src/ledger_store.cc
+++ b/libs/disk/src/ledger_store.cc
@@ -68,12 +68,13 @@
   if (!this->log) {
     throw std::runtime_error("data folder: " + reason.detail);
   }
-  hawthornlane::log(event::disk_opened, {{"disk", this->id.get()},
-                                         {"records", std::to_string(found.records)},
-                                         {"segments", std::to_string(found.segments)},
-                                         {"torn_bytes", std::to_string(found.torn_bytes)},
-                                         {"turns", std::to_string(this->copy.turns())},
-                                         {"fence", std::to_string(this->copy.fenced_at().get())}});
+  hawthornlane::log(event::disk_opened,
+                    {{"disk", this->id.get()},
+                     {"records", std::to_string(found.records)},
+                     {"segments", std::to_string(found.segments)},
+                     {"torn_bytes", std::to_string(found.torn_bytes)},
+                     {"turns", std::to_string(this->copy.turns())},
+                     {"fence", std::to_string(this->copy.fence_epoch().get())}});
 }
 
 ledger_store::~ledger_store() = default;
@@ -98,7 +99,7 @@
   const std::string payload(bytes.substr(1));
   if (bytes.front() == fence_tag) {
     this->take_fence(payload);
-    this->logged_fence = this->copy.fenced_at();
+    this->logged_fence = this->copy.fence_epoch();
     return;
   }
   if (bytes.front() == beside_tag) {
@@ -123,7 +124,7 @@
 }
 
 std::string ledger_store::fence_bytes() const {
-  const set_epoch fence = this->copy.fenced_at();
+  const set_epoch fence = this->copy.fence_epoch();
   const bool knows_set = this->newest && this->newest->epoch == fence;
   return knows_set ? to_bytes(fence_request{*this->newest}) : to_bytes(fence_mark{fence});
 }
@@ -144,7 +145,7 @@
 }
 
 void ledger_store::append_fence() {
-  this->logged_fence = this->copy.fenced_at();
+  this->logged_fence = this->copy.fence_epoch();
   this->last_record = this->log->append(tagged(fence_tag, this->fence_bytes()));
 }
 
@@ -191,7 +192,7 @@
       return;
     }
     case ledger_method::probe:
-      answer(to_bytes(probe_answer{this->id, this->copy.fenced_at(), this->copied}));
+      answer(to_bytes(probe_response{this->id, this->copy.fence_epoch(), this->copied}));
       return;
     case ledger_method::quota:
       // Not the ledger's to answer.
@@ -206,7 +207,7 @@
     answer(std::nullopt);
     return;
   }
-  program_answer result;
+  program_response result;
   result.disk = this->id;
   if (!this->copy.accepts(request->epoch)) {
     result.stale = true;
@@ -229,7 +230,7 @@
     answer(std::nullopt);
     return;
   }
-  program_answer result;
+  program_response result;
   result.disk = this->id;
   result.stale = !this->copy.accepts(request->epoch);
   if (result.stale) {
@@ -246,7 +247,7 @@
     answer(std::nullopt);
     return;
   }
-  chain_answer result;
+  chain_response result;
   if (this->copy.accepts(request->epoch)) {
     result = this->copy.chain_of(request->last);
   } else {
@@ -262,11 +263,11 @@
     answer(std::nullopt);
     return;
   }
-  if (this->copy.fenced_at() > this->logged_fence) {
+  if (this->copy.fence_epoch() > this->logged_fence) {
     this->append_fence();
   }
   this->when_durable([this, answer](bool good) {
-    const probe_answer result{this->id, this->copy.fenced_at(), this->copied};
+    const probe_response result{this->id, this->copy.fence_epoch(), this->copied};
     answer(good ? std::optional(to_bytes(result)) : std::nullopt);
   });
 }
--- a/libs/disk/src/quota_service.cc
+++ b/libs/disk/src/quota_service.cc
@@ -10,13 +10,13 @@
 
 namespace {
 
-std::string_view name_of(quota_verdict verdict) {
-  switch (verdict) {
-    case quota_verdict::granted:
+std::string_view name_of(quota_outcome outcome) {
+  switch (outcome) {
+    case quota_outcome::granted:
       return "granted";
-    case quota_verdict::refused:
+    case quota_outcome::refused:
       return "refused";
-    case quota_verdict::not_kept:
+    case quota_outcome::not_kept:
       return "not_kept";
   }
   return "";
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-quota_service::quota_service(quota_rules rules, quota_hooks with)
+quota_service::quota_service(quota_tolerance rules, quota_hooks with)
     : hooks(std::move(with)), keeper(rules) {}
 
 side_journal quota_service::journal() {
@@ -39,19 +39,19 @@
 }
 
 void quota_service::serve(const std::string& payload, const net::rpc_reply& reply) {
-  auto told = from_bytes_with_tail<quota_question, std::optional<quota_program>>(payload);
+  auto told = from_bytes_with_tail<quota_request, std::optional<quota_program>>(payload);
   if (!told) {
     reply(std::nullopt);
     return;
   }
-  quota_question& question = told->first;
+  quota_request& question = told->first;
   question.program = told->second;
-  quota_answer answer;
+  quota_response answer;
   if (this->hooks.holds_lease()) {
     answer = this->keeper.ask(question, discovery::scheduler_now());
   }
-  this->hooks.count("quota_" + std::string(name_of(answer.verdict)));
-  if (answer.verdict != quota_verdict::granted || !question.limit.limits()) {
+  this->hooks.count("quota_" + std::string(name_of(answer.outcome)));
+  if (answer.outcome != quota_outcome::granted || !question.limit.limits()) {
     reply(to_bytes(answer));
     return;
   }
@@ -76,7 +76,9 @@
   });
 }
 
-void quota_service::keep(double part) { this->keeper.keep(part, discovery::scheduler_now()); }
+void quota_service::set_share(double part) {
+  this->keeper.set_share(part, discovery::scheduler_now());
+}
 
 void quota_service::forget_idle() { this->keeper.forget_idle(discovery::scheduler_now()); }
 
--- a/libs/disk/test/ledger_store_test.cc
+++ b/libs/disk/test/ledger_store_test.cc
@@ -54,7 +54,7 @@
   request.record.state = {request_id(id), token_count(30), token_count(10),
                           reservation_phase::settled};
   request.record.turn =
-      kept_turn{request_id(id), std::nullopt, std::string(text, 'i'), std::string(text, 'o')};
+      stored_turn{request_id(id), std::nullopt, std::string(text, 'i'), std::string(text, 'o')};
   request.record.expires_at = wall_ms(std::int64_t{1} << 60);
   return request;
 }
@@ -113,7 +113,7 @@
     CHECK(this->disk->store.held().programs() == this->living.size());
     for (const auto& [program, requests] : this->living) {
       const collect_request collect{set_epoch(1), program};
-      const auto answer = this->disk->ask<program_answer>(ledger_method::collect, collect);
+      const auto answer = this->disk->ask<program_response>(ledger_method::collect, collect);
       REQUIRE(answer);
       std::map<request_id, reservation> held;
       for (const reservation& one : answer->reservations) {
@@ -121,8 +121,8 @@
       }
       CHECK(held == requests);
     }
-    for (const kept_turn& turn : this->turns) {
-      CHECK(this->disk->store.held().chain_of(turn.id).turns == std::vector<kept_turn>{turn});
+    for (const stored_turn& turn : this->turns) {
+      CHECK(this->disk->store.held().chain_of(turn.id).turns == std::vector<stored_turn>{turn});
     }
   }
 
@@ -142,7 +142,7 @@
   }
 
   void keep(const append_request& request) {
-    REQUIRE(this->disk->ask<program_answer>(ledger_method::append, request));
+    REQUIRE(this->disk->ask<program_response>(ledger_method::append, request));
   }
 
   std::string oldest_segment() {
@@ -171,8 +171,8 @@
     request.record.state.phase =
         is_sent ? reservation_phase::settled : reservation_phase::withdrawn;
     if (is_sent) {
-      request.record.turn = kept_turn{request.record.state.id, std::nullopt,
-                                      std::string(this->random() % longest_text, 'i'), "o"};
+      request.record.turn = stored_turn{request.record.state.id, std::nullopt,
+                                        std::string(this->random() % longest_text, 'i'), "o"};
       this->turns.push_back(*request.record.turn);
     }
     this->keep(request);
@@ -239,7 +239,7 @@
   int number = 0;
   std::map<program_id, std::map<request_id, reservation>> living;
   std::vector<append_request> open;
-  std::vector<kept_turn> turns;
+  std::vector<stored_turn> turns;
   std::set<std::string> linked;
 };
 
@@ -251,14 +251,14 @@
   {
     open_store disk(folder.name());
     first = disk.store.identity();
-    CHECK(disk.ask<program_answer>(ledger_method::append, append(1, "t1")));
-    CHECK(disk.ask<probe_answer>(ledger_method::fence, fence_mark{set_epoch(4)}));
+    CHECK(disk.ask<program_response>(ledger_method::append, append(1, "t1")));
+    CHECK(disk.ask<probe_response>(ledger_method::fence, fence_mark{set_epoch(4)}));
   }
   open_store disk(folder.name());
   CHECK(disk.store.identity() == first);
   CHECK(disk.store.held().turns() == 1);
-  CHECK(disk.ask<program_answer>(ledger_method::append, append(3, "t2"))->stale);
-  CHECK_FALSE(disk.ask<program_answer>(ledger_method::append, append(4, "t2"))->stale);
+  CHECK(disk.ask<program_response>(ledger_method::append, append(3, "t2"))->stale);
+  CHECK_FALSE(disk.ask<program_response>(ledger_method::append, append(4, "t2"))->stale);
 }
 
 TEST_CASE("an empty folder is another disk") {
@@ -275,16 +275,16 @@
   const scratch_folder folder("ledger-store");
   open_store disk(folder.name());
   const ledger_set alone{set_epoch(9), {disk.store.identity()}, {}};
-  CHECK_FALSE(disk.ask<program_answer>(ledger_method::append, append(8, "t1"))->stale);
+  CHECK_FALSE(disk.ask<program_response>(ledger_method::append, append(8, "t1"))->stale);
   disk.store.set_newest(alone);
-  const auto append_answer = disk.ask<program_answer>(ledger_method::append, append(8, "t2"));
+  const auto append_answer = disk.ask<program_response>(ledger_method::append, append(8, "t2"));
   CHECK(append_answer->stale);
   CHECK(append_answer->newest == alone);
   const collect_request collect{set_epoch(8), program_id("p")};
-  CHECK(disk.ask<program_answer>(ledger_method::collect, collect)->stale);
+  CHECK(disk.ask<program_response>(ledger_method::collect, collect)->stale);
   const chain_request chain{set_epoch(8), request_id("t1")};
-  CHECK(disk.ask<chain_answer>(ledger_method::chain, chain)->newest == alone);
-  CHECK_FALSE(disk.ask<program_answer>(ledger_method::append, append(9, "t2"))->stale);
+  CHECK(disk.ask<chain_response>(ledger_method::chain, chain)->newest == alone);
+  CHECK_FALSE(disk.ask<program_response>(ledger_method::append, append(9, "t2"))->stale);
 }
 
 TEST_CASE("a disk that a joining one has fenced tells askers of the set to go on with") {
@@ -294,23 +294,23 @@
     open_store disk(folder.name());
     joint = ledger_set{set_epoch(4), {disk.store.identity()}, {disk_id("joining")}};
     disk.store.set_newest({set_epoch(3), {disk.store.identity()}, {}});
-    CHECK(disk.ask<probe_answer>(ledger_method::fence, fence_request{*joint})->fence ==
+    CHECK(disk.ask<probe_response>(ledger_method::fence, fence_request{*joint})->fence ==
           set_epoch(4));
-    CHECK(disk.ask<program_answer>(ledger_method::append, append(3, "t1"))->newest == joint);
+    CHECK(disk.ask<program_response>(ledger_method::append, append(3, "t1"))->newest == joint);
     SECTION("also when it hears late of the set before") {
       disk.store.set_newest({set_epoch(3), {disk.store.identity()}, {}});
-      CHECK(disk.ask<program_answer>(ledger_method::append, append(3, "t1"))->newest == joint);
+      CHECK(disk.ask<program_response>(ledger_method::append, append(3, "t1"))->newest == joint);
     }
     SECTION("also when it is fenced by a host that names no set") {
       // Hosts of an older program send the epoch alone.
-      CHECK(disk.ask<probe_answer>(ledger_method::fence, fence_mark{set_epoch(5)})->fence ==
+      CHECK(disk.ask<probe_response>(ledger_method::fence, fence_mark{set_epoch(5)})->fence ==
             set_epoch(5));
-      CHECK(disk.ask<program_answer>(ledger_method::append, append(4, "t1"))->newest == joint);
+      CHECK(disk.ask<program_response>(ledger_method::append, append(4, "t1"))->newest == joint);
     }
   }
   SECTION("also after a restart") {
     open_store disk(folder.name());
-    CHECK(disk.ask<program_answer>(ledger_method::append, append(3, "t1"))->newest == joint);
+    CHECK(disk.ask<program_response>(ledger_method::append, append(3, "t1"))->newest == joint);
   }
 }
 
@@ -321,10 +321,10 @@
     open_store disk(folder.name());
     const ledger_set joint{set_epoch(4), {disk.store.identity()}, {disk_id("joining")}};
     disk.store.set_newest(joint);
-    CHECK(disk.ask<probe_answer>(ledger_method::fence, fence_request{joint}));
+    CHECK(disk.ask<probe_response>(ledger_method::fence, fence_request{joint}));
   }
   open_store disk(folder.name());
-  CHECK(disk.ask<program_answer>(ledger_method::append, append(3, "t1"))->stale);
+  CHECK(disk.ask<program_response>(ledger_method::append, append(3, "t1"))->stale);
 }
 
 TEST_CASE("a fence is understood by hosts that know its epoch only") {
@@ -344,14 +344,14 @@
       // Every tenth turn lives on; the others have long expired.
       request.record.program = program_id("p" + std::to_string(number));
       request.record.expires_at = wall_ms(number % 10 == 0 ? std::int64_t{1} << 60 : 1);
-      CHECK(disk.ask<program_answer>(ledger_method::append, request));
+      CHECK(disk.ask<program_response>(ledger_method::append, request));
       disk.store.tick();
     }
     disk.store.tick();
-    CHECK(disk.ask<program_answer>(ledger_method::append, append(1, "last")));
+    CHECK(disk.ask<program_response>(ledger_method::append, append(1, "last")));
     // Old segments go after the records written with their removal are acknowledged,
     // and before any later record is.
-    CHECK(disk.ask<program_answer>(ledger_method::append, append(1, "later")));
+    CHECK(disk.ask<program_response>(ledger_method::append, append(1, "later")));
     CHECK(disk.store.log_bytes() < disk_bytes / 2);
   }
   open_store disk(folder.name(), disk_bytes);
@@ -399,8 +399,8 @@
     CHECK(replayed == std::vector<std::string>{"first", "second"});
     // Long enough to be shortened: 0.4 of the disk.
     for (int number = 0; number < 50; ++number) {
-      open.ask<program_answer>(ledger_method::append,
-                               append(1, "r" + std::to_string(number % 3), 5000));
+      open.ask<program_response>(ledger_method::append,
+                                 append(1, "r" + std::to_string(number % 3), 5000));
       open.store.tick();
     }
     keep(open, "third");
@@ -422,7 +422,7 @@
     append_request request = append(1, "t" + std::to_string(number), turn_bytes / 2);
     request.record.program = program_id("p" + std::to_string(number));
     request.record.expires_at = wall_ms(1);
-    REQUIRE(disk.ask<program_answer>(ledger_method::append, request));
+    REQUIRE(disk.ask<program_response>(ledger_method::append, request));
     disk.store.tick();
     most = std::max(most, disk.store.log_bytes());
   }
@@ -462,16 +462,16 @@
       append_request first = append(1, "first");
       first.record.program = program_id("m");
       first.record.expires_at = wall_ms(1);
-      CHECK(disk.ask<program_answer>(ledger_method::append, first));
+      CHECK(disk.ask<program_response>(ledger_method::append, first));
       append_request second = append(1, "second");
       second.record.program = program_id(going_on);
       second.record.turn->previous = request_id("first");
       second.record.expires_at = far;
-      CHECK(disk.ask<program_answer>(ledger_method::append, second));
+      CHECK(disk.ask<program_response>(ledger_method::append, second));
       append_request dead = append(1, "dead", 30'000);
       dead.record.program = program_id("x");
       dead.record.expires_at = wall_ms(1);
-      CHECK(disk.ask<program_answer>(ledger_method::append, dead));
+      CHECK(disk.ask<program_response>(ledger_method::append, dead));
       disk.store.tick();
       CHECK(disk.store.held().chain_of(request_id("second")).turns.size() == 2);
     }
--- a/libs/disk/test/quota_service_test.cc
+++ b/libs/disk/test/quota_service_test.cc
@@ -21,15 +21,15 @@
 public:
   service_at_a_disk() {
     quota_record earlier;
-    earlier.marks = {{client_account("north"), ten_at_once, limit_version(1), 10}};
+    earlier.bucket_records = {{client_account("north"), ten_at_once, limit_version(1), 10}};
     this->quotas.journal().replay(to_bytes(earlier));
-    this->quotas.keep(1);
+    this->quotas.set_share(1);
   }
 
   void ask() {
-    const quota_question question{client_account("north"), ten_at_once, limit_version(1)};
+    const quota_request question{client_account("north"), ten_at_once, limit_version(1)};
     this->quotas.serve(to_bytes(question), [this](const std::optional<std::string>& bytes) {
-      this->answers.push_back(bytes ? from_bytes<quota_answer>(*bytes) : std::nullopt);
+      this->answers.push_back(bytes ? from_bytes<quota_response>(*bytes) : std::nullopt);
     });
   }
 
@@ -43,8 +43,8 @@
   bool has_lease = true;
   std::vector<std::string> records;
   std::vector<std::function<void(bool good)>> writes;
-  std::vector<std::optional<quota_answer>> answers;
-  quota_service quotas{quota_rules{}, this->hooks()};
+  std::vector<std::optional<quota_response>> answers;
+  quota_service quotas{quota_tolerance{}, this->hooks()};
 
 private:
   quota_hooks hooks() {
@@ -62,17 +62,17 @@
 }  // namespace
 
 TEST_CASE("a question of a host that tells no programs is read as before") {
-  quota_question question{client_account("north"), ten_at_once, limit_version(1)};
+  quota_request question{client_account("north"), ten_at_once, limit_version(1)};
   const std::string before = to_bytes(question);
   question.program = quota_program{program_key(7), true};
   CHECK(to_bytes(question) == before);
   using told = std::optional<quota_program>;
-  CHECK_FALSE((from_bytes_with_tail<quota_question, told>(before)->second));
-  const auto both = from_bytes_with_tail<quota_question, told>(before + to_bytes(question.program));
+  CHECK_FALSE((from_bytes_with_tail<quota_request, told>(before)->second));
+  const auto both = from_bytes_with_tail<quota_request, told>(before + to_bytes(question.program));
   REQUIRE(both->second);
   CHECK(both->second->begins);
   const std::string cut = to_bytes(question.program).substr(0, 3);
-  CHECK_FALSE((from_bytes_with_tail<quota_question, told>(before + cut)));
+  CHECK_FALSE((from_bytes_with_tail<quota_request, told>(before + cut)));
 }
 
 TEST_CASE("without the lease no quota is kept and nothing is written") {
@@ -80,7 +80,7 @@
   disk.has_lease = false;
   disk.ask();
   REQUIRE(disk.answers.size() == 1);
-  CHECK(disk.answers[0]->verdict == quota_verdict::not_kept);
+  CHECK(disk.answers[0]->outcome == quota_outcome::not_kept);
   CHECK(disk.records.empty());
 }
 
@@ -127,6 +127,6 @@
   before.write(true);
   const auto record = from_bytes<quota_record>(before.records[0]);
   REQUIRE(record);
-  REQUIRE(record->marks.size() == 1);
-  CHECK(record->marks[0].level < ten_at_once.burst);
+  REQUIRE(record->bucket_records.size() == 1);
+  CHECK(record->bucket_records[0].level < ten_at_once.burst);
 }
--- a/libs/fleet/include/hawthornlane/fleet/fleet_view.h
+++ b/libs/fleet/include/hawthornlane/fleet/fleet_view.h
@@ -90,7 +90,7 @@
     this->held = std::move(listed);
     this->revision = at;
     this->known = true;
-    this->settle(now);
+    this->drop_expired_removals(now);
     return true;
   }
 
@@ -114,14 +114,14 @@
     }
     this->revision = at;
     this->known = true;
-    this->settle(now);
+    this->drop_expired_removals(now);
     return true;
   }
 
   /// The store was away until now: what is missing from it may have lapsed.
-  void doubt_removals_until(timestamp until) { this->doubt_until = until; }
+  void defer_removals_until(timestamp until) { this->doubt_until = until; }
   /// Drops entries whose absence is not in doubt any more.
-  void settle(timestamp now) {
+  void drop_expired_removals(timestamp now) {
     for (const auto& [key, entry] : this->held) {
       this->doubtful.erase(key);
     }
@@ -133,7 +133,7 @@
   /// Entries in the store's latest known state.
   [[nodiscard]] const std::map<Key, Entry>& listed() const { return this->held; }
   /// Entries that have just gone missing and may come back.
-  [[nodiscard]] const std::map<Key, Entry>& in_doubt() const { return this->doubtful; }
+  [[nodiscard]] const std::map<Key, Entry>& pending_removals() const { return this->doubtful; }
   [[nodiscard]] store_revision at() const { return this->revision; }
   [[nodiscard]] bool heard() const { return this->known; }
 
--- a/libs/fleet/include/hawthornlane/fleet/check_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
@@ -16,7 +16,7 @@
 /// Who read last reads again once that is `pace` old. The others wait longer, each
 /// by its rank, so that the next one takes over when the reader is gone or is turned
 /// away by the store. A host that hears nobody reads for itself.
-class check_schedule {
+class store_read_schedule {
 public:
   /// With the way from the reader to all hosts, news are everywhere within the two
   /// seconds that the users ask for, also when the reader has just died.
@@ -28,10 +28,10 @@
   /// A host that knows nothing yet lets its peers tell it first.
   static constexpr duration first_wait = std::chrono::milliseconds(120);
 
-  check_schedule(host_id own, timestamp started) : self(std::move(own)), tried(started) {}
+  store_read_schedule(host_id own, timestamp started) : self(std::move(own)), tried(started) {}
 
   /// A read of that host succeeded at that moment.
-  void checked(const host_id& by, timestamp at) {
+  void record_read(const host_id& by, timestamp at) {
     if (at > this->newest) {
       this->newest = at;
       this->reader = by;
--- a/libs/fleet/test/fleet_test.cc
+++ b/libs/fleet/test/fleet_test.cc
@@ -1,8 +1,8 @@
 // Tables of routes and of what a host believes after listings, events, outages.
 #include <catch2/catch.hpp>
 
-#include "hawthornlane/fleet/check_schedule.h"
 #include "hawthornlane/fleet/fleet_view.h"
+#include "hawthornlane/fleet/store_read_schedule.h"
 
 using namespace hawthornlane;
 using namespace std::chrono_literals;
@@ -109,7 +109,7 @@
     } else if (std::string(told_as) == "listing") {
       CHECK(servers.apply_listing(store_revision(11), {entry}, at(1s)));
     } else {
-      servers.doubt_removals_until(at(9s));
+      servers.defer_removals_until(at(9s));
       servers.apply_listing(store_revision(11), {}, at(1s));
       CHECK(servers.apply_listing(store_revision(12), {entry}, at(2s)));
     }
@@ -142,19 +142,19 @@
 TEST_CASE("an entry that lapsed while the store was away is kept until the doubt ends") {
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
-  servers.doubt_removals_until(at(7s));
+  servers.defer_removals_until(at(7s));
   servers.apply_listing(store_revision(12), {server("s1")}, at(5s));
   CHECK(servers.listed().size() == 1);
-  CHECK(servers.in_doubt().contains(backend_server_id("s2")));
+  CHECK(servers.pending_removals().contains(backend_server_id("s2")));
 
   SECTION("it is written again in time") {
     servers.apply_changes(store_revision(13), {{server("s2"), false}}, at(6s));
-    CHECK(servers.in_doubt().empty());
+    CHECK(servers.pending_removals().empty());
     CHECK(servers.listed().size() == 2);
   }
   SECTION("it stays missing") {
-    servers.settle(at(7s));
-    CHECK(servers.in_doubt().empty());
+    servers.drop_expired_removals(at(7s));
+    CHECK(servers.pending_removals().empty());
     CHECK(servers.listed().size() == 1);
   }
 }
@@ -163,31 +163,31 @@
   backend_registry servers;
   servers.apply_listing(store_revision(10), {server("s1"), server("s2")}, at(0s));
   servers.apply_changes(store_revision(11), {{server("s2"), true}}, at(1s));
-  CHECK(servers.in_doubt().empty());
+  CHECK(servers.pending_removals().empty());
   CHECK(servers.listed().size() == 1);
 }
 
 TEST_CASE("one host reads the store for all, and the next rank takes over when it fails") {
   const host_id a("a");
   const host_id b("b");
-  check_schedule first(a, at(0s));
-  check_schedule second(b, at(0s));
-  first.checked(a, at(10s));
-  second.checked(a, at(10s));
+  store_read_schedule first(a, at(0s));
+  store_read_schedule second(b, at(0s));
+  first.record_read(a, at(10s));
+  second.record_read(a, at(10s));
   CHECK_FALSE(first.due(at(10s + 800ms), 0));
   CHECK(first.due(at(10s + 900ms), 0));
   CHECK_FALSE(second.due(at(10s + 900ms), 1));
 
   SECTION("the first one's read keeps the second quiet") {
-    second.checked(a, at(10s + 900ms));
+    second.record_read(a, at(10s + 900ms));
     CHECK_FALSE(second.due(at(11s + 500ms), 1));
   }
   SECTION("the first one is turned away: it pauses, the second reads and goes on reading") {
     first.began(at(10s + 900ms));
     CHECK_FALSE(first.due(at(11s), 0));
     CHECK(second.due(at(11s + 100ms), 1));
-    second.checked(b, at(11s + 100ms));
-    first.checked(b, at(11s + 100ms));
+    second.record_read(b, at(11s + 100ms));
+    first.record_read(b, at(11s + 100ms));
     CHECK(second.due(at(12s), 1));
     CHECK_FALSE(first.due(at(12s), 0));
   }
@@ -197,7 +197,7 @@
 }
 
 TEST_CASE("a host that knows nothing reads for itself, in the order of ranks") {
-  check_schedule alone(host_id("a"), at(5s));
+  store_read_schedule alone(host_id("a"), at(5s));
   CHECK_FALSE(alone.due(at(5s + 50ms), 0));
   CHECK(alone.due(at(5s + 130ms), 0));
   CHECK_FALSE(alone.due(at(5s + 130ms), 3));
@@ -207,9 +207,9 @@
 }
 
 TEST_CASE("news of an older read change nothing") {
-  check_schedule schedule(host_id("a"), at(0s));
-  schedule.checked(host_id("b"), at(10s));
-  schedule.checked(host_id("c"), at(9s));
+  store_read_schedule schedule(host_id("a"), at(0s));
+  schedule.record_read(host_id("b"), at(10s));
+  schedule.record_read(host_id("c"), at(9s));
   CHECK(schedule.last_reader() == host_id("b"));
   CHECK(schedule.age(at(12s)) == 2s);
 }
--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -62,16 +62,16 @@
   /// The first part of a call's answer came.
   void started(const service_name& service, placement_id id);
   /// From now on hosts share what they know of loads and prompts.
-  void share_by(directory_exchange& with) { this->exchange = &with; }
+  void set_directory_exchange(directory_exchange& with) { this->exchange = &with; }
   /// From now on calls for full servers claim a place at the servers' keepers.
-  void claim_by(place_exchange& with) { this->places = &with; }
+  void set_place_exchange(place_exchange& with) { this->places = &with; }
   /// Takes what other hosts answered.
-  void take_answer(const directory_answer& answer);
+  void apply_directory_response(const directory_response& answer);
   /// Tells this host's loads again, so that they are not taken for those of a dead host.
-  void renew_loads();
+  void report_loads();
   /// Some server is known to have read this part of a prompt.
-  [[nodiscard]] bool knows(const service_name& service, prompt_part_key part) {
-    return this->pool_of(service).pool.knows(part);
+  [[nodiscard]] bool has_prompt_part(const service_name& service, prompt_part_key part) {
+    return this->pool_of(service).pool.has_prompt_part(part);
   }
   [[nodiscard]] bool lists_servers(const service_name& service);
 
@@ -83,7 +83,7 @@
   [[nodiscard]] std::vector<service_demand> demand() const;
   /// Divides scarce places between this host and the others; one entry for each of them
   /// and each service.
-  void take_demand(const std::vector<service_demand>& others);
+  void apply_demand(const std::vector<service_demand>& others);
 
 private:
   struct service_pool {
@@ -92,7 +92,7 @@
     /// Calls at servers and waiting, smoothed.
     double demand = 0;
     /// As last written to the log.
-    std::set<backend_server_id> set_aside;
+    std::set<backend_server_id> unhealthy;
     /// Known to be slow, as last written to the log.
     std::set<backend_server_id> slow;
     /// The gauges of its servers' speeds hold what is known.
--- a/libs/front/include/hawthornlane/front/call_service.h
+++ b/libs/front/include/hawthornlane/front/call_service.h
@@ -11,7 +11,7 @@
 #include "hawthornlane/front/call_metrics.h"
 #include "hawthornlane/front/call_placer.h"
 #include "hawthornlane/front/quota_gate.h"
-#include "hawthornlane/front/turn_keeper.h"
+#include "hawthornlane/front/turn_store.h"
 #include "hawthornlane/relay/backend_pool.h"
 #include "hawthornlane/relay/caller_link.h"
 
@@ -21,7 +21,7 @@
 class call_service {
 public:
   call_service(discovery::fleet_state& fleet, call_placer& placer, relay::backend_pool& backends,
-               const relay::call_codec& codec, quota_gate& quotas, turn_keeper& turns,
+               const relay::call_codec& codec, quota_gate& quotas, turn_store& turns,
                call_metrics& metrics);
   call_service(const call_service&) = delete;
   call_service& operator=(const call_service&) = delete;
@@ -34,9 +34,9 @@
   boost::asio::awaitable<void> refuse(relay::caller_link& caller, const failure& why,
                                       const std::string& id, duration wait = {});
   /// Calls that have been read and not answered.
-  [[nodiscard]] std::size_t under_way() const { return this->calls; }
+  [[nodiscard]] std::size_t in_flight() const { return this->calls; }
   /// From now on calls are turned away; used near the end of a planned stop.
-  void turn_away() { this->turning_away = true; }
+  void reject_new_calls() { this->turning_away = true; }
 
 private:
   struct call;
@@ -88,7 +88,7 @@
   relay::backend_pool& backends;
   const relay::call_codec& codec;
   quota_gate& quotas;
-  turn_keeper& turns;
+  turn_store& turns;
   call_metrics& metrics;
   net::steady_time started_at = std::chrono::steady_clock::now();
   std::size_t calls = 0;
--- a/libs/front/include/hawthornlane/front/copy_intake.h
+++ b/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
@@ -16,7 +16,7 @@
 /// host is asked only when the one before has refused or failed. Without that bound each
 /// host asked every host ahead of it: 585 copies for 23 hosts and one change of 700 KB,
 /// 34 MB waiting before one link of 30 Mbit/s (configuration_spread_test).
-class copy_intake {
+class copy_fetch_scheduler {
 public:
   /// A host that knows more is asked only when it still knows more after this long:
   /// mostly the store's own news are just on their way.
@@ -42,7 +42,7 @@
   /// Whether that host has answered this one lately.
   using reaches_hook = std::function<bool(const host_id& other)>;
 
-  explicit copy_intake(
+  explicit copy_fetch_scheduler(
       host_id own, reaches_hook answers = [](const host_id&) { return true; })
       : self(std::move(own)), reaches(std::move(answers)) {}
 
--- a/libs/front/include/hawthornlane/front/copy_messages.h
+++ b/libs/front/include/hawthornlane/front/copy_messages.h
@@ -48,7 +48,7 @@
 std::optional<copy_request> copy_request_from(const std::string& bytes);
 
 /// A copy, or where else to ask for it.
-struct copy_answer {
+struct copy_response {
   /// Nothing: the host asked gives as many copies as it may already.
   std::optional<std::string> copy;
   /// Hosts that have taken theirs.
@@ -57,8 +57,8 @@
 
 /// Bytes of the answer. A copy goes as it is, with one byte after it: an archive would
 /// hold a configuration of 1 MB four times while it is written.
-std::string to_answer_bytes(copy_answer answer);
+std::string to_answer_bytes(copy_response answer);
 /// Nothing when the bytes are no answer.
-std::optional<copy_answer> copy_answer_from(std::string bytes);
+std::optional<copy_response> copy_answer_from(std::string bytes);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/copy_outlet.h
+++ b/libs/front/include/hawthornlane/front/copy_send_limiter.h
@@ -15,7 +15,7 @@
 /// reaches all hosts in some rounds, and what waits before a host's link is a few copies
 /// whatever the number of hosts: 1.4 MB in place of 34 MB for a configuration of 700 KB
 /// and 24 hosts (configuration_spread_test).
-class copy_outlet {
+class copy_send_limiter {
 public:
   /// Copies of any size; a second one, so that the link is not idle while the first
   /// receiver takes its copy in and says so.
--- a/libs/front/include/hawthornlane/front/directory_exchange.h
+++ b/libs/front/include/hawthornlane/front/directory_exchange.h
@@ -22,7 +22,7 @@
   std::vector<server_key> asked_servers;
   std::vector<prompt_part_key> asked_parts;
   /// Behind the rest where there are any; hosts that know none of it read no further.
-  std::vector<told_speed> speeds;
+  std::vector<speed_report> speeds;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -31,14 +31,14 @@
 };
 
 /// What the keeper answers.
-struct directory_answer {
+struct directory_response {
   /// Calls of all hosts but the asker, and those that wait for a place, at each server that was
   /// told of or asked for.
   std::vector<server_load> loads;
   /// Of the parts asked for, those that it knows.
   std::vector<part_location> locations;
   /// Of the same servers, what other hosts believe; behind the rest as well.
-  std::vector<told_speed> speeds;
+  std::vector<speed_report> speeds;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -47,21 +47,21 @@
 };
 
 std::string bytes_of(const directory_message& message);
-std::string bytes_of(const directory_answer& answer);
+std::string bytes_of(const directory_response& answer);
 /// Nothing when the bytes are none.
 std::optional<directory_message> directory_message_from(const std::string& bytes);
-std::optional<directory_answer> directory_answer_from(const std::string& bytes);
+std::optional<directory_response> directory_answer_from(const std::string& bytes);
 
 /// What the exchange takes from and gives to the rest of the host.
-struct exchange_hooks {
+struct directory_hooks {
   /// The other front hosts that live.
   std::function<std::vector<host_id>()> hosts;
   /// Sends a message to another host.
   std::function<void(const host_id& to, const std::string& payload, net::rpc_done done)> send;
   /// Takes what a keeper has answered.
-  std::function<void(const directory_answer&)> take;
+  std::function<void(const directory_response&)> take;
   /// A host has told this one a new count in place of `before`; may be missing.
-  std::function<void(const host_id&, const server_load&, std::uint32_t before)> counted;
+  std::function<void(const host_id&, const server_load&, std::uint32_t before)> load_changed;
   /// Calls that wait for a place at a server which this host keeps; may be missing.
   std::function<std::uint32_t(server_key)> waiting;
 };
@@ -70,12 +70,12 @@
 /// keep the others. For one thread.
 class directory_exchange {
 public:
-  directory_exchange(boost::asio::io_context& context, host_id own, exchange_hooks hooks);
+  directory_exchange(boost::asio::io_context& context, host_id own, directory_hooks hooks);
 
   /// Tells the keepers what changed here.
   void tell(const directory_update& update);
   /// Asks the keepers; their answers have been taken when this ends, or the wait is over.
-  boost::asio::awaitable<void> ask(directory_question question);
+  boost::asio::awaitable<void> ask(directory_request question);
   /// Serves another host; nothing when the message is malformed.
   std::optional<std::string> serve(const std::string& payload);
   /// What this host keeps.
@@ -90,11 +90,11 @@
   /// Has the keeper answer, takes what it says, and then calls `done`, also when the
   /// keeper does not answer.
   void send(const host_id& keeper, const directory_message& message, std::function<void()> done);
-  directory_answer answer(const directory_message& message);
+  directory_response answer(const directory_message& message);
 
   boost::asio::io_context& context;
   host_id self;
-  exchange_hooks hooks;
+  directory_hooks hooks;
   placement_directory directory;
 };
 
--- a/libs/front/include/hawthornlane/front/loop_lateness.h
+++ b/libs/front/include/hawthornlane/front/event_loop_lag.h
@@ -11,13 +11,13 @@
 namespace hawthornlane::front {
 
 /// Sums up the time by which passes of the event loop came late.
-class loop_lateness {
+class event_loop_lag {
 public:
   /// A pass that comes this long after the one before is not late: two paces of the sweeper that
   /// brings them about, 25 ms each.
   static constexpr duration fair_gap = std::chrono::milliseconds(50);
 
-  explicit loop_lateness(timestamp now) : last_pass(now) {}
+  explicit event_loop_lag(timestamp now) : last_pass(now) {}
 
   /// The event loop has come round again.
   void pass(timestamp now) {
--- a/libs/front/include/hawthornlane/front/fleet_copies.h
+++ b/libs/front/include/hawthornlane/front/fleet_copies.h
@@ -17,7 +17,7 @@
   std::function<std::optional<configuration>(const std::string& copy)> decode_configuration;
   /// The newest set of disks that this host knows, if any.
   std::function<std::optional<ledger_set>()> ledger;
-  std::function<void(const ledger_set&, const host_id& from)> take_ledger;
+  std::function<void(const ledger_set&, const host_id& from)> apply_ledger_set;
 };
 
 /// One host's knowledge as copies. For one thread.
--- a/libs/front/include/hawthornlane/front/gossip_messages.h
+++ b/libs/front/include/hawthornlane/front/gossip_messages.h
@@ -77,23 +77,23 @@
   config_version configuration;
   /// When the backend servers last changed as far as this host knows.
   store_revision backends_changed_at;
-  store_revision hosts_at;
+  store_revision hosts_revision;
   /// Epoch of the newest set of disks that this host knows; 0: none.
-  set_epoch ledger_at;
+  set_epoch ledger_epoch;
   /// The newest read of the store that this host knows of: whose, and how old. No
   /// name: none yet.
-  host_id checked_by;
-  duration checked_ago{};
+  host_id store_read_by;
+  duration store_read_age{};
   /// Services of which this host needs something.
   std::vector<service_demand> demand;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    std::int64_t age = this->checked_ago.count();
+    std::int64_t age = this->store_read_age.count();
     archive(this->self, this->ready, this->leaving, this->disks_reached, this->configuration,
-            this->backends_changed_at, this->hosts_at, this->ledger_at, this->checked_by, age,
-            this->demand);
-    this->checked_ago = duration(age);
+            this->backends_changed_at, this->hosts_revision, this->ledger_epoch,
+            this->store_read_by, age, this->demand);
+    this->store_read_age = duration(age);
   }
 };
 
@@ -130,7 +130,7 @@
 };
 
 /// A question to a disk host, passed on by a front host that reaches it.
-struct relayed_question {
+struct relayed_request {
   disk_id disk;
   std::uint16_t method = 0;
   std::string payload;
--- a/libs/front/include/hawthornlane/front/ledger_client.h
+++ b/libs/front/include/hawthornlane/front/ledger_client.h
@@ -13,15 +13,15 @@
 #include "hawthornlane/front/gossip_messages.h"
 #include "hawthornlane/front/peer_traffic.h"
 #include "hawthornlane/front/turn_cache.h"
-#include "hawthornlane/front/turn_keeper.h"
+#include "hawthornlane/front/turn_store.h"
 #include "hawthornlane/net/rpc.h"
 #include "hawthornlane/platform_adapter/store_objects.h"
-#include "hawthornlane/turn_ledger/rounds.h"
+#include "hawthornlane/turn_ledger/quorum_checks.h"
 
 namespace hawthornlane::front {
 
 /// Reserves, reads and settles at the disks of the current set. For one thread.
-class ledger_client final : public turn_keeper {
+class ledger_client final : public turn_store {
 public:
   ledger_client(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
                 const discovery::fleet_state& fleet, availability_zone here,
@@ -31,9 +31,9 @@
   ~ledger_client() override;
 
   /// Takes the set of disks out of the hosts' objects, if it is there and newer.
-  void take_set(const platform_adapter::object_page& page);
+  void adopt_ledger_set(const platform_adapter::object_page& page);
   /// A newer set that somebody told.
-  void take_set(const ledger_set& told, const std::string& source);
+  void adopt_ledger_set(const ledger_set& told, const std::string& source);
   /// The disk hosts may have changed.
   void refresh_hosts();
 
@@ -44,10 +44,10 @@
 
   /// Passes a question to a disk host on by way of another front host.
   using relay_hook =
-      std::function<void(const relayed_question&, duration limit, net::rpc_done done)>;
+      std::function<void(const relayed_request&, duration limit, net::rpc_done done)>;
   void set_relay(relay_hook hook) { this->relay = std::move(hook); }
   /// Counts there what this host asks of disk hosts itself.
-  void count_in(peer_traffic shared) { this->traffic = std::move(shared); }
+  void set_traffic(peer_traffic shared) { this->traffic = std::move(shared); }
   /// Serves another front host that does not reach a disk host itself.
   void serve_relayed(const std::string& payload, const net::rpc_reply& reply);
   /// Looks whether disk hosts that were not reached, or never asked, can be reached.
--- a/libs/front/include/hawthornlane/front/gossip_news.h
+++ b/libs/front/include/hawthornlane/front/newer_kinds.h
@@ -9,20 +9,20 @@
 namespace hawthornlane::front {
 
 /// How far a host's knowledge of each kind goes.
-struct known_state {
+struct known_versions {
   /// Nothing: none yet.
   std::optional<config_version> configuration;
   store_revision backends_changed_at;
-  store_revision hosts_at;
+  store_revision hosts_revision;
   std::optional<set_epoch> ledger;
 
-  friend bool operator==(const known_state&, const known_state&) = default;
+  friend bool operator==(const known_versions&, const known_versions&) = default;
 };
 
 /// The kinds of which another host has something newer. Only these are fetched from it:
 /// when all four were, a change of one server's entry had 56 hosts fetch 30 KB each from a
 /// host with a link of 30 Mbit/s, which was deaf for 0.4 s and cut off a call.
-struct gossip_news {
+struct newer_kinds {
   bool configuration = false;
   bool backends = false;
   bool hosts = false;
@@ -43,13 +43,14 @@
   }
 };
 
-inline gossip_news news_in(const gossip_digest& digest, const known_state& own) {
-  gossip_news news;
+inline newer_kinds find_newer_kinds(const gossip_digest& digest, const known_versions& own) {
+  newer_kinds news;
   news.configuration = digest.configuration.get() != 0 &&
                        (!own.configuration || digest.configuration > *own.configuration);
   news.backends = digest.backends_changed_at > own.backends_changed_at;
-  news.hosts = digest.hosts_at > own.hosts_at;
-  news.ledger = digest.ledger_at.get() != 0 && (!own.ledger || digest.ledger_at > *own.ledger);
+  news.hosts = digest.hosts_revision > own.hosts_revision;
+  news.ledger =
+      digest.ledger_epoch.get() != 0 && (!own.ledger || digest.ledger_epoch > *own.ledger);
   return news;
 }
 
--- a/libs/front/include/hawthornlane/front/peer_watch.h
+++ b/libs/front/include/hawthornlane/front/peer_failure_detector.h
@@ -9,14 +9,14 @@
 
 #include <set>
 
-#include "hawthornlane/front/probe_turns.h"
+#include "hawthornlane/front/probe_schedule.h"
 #include "hawthornlane/units/ids.h"
 #include "hawthornlane/units/quantities.h"
 
 namespace hawthornlane::front {
 
 /// Pauses of a host that watches others.
-struct watch_pace {
+struct detector_timing {
   /// Between two probes of a pair of hosts.
   duration pause{};
   /// After this long without a word another host counts as gone, whatever others say.
@@ -24,12 +24,12 @@
 };
 
 /// One other host, as this host sees it.
-class peer_watch {
+class peer_failure_detector {
 public:
   /// `phase_of_pair`, from 0 to 1, is the part of a pause after which the pair's probes begin:
   /// hosts that start together would else probe each other at the same moments for ever, and a
   /// death just after one of these be noticed a whole pause later.
-  peer_watch(timestamp now, double phase_of_pair)
+  peer_failure_detector(timestamp now, double phase_of_pair)
       : since(now), phase(phase_of_pair), last_heard(now), asked(now) {}
 
   /// Any word of the other host came.
@@ -50,11 +50,11 @@
   /// Others suspect it, and this host has neither heard nor asked it since.
   [[nodiscard]] bool doubted(timestamp now) const;
   /// By the turns of the pair, whatever others say; `goes_first` as in `is_probe_due`.
-  [[nodiscard]] bool turn_due(bool goes_first, const watch_pace& pace, timestamp now) const;
-  [[nodiscard]] bool lives(const watch_pace& pace, timestamp now) const;
+  [[nodiscard]] bool turn_due(bool goes_first, const detector_timing& pace, timestamp now) const;
+  [[nodiscard]] bool lives(const detector_timing& pace, timestamp now) const;
 
 private:
-  probe_moments probes;
+  probe_times probes;
   timestamp since;
   double phase;
   timestamp last_heard;
--- a/libs/front/include/hawthornlane/front/peer_gossip.h
+++ b/libs/front/include/hawthornlane/front/peer_gossip.h
@@ -12,15 +12,15 @@
 #include <vector>
 
 #include "hawthornlane/discovery/fleet_state.h"
-#include "hawthornlane/fleet/check_schedule.h"
-#include "hawthornlane/front/copy_intake.h"
-#include "hawthornlane/front/copy_outlet.h"
+#include "hawthornlane/fleet/store_read_schedule.h"
+#include "hawthornlane/front/copy_fetch_scheduler.h"
+#include "hawthornlane/front/copy_send_limiter.h"
+#include "hawthornlane/front/event_loop_lag.h"
 #include "hawthornlane/front/fleet_copies.h"
 #include "hawthornlane/front/gossip_messages.h"
-#include "hawthornlane/front/gossip_news.h"
-#include "hawthornlane/front/loop_lateness.h"
+#include "hawthornlane/front/newer_kinds.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 #include "hawthornlane/front/peer_traffic.h"
-#include "hawthornlane/front/peer_watch.h"
 #include "hawthornlane/front/probe_encoder.h"
 #include "hawthornlane/front/suspicion_limits.h"
 #include "hawthornlane/net/rpc.h"
@@ -53,7 +53,7 @@
 class peer_gossip {
 public:
   peer_gossip(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
-              discovery::fleet_state& fleet, check_schedule& checks, gossip_hooks hooks);
+              discovery::fleet_state& fleet, store_read_schedule& checks, gossip_hooks hooks);
   peer_gossip(const peer_gossip&) = delete;
   peer_gossip& operator=(const peer_gossip&) = delete;
   ~peer_gossip();
@@ -65,10 +65,10 @@
   /// Probes the others when it is time to.
   void tick();
   /// Tells everybody at once: what was just read from the store, or a planned stop.
-  void tell_all();
+  void broadcast_state();
 
   /// Has a front host that reaches disk hosts pass a question on.
-  void relay(const relayed_question& question, duration limit, net::rpc_done done);
+  void relay(const relayed_request& question, duration limit, net::rpc_done done);
   /// This host's place among the front hosts that live, by name.
   [[nodiscard]] std::size_t rank() const;
   /// Where callers reach the front hosts that are ready, this one left out.
@@ -88,7 +88,7 @@
   [[nodiscard]] std::chrono::milliseconds probe_pause() const;
   /// After this long without a word another host counts as gone.
   [[nodiscard]] std::chrono::milliseconds silence() const;
-  [[nodiscard]] watch_pace pace() const;
+  [[nodiscard]] detector_timing pace() const;
   /// Notes which hosts no longer count as living.
   void note_silent();
   void probe(peer& other, const std::string& payload);
@@ -105,7 +105,7 @@
   void hear(peer& other, const probe_message& message);
   void hear_suspicions(const host_id& from, const std::vector<host_key>& suspected);
   /// How far this host's own knowledge goes.
-  [[nodiscard]] known_state known() const;
+  [[nodiscard]] known_versions known() const;
   /// Whether another host still counts as one that lives.
   [[nodiscard]] bool lives(const peer& other) const;
   /// Whether another host has lately answered this one; one that lives may be cut off in this
@@ -124,19 +124,19 @@
   boost::asio::io_context& context;
   net::deadline_sweeper& sweeper;
   discovery::fleet_state& fleet;
-  check_schedule& checks;
+  store_read_schedule& checks;
   gossip_hooks hooks;
   std::map<host_id, std::shared_ptr<peer>> peers;
   timestamp next_look{};
   /// Invariant: those made are of `last_known`.
   fleet_copies copies;
   suspicion_limits limits;
-  loop_lateness lateness;
+  event_loop_lag lateness;
   /// Invariant: expires at each look and with each change of `last_known`.
   probe_encoder encoder;
-  known_state last_known;
-  copy_intake intake;
-  copy_outlet outlet;
+  known_versions last_known;
+  copy_fetch_scheduler intake;
+  copy_send_limiter outlet;
   copy_counters counts;
   /// Gone with this object, which answers of other hosts may outlive.
   std::shared_ptr<bool> lifetime = std::make_shared<bool>(true);
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -103,7 +103,7 @@
   /// How the claim ended, counted and logged.
   claim_result result_of(const open_claim& item);
   void send_claims(const open_claim_ptr& item);
-  void take_answer(const open_claim_ptr& item, std::size_t target, const claim_answer& answer);
+  void take_answer(const open_claim_ptr& item, std::size_t target, const claim_response& answer);
   /// No answer came. A claim that waits goes on: its keeper was busy, or another one is asked next.
   static void lose_answer(open_claim& item, std::size_t target);
   /// The places that the call has claimed beside the one it takes.
--- a/libs/front/include/hawthornlane/front/probe_turns.h
+++ b/libs/front/include/hawthornlane/front/probe_schedule.h
@@ -6,7 +6,7 @@
 namespace hawthornlane::front {
 
 /// Probes between this host and one other.
-struct probe_moments {
+struct probe_times {
   /// When this host last sent one.
   timestamp tried{};
   /// When it last sent one that was answered.
@@ -20,7 +20,7 @@
 /// at every pause, 83 hosts would send 5,200 a second (worked out), of which half tell nothing
 /// new. A probe that fails is sent again sooner, by either host.
 /// `goes_first` is true for one of the two: its turn it is when both probed at once.
-[[nodiscard]] bool is_probe_due(const probe_moments& moments, bool goes_first, duration pause,
+[[nodiscard]] bool is_probe_due(const probe_times& moments, bool goes_first, duration pause,
                                 timestamp now);
 
 }  // namespace hawthornlane::front
--- a/libs/front/include/hawthornlane/front/quota_client.h
+++ b/libs/front/include/hawthornlane/front/quota_client.h
@@ -29,7 +29,7 @@
   quota_client(boost::asio::io_context& io, quota_hooks with)
       : context(io), hooks(std::move(with)) {}
 
-  boost::asio::awaitable<quota_admission> admit(quota_question question, std::uint64_t spread,
+  boost::asio::awaitable<quota_admission> admit(quota_request question, std::uint64_t spread,
                                                 net::steady_time until) override;
 
 private:
--- a/libs/front/include/hawthornlane/front/quota_gate.h
+++ b/libs/front/include/hawthornlane/front/quota_gate.h
@@ -13,7 +13,7 @@
 struct quota_admission {
   quota_decision decision = quota_decision::unknown;
   /// When over the limit: the earliest time at which there is room for a call again.
-  duration room_in{};
+  duration retry_after{};
 };
 
 /// Takes calls out of their accounts' quotas. Coroutines of one thread.
@@ -26,7 +26,7 @@
 
   /// Unless the call is granted it must not be sent. `spread`: any number that calls of one
   /// program share.
-  virtual boost::asio::awaitable<quota_admission> admit(quota_question question,
+  virtual boost::asio::awaitable<quota_admission> admit(quota_request question,
                                                         std::uint64_t spread,
                                                         net::steady_time until) = 0;
 };
--- a/libs/front/include/hawthornlane/front/planned_stop.h
+++ b/libs/front/include/hawthornlane/front/shutdown_policy.h
@@ -9,7 +9,7 @@
 namespace hawthornlane::front {
 
 /// `since`: the time since the planned stop began.
-struct planned_stop {
+struct shutdown_policy {
   /// From the beginning of the stop until the process is killed.
   duration grace{};
   /// How long an answer to callers who ask for addresses stays good.
--- a/libs/front/include/hawthornlane/front/suspicion_limits.h
+++ b/libs/front/include/hawthornlane/front/suspicion_limits.h
@@ -15,7 +15,7 @@
 namespace hawthornlane::front {
 
 /// Takes a few of a set of hosts at a time, so that each gets its turn.
-class host_rotation {
+class host_round_robin {
 public:
   /// At most `most` of these, beginning after the last one taken before.
   [[nodiscard]] std::vector<host_key> next(const std::set<host_key>& all, std::size_t most);
@@ -43,8 +43,8 @@
   [[nodiscard]] bool admit_probe();
 
 private:
-  host_rotation naming;
-  host_rotation probing;
+  host_round_robin naming;
+  host_round_robin probing;
   /// Invariant: at most `most_probes`; since the last look.
   std::size_t probed = 0;
 };
--- a/libs/front/include/hawthornlane/front/turn_cache.h
+++ b/libs/front/include/hawthornlane/front/turn_cache.h
@@ -15,7 +15,7 @@
 public:
   explicit turn_cache(std::size_t most_bytes) : most(most_bytes) {}
 
-  void add(const kept_turn& turn) {
+  void add(const stored_turn& turn) {
     if (this->turns.contains(turn.id)) {
       return;
     }
@@ -33,7 +33,7 @@
   /// What was said up to and with that turn, oldest first; nothing when a turn of
   /// the chain is not here.
   std::optional<std::string> history(const request_id& last) {
-    std::list<const kept_turn*> chain;
+    std::list<const stored_turn*> chain;
     std::optional<request_id> next = last;
     while (next) {
       const auto found = this->turns.find(*next);
@@ -45,7 +45,7 @@
       next = found->second.turn.previous;
     }
     std::string text;
-    for (const kept_turn* turn : chain) {
+    for (const stored_turn* turn : chain) {
       text += turn->input;
       text += turn->output;
     }
@@ -54,10 +54,10 @@
 
 private:
   struct entry {
-    kept_turn turn;
+    stored_turn turn;
     std::list<request_id>::iterator place;
   };
-  static std::size_t size_of(const kept_turn& turn) {
+  static std::size_t size_of(const stored_turn& turn) {
     constexpr std::size_t overhead = 300;
     return turn.input.size() + turn.output.size() + overhead;
   }
--- a/libs/front/include/hawthornlane/front/turn_keeper.h
+++ b/libs/front/include/hawthornlane/front/turn_store.h
@@ -55,12 +55,12 @@
 };
 
 /// Admits turns and keeps what was said. Coroutines of one thread.
-class turn_keeper {
+class turn_store {
 public:
-  turn_keeper() = default;
-  turn_keeper(const turn_keeper&) = delete;
-  turn_keeper& operator=(const turn_keeper&) = delete;
-  virtual ~turn_keeper() = default;
+  turn_store() = default;
+  turn_store(const turn_store&) = delete;
+  turn_store& operator=(const turn_store&) = delete;
+  virtual ~turn_store() = default;
 
   /// Reserves the turn's tokens and reads its history. Unless the turn is admitted
   /// it must not be sent.
--- a/libs/front/src/call_admission.cc
+++ b/libs/front/src/call_admission.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "call_under_way.h"
+#include "call_state.h"
 #include "hawthornlane/accounts/account_scope.h"
 
 namespace hawthornlane::front {
@@ -99,7 +99,7 @@
   if (one.caller_account == nullptr || !one.caller_account->limit.limits()) {
     co_return true;
   }
-  quota_question question;
+  quota_request question;
   question.account = one.caller_account->name;
   question.limit = one.caller_account->limit;
   question.version = limit_version(one.table->version().get());
@@ -120,11 +120,11 @@
     why.kind = error_kind::over_limit;
     why.detail = fmt::format("{} calls a second and {} on top, room in {} ms",
                              question.limit.calls_per_second, question.limit.burst,
-                             admission.room_in.count() / 1000);
+                             admission.retry_after.count() / 1000);
   }
   why.detail = fmt::format("client account {}, program {}: {}", question.account.get(),
                            one.terms.program ? one.terms.program->get() : "", why.detail);
-  co_await this->refuse(one.caller, why, one.terms.id.get(), admission.room_in);
+  co_await this->refuse(one.caller, why, one.terms.id.get(), admission.retry_after);
   co_return false;
 }
 
--- a/libs/front/src/call_dispatch.cc
+++ b/libs/front/src/call_dispatch.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "call_under_way.h"
+#include "call_state.h"
 #include "hawthornlane/relay/framing.h"
 
 namespace hawthornlane::front {
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "hawthornlane/placement/call_window.h"
+#include "hawthornlane/placement/in_flight_limit.h"
 #include "hawthornlane/telemetry/log.h"
 
 namespace hawthornlane::front {
@@ -92,7 +92,7 @@
 void call_placer::tick() {
   const timestamp now = discovery::scheduler_now();
   for (auto& [name, item] : this->pools) {
-    if (item.pool.release_ends(now)) {
+    if (item.pool.flush_ended_calls(now)) {
       this->tell_changes(item.pool);
     }
     if (item.pool.waiting() == 0) {
@@ -109,21 +109,21 @@
 }
 
 void call_placer::log_set_aside(const service_name& name, service_pool& item, timestamp now) {
-  std::set<backend_server_id> aside = item.pool.set_aside(now);
-  if (aside == item.set_aside) {
+  std::set<backend_server_id> aside = item.pool.unhealthy(now);
+  if (aside == item.unhealthy) {
     return;
   }
   for (const backend_server_id& id : aside) {
-    if (!item.set_aside.contains(id)) {
+    if (!item.unhealthy.contains(id)) {
       log(event::backend_set_aside, {{"server", id.get()}, {"service", name.get()}});
     }
   }
-  for (const backend_server_id& id : item.set_aside) {
+  for (const backend_server_id& id : item.unhealthy) {
     if (!aside.contains(id)) {
       log(event::backend_trusted, {{"server", id.get()}, {"service", name.get()}});
     }
   }
-  item.set_aside = std::move(aside);
+  item.unhealthy = std::move(aside);
 }
 
 std::vector<service_demand> call_placer::demand() const {
@@ -137,22 +137,22 @@
   return all;
 }
 
-void call_placer::take_answer(const directory_answer& answer) {
+void call_placer::apply_directory_response(const directory_response& answer) {
   const timestamp now = discovery::scheduler_now();
   for (auto& [name, item] : this->pools) {
     for (const server_load& load : answer.loads) {
-      item.pool.note_load(load, now);
+      item.pool.set_remote_load(load, now);
     }
     for (const part_location& location : answer.locations) {
-      item.pool.note_location(location);
+      item.pool.add_prompt_location(location);
     }
-    for (const told_speed& speed : answer.speeds) {
-      item.pool.note_speed(speed, now);
+    for (const speed_report& speed : answer.speeds) {
+      item.pool.set_remote_speed(speed, now);
     }
   }
 }
 
-void call_placer::renew_loads() {
+void call_placer::report_loads() {
   directory_update update;
   for (auto& [name, item] : this->pools) {
     this->show_speeds(name, item);
@@ -175,8 +175,8 @@
   constexpr double slow_until = 1.25;
   // Lines a service in one look, once a second.
   constexpr std::size_t most_lines = 4;
-  const std::vector<server_pace> paces = item.pool.paces(discovery::scheduler_now());
-  if (paces.empty()) {
+  const std::vector<server_slowdown> slowdowns = item.pool.slowdowns(discovery::scheduler_now());
+  if (slowdowns.empty()) {
     if (item.shows_speeds) {
       this->set_speed_gauges(name, 1, 1);
       item.slow.clear();
@@ -185,14 +185,15 @@
     return;
   }
   item.shows_speeds = true;
-  const auto by_factor = [](const server_pace& a, const server_pace& b) {
+  const auto by_factor = [](const server_slowdown& a, const server_slowdown& b) {
     return a.factor < b.factor;
   };
-  const auto [fastest, slowest] = std::minmax_element(paces.begin(), paces.end(), by_factor);
+  const auto [fastest, slowest] =
+      std::minmax_element(slowdowns.begin(), slowdowns.end(), by_factor);
   this->set_speed_gauges(name, fastest->factor, slowest->factor);
   std::set<backend_server_id> still_slow;
   std::size_t lines = 0;
-  for (const server_pace& pace : paces) {
+  for (const server_slowdown& pace : slowdowns) {
     const bool was_slow = item.slow.contains(pace.id);
     const bool turned_slow = !was_slow && pace.factor >= slow_from && lines < most_lines;
     if (turned_slow) {
@@ -222,7 +223,8 @@
   if (this->exchange == nullptr) {
     co_return;
   }
-  const directory_question question = pool.question_for(request, discovery::scheduler_now());
+  const directory_request question =
+      pool.directory_request_for(request, discovery::scheduler_now());
   if (!question.empty()) {
     co_await this->exchange->ask(question);
   }
@@ -265,7 +267,7 @@
   co_return true;
 }
 
-void call_placer::take_demand(const std::vector<service_demand>& others) {
+void call_placer::apply_demand(const std::vector<service_demand>& others) {
   const timestamp now = discovery::scheduler_now();
   for (auto& [name, item] : this->pools) {
     this->deliver(item.pool.tick(now));
@@ -278,14 +280,14 @@
                                const std::vector<service_demand>& others, timestamp now) {
   item.demand += newest_part * (static_cast<double>(item.pool.demand()) - item.demand);
   service_load load;
-  load.places = item.pool.places_in_good_health(now);
+  load.places = item.pool.healthy_places(now);
   load.own_calls = item.demand;
   for (const service_demand& other : others) {
     load.other_calls += other.service == name ? other.calls : 0;
   }
   const double calls = load.own_calls + load.other_calls;
-  item.pool.note_fill(load.places > 0 ? calls / load.places : 0);
-  const std::optional<std::uint32_t> window = window_for(load);
+  item.pool.set_utilization(load.places > 0 ? calls / load.places : 0);
+  const std::optional<std::uint32_t> window = compute_in_flight_limit(load);
   if (window.has_value() != item.scarce) {
     item.scarce = window.has_value();
     log(event::places_shared, {{"service", name.get()},
@@ -295,7 +297,7 @@
                                {"other_calls", fmt::format("{:.0f}", load.other_calls)},
                                {"demands_heard", std::to_string(others.size())}});
   }
-  this->deliver(item.pool.set_window(window, now));
+  this->deliver(item.pool.set_in_flight_limit(window, now));
 }
 
 asio::awaitable<acquired_server> call_placer::acquire(const service_name& service,
--- a/libs/front/src/call_service.cc
+++ b/libs/front/src/call_service.cc
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "call_under_way.h"
+#include "call_state.h"
 #include "hawthornlane/telemetry/log.h"
 
 namespace hawthornlane::front {
@@ -53,7 +53,7 @@
 
 call_service::call_service(discovery::fleet_state& state, call_placer& places,
                            relay::backend_pool& pool, const relay::call_codec& with,
-                           quota_gate& gate, turn_keeper& keeper, call_metrics& counters)
+                           quota_gate& gate, turn_store& keeper, call_metrics& counters)
     : fleet(state),
       placer(places),
       backends(pool),
@@ -205,7 +205,7 @@
 
 bool call_service::goes_on(const service_name& service, const std::vector<prompt_piece>& prompt) {
   // The first part is shared by all programs of a kind, the one behind it is the program's.
-  return prompt.size() > 1 && this->placer.knows(service, prompt[1].key);
+  return prompt.size() > 1 && this->placer.has_prompt_part(service, prompt[1].key);
 }
 
 }  // namespace hawthornlane::front
--- a/libs/front/src/call_settlement.cc
+++ b/libs/front/src/call_settlement.cc
@@ -1,7 +1,7 @@
 // The end of a call: its answer, its turn's entry in the ledger, its line in the log.
 #include <fmt/format.h>
 
-#include "call_under_way.h"
+#include "call_state.h"
 #include "hawthornlane/relay/framing.h"
 #include "hawthornlane/telemetry/log.h"
 
--- a/libs/front/src/copy_intake.cc
+++ b/libs/front/src/copy_fetch_scheduler.cc
@@ -1,5 +1,5 @@
 // Which host this host asks for a whole copy of what it lacks.
-#include "hawthornlane/front/copy_intake.h"
+#include "hawthornlane/front/copy_fetch_scheduler.h"
 
 #include <algorithm>
 
@@ -7,8 +7,8 @@
 
 namespace hawthornlane::front {
 
-void copy_intake::heard(copy_kind kind, const host_id& from, bool ahead, bool prompt,
-                        timestamp now) {
+void copy_fetch_scheduler::heard(copy_kind kind, const host_id& from, bool ahead, bool prompt,
+                                 timestamp now) {
   intake& one = this->intakes[kind];
   if (!ahead) {
     one.ahead.erase(from);
@@ -18,7 +18,7 @@
   known.prompt = known.prompt || prompt;
 }
 
-std::optional<host_id> copy_intake::next(copy_kind kind, bool urgent, timestamp now) {
+std::optional<host_id> copy_fetch_scheduler::next(copy_kind kind, bool urgent, timestamp now) {
   intake& one = this->intakes[kind];
   if (one.asked || one.ahead.empty() || now < one.quiet_until) {
     return std::nullopt;
@@ -51,7 +51,7 @@
   return one.asked;
 }
 
-void copy_intake::taken(copy_kind kind) {
+void copy_fetch_scheduler::taken(copy_kind kind) {
   intake& one = this->intakes[kind];
   if (one.asked) {
     one.resting.erase(*one.asked);
@@ -59,7 +59,7 @@
   one.asked.reset();
 }
 
-void copy_intake::renew(copy_kind kind) {
+void copy_fetch_scheduler::renew(copy_kind kind) {
   intake& one = this->intakes[kind];
   one.ahead.clear();
   for (auto& [name, resting] : one.resting) {
@@ -67,7 +67,8 @@
   }
 }
 
-void copy_intake::busy(copy_kind kind, const std::vector<host_id>& holders, timestamp now) {
+void copy_fetch_scheduler::busy(copy_kind kind, const std::vector<host_id>& holders,
+                                timestamp now) {
   intake& one = this->intakes[kind];
   one.quiet_until = now + question_pause;
   if (one.asked) {
@@ -84,7 +85,7 @@
   }
 }
 
-duration copy_intake::pause_after(int refusals) const {
+duration copy_fetch_scheduler::pause_after(int refusals) const {
   duration pause = busy_pause;
   for (int refusal = 1; refusal < refusals && pause < longest_busy_pause; ++refusal) {
     pause *= 2;
@@ -93,7 +94,7 @@
   return from_seconds(to_seconds(std::min(pause, longest_busy_pause)) * std::max(1.0, crowd));
 }
 
-void copy_intake::failed(copy_kind kind, timestamp now) {
+void copy_fetch_scheduler::failed(copy_kind kind, timestamp now) {
   constexpr int growth = 4;
   intake& one = this->intakes[kind];
   if (!one.asked) {
@@ -105,7 +106,7 @@
   one.asked.reset();
 }
 
-void copy_intake::forget(const host_id& gone) {
+void copy_fetch_scheduler::forget(const host_id& gone) {
   for (intake& one : this->intakes) {
     one.ahead.erase(gone);
     one.resting.erase(gone);
--- a/libs/front/src/copy_messages.cc
+++ b/libs/front/src/copy_messages.cc
@@ -20,7 +20,7 @@
   return known ? std::move(request) : std::nullopt;
 }
 
-std::string to_answer_bytes(copy_answer answer) {
+std::string to_answer_bytes(copy_response answer) {
   if (answer.copy) {
     std::string bytes = *std::move(answer.copy);
     bytes += copy_mark;
@@ -29,13 +29,13 @@
   return to_bytes(answer.holders) + busy_mark;
 }
 
-std::optional<copy_answer> copy_answer_from(std::string bytes) {
+std::optional<copy_response> copy_answer_from(std::string bytes) {
   if (bytes.empty()) {
     return std::nullopt;
   }
   const char mark = bytes.back();
   bytes.pop_back();
-  copy_answer answer;
+  copy_response answer;
   if (mark == copy_mark) {
     answer.copy = std::move(bytes);
     return answer;
--- a/libs/front/src/copy_outlet.cc
+++ b/libs/front/src/copy_send_limiter.cc
@@ -1,11 +1,12 @@
 // How many whole copies a host gives at a time, and whom it names instead.
-#include "hawthornlane/front/copy_outlet.h"
+#include "hawthornlane/front/copy_send_limiter.h"
 
 #include <algorithm>
 
 namespace hawthornlane::front {
 
-bool copy_outlet::begin(copy_kind kind, const host_id& receiver, std::size_t bytes, timestamp now) {
+bool copy_send_limiter::begin(copy_kind kind, const host_id& receiver, std::size_t bytes,
+                              timestamp now) {
   auto& under_way = this->outlets[kind].under_way;
   std::erase_if(under_way, [&](const auto& item) {
     return item.first == receiver || now - item.second.began >= longest_copy;
@@ -21,7 +22,7 @@
   return true;
 }
 
-void copy_outlet::taken(copy_kind kind, const host_id& receiver) {
+void copy_send_limiter::taken(copy_kind kind, const host_id& receiver) {
   outlet& one = this->outlets[kind];
   const auto copy = one.under_way.extract(receiver);
   if (copy.empty() || !copy.mapped().newest) {
@@ -34,7 +35,7 @@
   }
 }
 
-void copy_outlet::renew(copy_kind kind) {
+void copy_send_limiter::renew(copy_kind kind) {
   outlet& one = this->outlets[kind];
   one.holders.clear();
   for (auto& [receiver, copy] : one.under_way) {
@@ -42,7 +43,7 @@
   }
 }
 
-std::vector<host_id> copy_outlet::holders(copy_kind kind) const {
+std::vector<host_id> copy_send_limiter::holders(copy_kind kind) const {
   const auto& held = this->outlets[kind].holders;
   return {held.begin(), held.end()};
 }
--- a/libs/front/src/directory_exchange.cc
+++ b/libs/front/src/directory_exchange.cc
@@ -22,7 +22,7 @@
 
 template <class Message>
 std::optional<Message> read_with_speeds(const std::string& bytes) {
-  auto both = from_bytes_with_tail<Message, std::vector<told_speed>>(bytes);
+  auto both = from_bytes_with_tail<Message, std::vector<speed_report>>(bytes);
   if (!both) {
     return std::nullopt;
   }
@@ -34,17 +34,17 @@
 
 std::string bytes_of(const directory_message& message) { return bytes_with_speeds(message); }
 
-std::string bytes_of(const directory_answer& answer) { return bytes_with_speeds(answer); }
+std::string bytes_of(const directory_response& answer) { return bytes_with_speeds(answer); }
 
 std::optional<directory_message> directory_message_from(const std::string& bytes) {
   return read_with_speeds<directory_message>(bytes);
 }
 
-std::optional<directory_answer> directory_answer_from(const std::string& bytes) {
-  return read_with_speeds<directory_answer>(bytes);
+std::optional<directory_response> directory_answer_from(const std::string& bytes) {
+  return read_with_speeds<directory_response>(bytes);
 }
 
-directory_exchange::directory_exchange(asio::io_context& io, host_id own, exchange_hooks with)
+directory_exchange::directory_exchange(asio::io_context& io, host_id own, directory_hooks with)
     : context(io), self(std::move(own)), hooks(std::move(with)) {}
 
 std::vector<host_id> directory_exchange::keepers() const {
@@ -55,7 +55,7 @@
 
 directory_message& directory_exchange::message_to(messages& all, std::uint64_t key,
                                                   const std::vector<host_id>& hosts) const {
-  directory_message& message = all[keeper_of(key, hosts).value_or(this->self)];
+  directory_message& message = all[directory_host_for(key, hosts).value_or(this->self)];
   message.from = this->self;
   return message;
 }
@@ -69,7 +69,7 @@
   for (const part_location& location : update.locations) {
     this->message_to(all, location.part.get(), hosts).locations.push_back(location);
   }
-  for (const told_speed& speed : update.speeds) {
+  for (const speed_report& speed : update.speeds) {
     this->message_to(all, speed.server.get(), hosts).speeds.push_back(speed);
   }
   for (const auto& [keeper, message] : all) {
@@ -95,7 +95,7 @@
                    });
 }
 
-asio::awaitable<void> directory_exchange::ask(directory_question question) {
+asio::awaitable<void> directory_exchange::ask(directory_request question) {
   const std::vector<host_id> hosts = this->keepers();
   messages all;
   for (const server_key& server : question.servers) {
@@ -123,9 +123,9 @@
   }
 }
 
-directory_answer directory_exchange::answer(const directory_message& message) {
+directory_response directory_exchange::answer(const directory_message& message) {
   const timestamp now = discovery::scheduler_now();
-  directory_answer answer;
+  directory_response answer;
   const auto add_load = [&](server_key server) {
     const std::uint32_t waiting = this->hooks.waiting ? this->hooks.waiting(server) : 0;
     const std::uint32_t calls = this->directory.load_of_others(server, message.from, now);
@@ -134,13 +134,13 @@
       answer.speeds.push_back(*speed);
     }
   };
-  for (const told_speed& speed : message.speeds) {
+  for (const speed_report& speed : message.speeds) {
     this->directory.set_speed(message.from, speed, now);
   }
   for (const server_load& load : message.loads) {
     const std::uint32_t before = this->directory.set_load(message.from, load, now);
-    if (this->hooks.counted) {
-      this->hooks.counted(message.from, load, before);
+    if (this->hooks.load_changed) {
+      this->hooks.load_changed(message.from, load, before);
     }
     add_load(load.server);
   }
--- a/libs/front/src/fleet_copies.cc
+++ b/libs/front/src/fleet_copies.cc
@@ -57,7 +57,7 @@
     case copy_kind::ledger: {
       const auto set = from_bytes<ledger_set>(copy);
       if (set) {
-        this->hooks.take_ledger(*set, from);
+        this->hooks.apply_ledger_set(*set, from);
       }
       return set.has_value();
     }
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -15,8 +15,8 @@
 #include "hawthornlane/front/ledger_client.h"
 #include "hawthornlane/front/peer_gossip.h"
 #include "hawthornlane/front/peer_traffic.h"
-#include "hawthornlane/front/planned_stop.h"
 #include "hawthornlane/front/quota_client.h"
+#include "hawthornlane/front/shutdown_policy.h"
 #include "hawthornlane/http/answer_server.h"
 #include "hawthornlane/http/listening.h"
 #include "hawthornlane/platform_adapter/call_codec.h"
@@ -78,9 +78,9 @@
         acceptor(io),
         reader({io, settings.host, store, fleet, checks, ledger, gossip, faults}),
         report(report_of()) {
-    this->placer.share_by(this->exchange);
+    this->placer.set_directory_exchange(this->exchange);
     if (this->settings.claims_places) {
-      this->placer.claim_by(this->places);
+      this->placer.set_place_exchange(this->places);
     }
   }
 
@@ -91,7 +91,7 @@
   relay::call_codec codec;
   platform_adapter::store_client store;
   discovery::fleet_state fleet;
-  check_schedule checks;
+  store_read_schedule checks;
   peer_traffic traffic;
   call_metrics metrics;
   relay::backend_pool backends;
@@ -140,8 +140,8 @@
       const std::size_t most = this->settings.memory_mb * bytes_per_mb / peer_answers_share;
       return this->peers->waiting_bytes() < most;
     };
-    hooks.take_ledger = [this](const ledger_set& set, const host_id& from) {
-      this->ledger.take_set(set, from.get());
+    hooks.apply_ledger_set = [this](const ledger_set& set, const host_id& from) {
+      this->ledger.adopt_ledger_set(set, from.get());
     };
     return hooks;
   }
@@ -160,15 +160,18 @@
     return hooks;
   }
 
-  exchange_hooks make_exchange_hooks() {
-    exchange_hooks hooks;
+  directory_hooks make_exchange_hooks() {
+    directory_hooks hooks;
     hooks.hosts = [this] { return this->gossip.live_hosts(); };
     hooks.send = [this](const host_id& to, const std::string& payload, net::rpc_done done) {
       this->gossip.send(to, gossip_method::placements, payload, std::move(done));
     };
-    hooks.take = [this](const directory_answer& answer) { this->placer.take_answer(answer); };
+    hooks.take = [this](const directory_response& answer) {
+      this->placer.apply_directory_response(answer);
+    };
     if (this->settings.claims_places) {
-      hooks.counted = [this](const host_id& host, const server_load& load, std::uint32_t before) {
+      hooks.load_changed = [this](const host_id& host, const server_load& load,
+                                  std::uint32_t before) {
         this->places.count_changed(host, load, before);
       };
       hooks.waiting = [this](server_key server) { return this->places.waiting(server); };
@@ -199,13 +202,13 @@
     own.leaving = this->leaving;
     own.configuration = this->fleet.table() ? this->fleet.table()->version() : config_version(0);
     own.backends_changed_at = this->fleet.backends_changed_at();
-    own.hosts_at = this->fleet.hosts_changed_at();
+    own.hosts_revision = this->fleet.hosts_changed_at();
     own.disks_reached = this->ledger.reached();
-    own.ledger_at = this->ledger.current() ? this->ledger.current()->epoch : set_epoch(0);
+    own.ledger_epoch = this->ledger.current() ? this->ledger.current()->epoch : set_epoch(0);
     own.demand = this->placer.demand();
     if (this->checks.heard()) {
-      own.checked_by = this->checks.last_reader();
-      own.checked_ago = this->checks.age(discovery::scheduler_now());
+      own.store_read_by = this->checks.last_reader();
+      own.store_read_age = this->checks.age(discovery::scheduler_now());
     }
     return own;
   }
@@ -226,9 +229,9 @@
       this->gossip.refresh_hosts();
       this->ledger.refresh_hosts();
     });
-    this->ledger.count_in(this->traffic);
+    this->ledger.set_traffic(this->traffic);
     this->ledger.set_relay(
-        [this](const relayed_question& question, duration limit, net::rpc_done done) {
+        [this](const relayed_request& question, duration limit, net::rpc_done done) {
           this->gossip.relay(question, limit, std::move(done));
         });
     this->listen();
@@ -341,18 +344,18 @@
     if (this->settings.claims_places) {
       this->places.tick();
     }
-    this->fleet.settle();
+    this->fleet.drop_expired_removals();
     this->gossip.tick();
     this->ledger.tick();
     flush_log();
     const net::steady_time now = steady::now();
     if (now >= this->next_sharing) {
       this->next_sharing = now + sharing_pause;
-      this->placer.take_demand(this->gossip.demand_of_others());
+      this->placer.apply_demand(this->gossip.demand_of_others());
     }
     if (now >= this->next_renewal) {
       this->next_renewal = now + renewal_pause;
-      this->placer.renew_loads();
+      this->placer.report_loads();
     }
     if (now >= this->next_idle_sweep) {
       this->next_idle_sweep = now + idle_pause;
@@ -380,19 +383,19 @@
     }
     this->leaving = true;
     this->leaving_since = steady::now();
-    log(event::stopping, {{"calls", std::to_string(this->calls.under_way())},
+    log(event::stopping, {{"calls", std::to_string(this->calls.in_flight())},
                           {"connections", std::to_string(this->connections)}});
-    this->gossip.tell_all();
+    this->gossip.broadcast_state();
   }
 
   void go_on_leaving(net::steady_time now) {
     const duration since = std::chrono::duration_cast<duration>(now - this->leaving_since);
-    const planned_stop stop{this->settings.grace, this->settings.address_time};
+    const shutdown_policy stop{this->settings.grace, this->settings.address_time};
     if (stop.turns_away(since)) {
-      this->calls.turn_away();
+      this->calls.reject_new_calls();
     }
-    if (stop.may_end(since, this->calls.under_way())) {
-      log(event::stopped, {{"calls", std::to_string(this->calls.under_way())}});
+    if (stop.may_end(since, this->calls.in_flight())) {
+      log(event::stopped, {{"calls", std::to_string(this->calls.in_flight())}});
       flush_log();
       this->stopped();
     }
--- a/libs/front/src/host_report.cc
+++ b/libs/front/src/host_report.cc
@@ -35,7 +35,7 @@
   this->set("backend_connections_reused", this->from.backends.counters().reused);
   this->set("backend_foreign_answers", this->from.backends.counters().foreign_answers);
   this->set("backend_unnamed_refusals", this->from.backends.counters().unnamed_refusals);
-  this->set("calls_under_way", this->from.calls.under_way());
+  this->set("calls_under_way", this->from.calls.in_flight());
   this->set_memory_metrics();
   this->set_traffic_metrics();
   return this->from.metrics.text();
@@ -79,7 +79,7 @@
   log(event::memory_high,
       {{"resident_mb", std::to_string(used / bytes_per_mb)},
        {"limit_mb", std::to_string(limit / bytes_per_mb)},
-       {"calls", std::to_string(this->from.calls.under_way())},
+       {"calls", std::to_string(this->from.calls.in_flight())},
        {"connections", std::to_string(this->from.connections())},
        {"peer_bytes_waiting", std::to_string(this->from.peer_bytes_waiting())},
        {"configuration_bytes", std::to_string(this->from.fleet.configuration_copy().size())},
--- a/libs/front/src/ledger_admission.cc
+++ b/libs/front/src/ledger_admission.cc
@@ -71,13 +71,13 @@
     return this->chain_open() && this->asked_for_chain.size() == 1;
   }
   [[nodiscard]] bool chain_decided() const {
-    return !this->needs_chain || this->chain.verdict() != chain_verdict::undecided;
+    return !this->needs_chain || this->chain.outcome() != chain_outcome::undecided;
   }
   [[nodiscard]] bool decided() const {
-    return this->chain_decided() && this->check.verdict() != budget_verdict::undecided;
+    return this->chain_decided() && this->check.outcome() != budget_outcome::undecided;
   }
-  [[nodiscard]] bool hopeless() const {
-    return this->check.hopeless() || (!this->chain_decided() && this->chain.hopeless());
+  [[nodiscard]] bool cannot_succeed() const {
+    return this->check.cannot_succeed() || (!this->chain_decided() && this->chain.cannot_succeed());
   }
 };
 
@@ -85,8 +85,8 @@
   append_request request;
   request.epoch = state->set.epoch;
   request.record = record_of(state->turn, reservation_phase::open, token_count(0));
-  round_hooks<program_answer> hooks;
-  hooks.answered = [state](const program_answer& answer) {
+  round_hooks<program_response> hooks;
+  hooks.answered = [state](const program_response& answer) {
     state->check.on_append(answer);
     state->signal.wake();
   };
@@ -102,8 +102,8 @@
 void ledger_client::send_collects(const std::shared_ptr<admission_state>& state) {
   state->collecting = true;
   const collect_request request{state->set.epoch, state->turn.program};
-  round_hooks<program_answer> hooks;
-  hooks.answered = [state](const program_answer& answer) {
+  round_hooks<program_response> hooks;
+  hooks.answered = [state](const program_response& answer) {
     state->check.on_collect(answer);
     state->signal.wake();
   };
@@ -119,8 +119,8 @@
 void ledger_client::send_chain_reads(const std::shared_ptr<admission_state>& state,
                                      const std::vector<disk_id>& disks) {
   const chain_request request{state->set.epoch, *state->turn.previous};
-  round_hooks<chain_answer> hooks;
-  hooks.answered = [state](const chain_answer& answer) {
+  round_hooks<chain_response> hooks;
+  hooks.answered = [state](const chain_response& answer) {
     state->chain.on_answer(answer);
     state->ask_all_for_chain_now();
   };
@@ -190,13 +190,13 @@
 }
 
 void ledger_client::conclude(const admission_state& state, turn_admission& result) {
-  if (state.needs_chain && state.chain.verdict() == chain_verdict::absent) {
+  if (state.needs_chain && state.chain.outcome() == chain_outcome::absent) {
     result.kind = admission_kind::unknown_turn;
     result.detail = fmt::format("a majority of epoch {} does not hold turn {}",
                                 state.set.epoch.get(), state.turn.previous->get());
     return;
   }
-  if (state.check.verdict() == budget_verdict::exceeds) {
+  if (state.check.outcome() == budget_outcome::exceeds) {
     result.kind = admission_kind::over_budget;
     result.detail =
         fmt::format("reserved and used {} of {} in epoch {}", state.check.charged().get(),
@@ -207,7 +207,7 @@
   if (!state.needs_chain) {
     return;
   }
-  for (const kept_turn& turn : state.chain.chain()) {
+  for (const stored_turn& turn : state.chain.chain()) {
     this->cache.add(turn);
     result.history += turn.input;
     result.history += turn.output;
@@ -234,7 +234,7 @@
       this->conclude(*state, result);
       co_return true;
     }
-    if (state->hopeless() || now >= state->until) {
+    if (state->cannot_succeed() || now >= state->until) {
       result.kind = admission_kind::unavailable;
       result.detail = fmt::format("no majority of epoch {} answers", state->set.epoch.get());
       co_return true;
@@ -247,7 +247,7 @@
       wake_at = std::min(wake_at, state->second_asked_for_chain_at);
     }
     const bool may_collect = state->appended_at != net::never && !state->collecting &&
-                             state->check.verdict() == budget_verdict::undecided;
+                             state->check.outcome() == budget_outcome::undecided;
     if (may_collect && now >= state->appended_at + last_disk_wait) {
       this->send_collects(state);
     } else if (may_collect) {
--- a/libs/front/src/ledger_client.cc
+++ b/libs/front/src/ledger_client.cc
@@ -33,7 +33,7 @@
 
 ledger_client::~ledger_client() = default;
 
-void ledger_client::take_set(const platform_adapter::object_page& page) {
+void ledger_client::adopt_ledger_set(const platform_adapter::object_page& page) {
   for (const auto& item : page.items) {
     if (item.removed || !platform_adapter::is_ledger_object(item.object)) {
       continue;
@@ -41,12 +41,12 @@
     // One that cannot be read is told of where the hosts' entries of the page are read.
     failure ignored;
     if (const auto told = platform_adapter::ledger_set_from(item.object, ignored)) {
-      this->take_set(*told, "store");
+      this->adopt_ledger_set(*told, "store");
     }
   }
 }
 
-void ledger_client::take_set(const ledger_set& told, const std::string& source) {
+void ledger_client::adopt_ledger_set(const ledger_set& told, const std::string& source) {
   if (this->set && told.epoch <= this->set->epoch) {
     return;
   }
@@ -116,7 +116,7 @@
 
 void ledger_client::ask_by_relay(const disk_id& disk, const question& what, duration limit,
                                  net::rpc_done done) {
-  const relayed_question passed_on{disk, static_cast<std::uint16_t>(what.method), *what.payload};
+  const relayed_request passed_on{disk, static_cast<std::uint16_t>(what.method), *what.payload};
   this->relay(passed_on, limit, this->while_underway(what.payload->size(), std::move(done)));
 }
 
@@ -152,7 +152,7 @@
 }
 
 void ledger_client::serve_relayed(const std::string& payload, const net::rpc_reply& reply) {
-  auto question = from_bytes<relayed_question>(payload);
+  auto question = from_bytes<relayed_request>(payload);
   const auto found = question ? this->links.find(question->disk) : this->links.end();
   // Passed on once only: a host that does not reach the disk host says so.
   if (found == this->links.end() || found->second.suspected) {
@@ -186,7 +186,7 @@
     }
     known.link->call(static_cast<std::uint16_t>(ledger_method::probe), "", patience,
                      [this, disk = disk](net::rpc_failure why, const std::string& bytes) {
-                       const auto answer = from_bytes<probe_answer>(bytes);
+                       const auto answer = from_bytes<probe_response>(bytes);
                        const auto found = this->links.find(disk);
                        if (why != net::rpc_failure::none || !answer || answer->disk != disk ||
                            found == this->links.end()) {
@@ -240,7 +240,7 @@
 
 void ledger_client::note_stale(const std::optional<ledger_set>& newest) {
   if (newest) {
-    this->take_set(*newest, "disk host");
+    this->adopt_ledger_set(*newest, "disk host");
   }
 }
 
--- a/libs/front/src/ledger_settlement.cc
+++ b/libs/front/src/ledger_settlement.cc
@@ -59,7 +59,7 @@
     this->signal.wake();
   }
   [[nodiscard]] bool over() const {
-    return this->round.majority() || this->stale || this->round.hopeless();
+    return this->round.majority() || this->stale || this->round.cannot_succeed();
   }
 };
 
@@ -73,8 +73,8 @@
 
 void ledger_client::send_settlement(const std::shared_ptr<settle_state>& state,
                                     const std::vector<disk_id>& disks) {
-  round_hooks<program_answer> hooks;
-  hooks.answered = [state](const program_answer& answer) {
+  round_hooks<program_response> hooks;
+  hooks.answered = [state](const program_response& answer) {
     state->round.answered(answer.disk);
     state->signal.wake();
   };
@@ -119,7 +119,7 @@
   request.record = record_of(turn, reservation_phase::settled, result.used);
   if (turn.kept && result.whole) {
     request.record.turn =
-        kept_turn{turn.id, turn.previous, std::move(result.input), std::move(result.output)};
+        stored_turn{turn.id, turn.previous, std::move(result.input), std::move(result.output)};
   }
   const bool kept = co_await this->keep_record(request, until);
   if (kept && request.record.turn) {
--- a/libs/front/src/peer_watch.cc
+++ b/libs/front/src/peer_failure_detector.cc
@@ -1,5 +1,5 @@
 // What one front host believes of another one.
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 
 namespace hawthornlane::front {
 namespace {
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-void peer_watch::heard(timestamp now) {
+void peer_failure_detector::heard(timestamp now) {
   this->last_heard = now;
   this->failed = false;
   this->told.clear();
 }
 
-void peer_watch::was_probed(timestamp now) { this->probes.was_probed = now; }
+void peer_failure_detector::was_probed(timestamp now) { this->probes.was_probed = now; }
 
-void peer_watch::probe_sent(timestamp now, duration late) {
+void peer_failure_detector::probe_sent(timestamp now, duration late) {
   this->probes.tried = now;
   if (this->asked <= this->last_heard) {
     this->asked = now;
@@ -35,34 +35,35 @@
   }
 }
 
-bool peer_watch::suspected(timestamp now, duration late) const {
+bool peer_failure_detector::suspected(timestamp now, duration late) const {
   const bool is_asked = this->asked > this->last_heard;
   const duration waited = (now - this->asked) - (late - this->late_when_asked);
   return this->failed || (is_asked && waited >= long_unanswered);
 }
 
-void peer_watch::probe_answered(timestamp sent) { this->probes.probed = sent; }
+void peer_failure_detector::probe_answered(timestamp sent) { this->probes.probed = sent; }
 
-void peer_watch::probe_failed(timestamp sent, duration late_meanwhile) {
+void peer_failure_detector::probe_failed(timestamp sent, duration late_meanwhile) {
   // A word that came while the probe was under way counts more.
   const bool proves = sent >= this->last_heard && late_meanwhile <= most_late;
   this->failed = this->failed || proves;
 }
 
-void peer_watch::told_by(const host_id& other, timestamp now) {
+void peer_failure_detector::told_by(const host_id& other, timestamp now) {
   if (this->told.size() < least_told) {
     this->told.insert(other);
   }
   this->last_told = now;
 }
 
-bool peer_watch::doubted(timestamp now) const {
+bool peer_failure_detector::doubted(timestamp now) const {
   const bool asked_since = this->probes.tried >= this->last_told;
   const bool is_doubtful = !this->told.empty() && now - this->last_heard >= just_heard;
   return is_doubtful && !this->failed && !asked_since;
 }
 
-bool peer_watch::turn_due(bool goes_first, const watch_pace& pace, timestamp now) const {
+bool peer_failure_detector::turn_due(bool goes_first, const detector_timing& pace,
+                                     timestamp now) const {
   const timestamp begins = this->since + from_seconds(to_seconds(pace.pause) * this->phase);
   if (this->probes.tried < begins) {
     return now >= begins;
@@ -70,7 +71,7 @@
   return is_probe_due(this->probes, goes_first, pace.pause, now);
 }
 
-bool peer_watch::lives(const watch_pace& pace, timestamp now) const {
+bool peer_failure_detector::lives(const detector_timing& pace, timestamp now) const {
   if (now - this->last_heard >= pace.silence) {
     return false;
   }
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 #include "hawthornlane/front/relay_choice.h"
 #include "hawthornlane/placement/rendezvous.h"
 #include "hawthornlane/telemetry/log.h"
@@ -28,7 +28,7 @@
 constexpr duration probe_limit = std::chrono::milliseconds(500);
 /// A host that has read the store this lately tells news that nobody else may have.
 constexpr duration just_read = std::chrono::milliseconds(50);
-constexpr duration copy_limit = copy_outlet::longest_copy;
+constexpr duration copy_limit = copy_send_limiter::longest_copy;
 
 /// Where in a pause two hosts begin to probe each other; pairs spread evenly.
 double phase_of(const host_id& host, const host_id& other) {
@@ -50,14 +50,15 @@
   host_key key;
   std::unique_ptr<net::rpc_client> link;
   gossip_digest heard;
-  peer_watch watch;
+  peer_failure_detector watch;
   /// When it last answered a call of this host, unless a question for a copy failed since.
   net::steady_time answered_at{};
   bool reachable = true;
 };
 
 peer_gossip::peer_gossip(boost::asio::io_context& io, net::deadline_sweeper& sweep,
-                         discovery::fleet_state& state, check_schedule& schedule, gossip_hooks with)
+                         discovery::fleet_state& state, store_read_schedule& schedule,
+                         gossip_hooks with)
     : context(io),
       sweeper(sweep),
       fleet(state),
@@ -143,7 +144,7 @@
   return other.watch.turn_due(goes_first, this->pace(), discovery::scheduler_now());
 }
 
-watch_pace peer_gossip::pace() const { return {this->probe_pause(), this->silence()}; }
+detector_timing peer_gossip::pace() const { return {this->probe_pause(), this->silence()}; }
 
 bool peer_gossip::lives(const peer& other) const {
   return other.watch.lives(this->pace(), discovery::scheduler_now());
@@ -154,7 +155,7 @@
   return known != this->peers.end() && steady::now() - known->second->answered_at < this->silence();
 }
 
-void peer_gossip::tell_all() {
+void peer_gossip::broadcast_state() {
   this->encoder.expire();
   const std::string payload = this->probe_bytes();
   for (const auto& [name, other] : this->peers) {
@@ -249,12 +250,13 @@
     other.reachable = true;
     log(event::host_reachable, {{"peer", other.entry.name.get()}});
   }
-  if (!digest.checked_by.get().empty()) {
-    this->checks.checked(digest.checked_by, discovery::scheduler_now() - digest.checked_ago);
+  if (!digest.store_read_by.get().empty()) {
+    this->checks.record_read(digest.store_read_by,
+                             discovery::scheduler_now() - digest.store_read_age);
   }
   this->note_progress();
-  const gossip_news news = news_in(digest, this->last_known);
-  const bool from_reader = digest.checked_ago < just_read;
+  const newer_kinds news = find_newer_kinds(digest, this->last_known);
+  const bool from_reader = digest.store_read_age < just_read;
   for (const copy_kind kind : all_copy_kinds) {
     this->intake.heard(kind, other.entry.name, news.of(kind), from_reader,
                        discovery::scheduler_now());
@@ -263,11 +265,11 @@
 }
 
 void peer_gossip::note_progress() {
-  const known_state own = this->known();
+  const known_versions own = this->known();
   if (own == this->last_known) {
     return;
   }
-  const known_state before = std::exchange(this->last_known, own);
+  const known_versions before = std::exchange(this->last_known, own);
   this->encoder.expire();
   const auto renew = [this](copy_kind kind, bool changed) {
     if (changed) {
@@ -278,21 +280,22 @@
   };
   renew(copy_kind::configuration, own.configuration != before.configuration);
   renew(copy_kind::backends, own.backends_changed_at != before.backends_changed_at);
-  renew(copy_kind::hosts, own.hosts_at != before.hosts_at);
+  renew(copy_kind::hosts, own.hosts_revision != before.hosts_revision);
   renew(copy_kind::ledger, own.ledger != before.ledger);
 }
 
 void peer_gossip::hear_again(copy_kind kind) {
   this->intake.renew(kind);
   for (const auto& [name, other] : this->peers) {
-    const bool ahead = this->lives(*other) && news_in(other->heard, this->last_known).of(kind);
+    const bool ahead =
+        this->lives(*other) && find_newer_kinds(other->heard, this->last_known).of(kind);
     this->intake.heard(kind, name, ahead, false, discovery::scheduler_now());
   }
 }
 
 void peer_gossip::ask_due() {
   this->note_progress();
-  const known_state& own = this->last_known;
+  const known_versions& own = this->last_known;
   const bool urgent = !own.configuration || !this->fleet.backends().heard() || !own.ledger;
   for (const copy_kind kind : all_copy_kinds) {
     const auto from = this->intake.next(kind, urgent, discovery::scheduler_now());
@@ -309,20 +312,20 @@
   }
 }
 
-known_state peer_gossip::known() const {
-  known_state own;
+known_versions peer_gossip::known() const {
+  known_versions own;
   if (const auto& table = this->fleet.table()) {
     own.configuration = table->version();
   }
   own.backends_changed_at = this->fleet.backends().at();
-  own.hosts_at = this->fleet.hosts().at();
+  own.hosts_revision = this->fleet.hosts().at();
   if (const auto set = this->hooks.ledger()) {
     own.ledger = set->epoch;
   }
   return own;
 }
 
-void peer_gossip::relay(const relayed_question& question, duration limit, net::rpc_done done) {
+void peer_gossip::relay(const relayed_request& question, duration limit, net::rpc_done done) {
   std::vector<relay_candidate> candidates;
   for (const auto& [name, other] : this->peers) {
     if (this->lives(*other)) {
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -75,7 +75,7 @@
 host_id place_exchange::keeper_of_server(server_key server) const {
   std::vector<host_id> hosts = this->hooks.hosts();
   hosts.push_back(this->self);
-  return keeper_of(server.get(), hosts).value_or(this->self);
+  return directory_host_for(server.get(), hosts).value_or(this->self);
 }
 
 asio::awaitable<claim_result> place_exchange::claim(const placement_request& request,
@@ -120,7 +120,7 @@
       break;
     }
     const auto left = item->request.give_up_at - discovery::scheduler_now();
-    const auto until = std::min(sent + place_queue::repeat_pause, steady::now() + left);
+    const auto until = std::min(sent + place_queue::repeat_interval, steady::now() + left);
     while (!is_over() && item->count(open_claim::claim_state::waiting) > 0 &&
            steady::now() < until) {
       co_await item->changed.wait_until(until);
@@ -188,7 +188,7 @@
     this->hooks.send(keeper, gossip_method::claim, to_bytes(claim),
                      [this, item, number](net::rpc_failure why, const std::string& bytes) {
                        const bool good = why == net::rpc_failure::none;
-                       const auto answer = good ? from_bytes<claim_answer>(bytes) : std::nullopt;
+                       const auto answer = good ? from_bytes<claim_response>(bytes) : std::nullopt;
                        if (answer) {
                          this->take_answer(item, number, *answer);
                        } else {
@@ -208,7 +208,7 @@
 }
 
 void place_exchange::take_answer(const open_claim_ptr& item, std::size_t number,
-                                 const claim_answer& answer) {
+                                 const claim_response& answer) {
   auto& target = item->targets[number];
   target.wait = answer.wait;
   target.ahead = answer.ahead;
@@ -355,7 +355,7 @@
     if (!claim) {
       return std::nullopt;
     }
-    const claim_answer answer = this->queue.claim(*claim, now);
+    const claim_response answer = this->queue.claim(*claim, now);
     this->tell_grants();
     return to_bytes(answer);
   }
--- a/libs/front/src/probe_encoder.cc
+++ b/libs/front/src/probe_encoder.cc
@@ -12,8 +12,8 @@
   // The age is the last field of fixed size, before the demand and the suspected hosts.
   const std::size_t after = to_bytes(digest.demand).size() + to_bytes(message.suspected).size();
   this->age_at = this->bytes.size() - after - sizeof(std::int64_t);
-  this->checked_at = now - digest.checked_ago;
-  this->has_checked = !digest.checked_by.get().empty();
+  this->checked_at = now - digest.store_read_age;
+  this->has_checked = !digest.store_read_by.get().empty();
 }
 
 const std::string& probe_encoder::encoded(timestamp now) {
--- a/libs/front/src/probe_turns.cc
+++ b/libs/front/src/probe_schedule.cc
@@ -1,5 +1,5 @@
 // Which of two front hosts probes the other one next.
-#include "hawthornlane/front/probe_turns.h"
+#include "hawthornlane/front/probe_schedule.h"
 
 namespace hawthornlane::front {
 namespace {
@@ -11,7 +11,7 @@
 /// hosts were taken for gone while a fifth of the messages was lost as without turns.
 constexpr int retry_part = 3;
 
-bool is_own_turn(const probe_moments& moments, bool goes_first, duration pause) {
+bool is_own_turn(const probe_times& moments, bool goes_first, duration pause) {
   const auto way = pause / way_part;
   const auto later = moments.was_probed - moments.probed;
   const bool at_once = later < way && later > -way;
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool is_probe_due(const probe_moments& moments, bool goes_first, duration pause, timestamp now) {
+bool is_probe_due(const probe_times& moments, bool goes_first, duration pause, timestamp now) {
   if (now - moments.tried < pause / retry_part) {
     return false;
   }
--- a/libs/front/src/quota_client.cc
+++ b/libs/front/src/quota_client.cc
@@ -67,7 +67,7 @@
   this->hooks.ask(state->keepers[keeper], state->payload, answer_limit,
                   [state](net::rpc_failure why, const std::string& bytes) {
                     const bool good = why == net::rpc_failure::none;
-                    const auto answer = good ? from_bytes<quota_answer>(bytes) : std::nullopt;
+                    const auto answer = good ? from_bytes<quota_response>(bytes) : std::nullopt;
                     if (answer) {
                       state->round.answered(*answer);
                     } else {
@@ -77,7 +77,7 @@
                   });
 }
 
-asio::awaitable<quota_admission> quota_client::admit(quota_question question, std::uint64_t spread,
+asio::awaitable<quota_admission> quota_client::admit(quota_request question, std::uint64_t spread,
                                                      net::steady_time until) {
   std::string payload = to_bytes(question);
   if (question.program) {
@@ -117,7 +117,7 @@
   }
   quota_admission result;
   result.decision = state->round.final_decision();
-  result.room_in = state->round.room_in();
+  result.retry_after = state->round.retry_after();
   co_return result;
 }
 
--- a/libs/front/src/store_reader.cc
+++ b/libs/front/src/store_reader.cc
@@ -104,11 +104,11 @@
         page.at, discovery::backend_entries_of(page, this->parts.faults), "store");
     const bool hosts_due =
         !this->parts.fleet.hosts().heard() || steady::now() >= this->next_host_check;
-    this->parts.checks.checked(this->parts.self, began);
-    this->parts.gossip.tell_all();
+    this->parts.checks.record_read(this->parts.self, began);
+    this->parts.gossip.broadcast_state();
     if (hosts_due && took(co_await this->parts.store.list(object_kind::hosts, page, reason))) {
       this->next_host_check = steady::now() + host_check_pause;
-      this->parts.ledger.take_set(page);
+      this->parts.ledger.adopt_ledger_set(page);
       this->parts.fleet.list_hosts(page.at, discovery::host_entries_of(page, this->parts.faults));
     }
   }
@@ -122,11 +122,11 @@
   object_page page;
   const auto outcome = co_await this->parts.store.list(object_kind::hosts, page, reason);
   if (outcome == platform_adapter::store_outcome::done) {
-    this->parts.ledger.take_set(page);
+    this->parts.ledger.adopt_ledger_set(page);
     const store_revision before = this->parts.fleet.hosts().at();
     this->parts.fleet.list_hosts(page.at, discovery::host_entries_of(page, this->parts.faults));
     if (this->parts.fleet.table() && this->parts.fleet.hosts().at() > before) {
-      this->parts.gossip.tell_all();
+      this->parts.gossip.broadcast_state();
     }
     // The store is back and this host knows nothing: its callers wait for the next
     // read, which would be due 0.35 s later on the whole.
--- a/libs/front/src/store_reader.h
+++ b/libs/front/src/store_reader.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "hawthornlane/discovery/registration.h"
-#include "hawthornlane/fleet/check_schedule.h"
+#include "hawthornlane/fleet/store_read_schedule.h"
 #include "hawthornlane/front/ledger_client.h"
 #include "hawthornlane/front/peer_gossip.h"
 
@@ -19,7 +19,7 @@
   host_id self;
   platform_adapter::store_client& store;
   discovery::fleet_state& fleet;
-  check_schedule& checks;
+  store_read_schedule& checks;
   ledger_client& ledger;
   peer_gossip& gossip;
   discovery::object_faults& faults;
--- a/libs/front/src/suspicion_limits.cc
+++ b/libs/front/src/suspicion_limits.cc
@@ -5,7 +5,7 @@
 
 namespace hawthornlane::front {
 
-std::vector<host_key> host_rotation::next(const std::set<host_key>& all, std::size_t most) {
+std::vector<host_key> host_round_robin::next(const std::set<host_key>& all, std::size_t most) {
   std::vector<host_key> taken;
   const std::size_t count = std::min(most, all.size());
   auto item = all.upper_bound(this->last);
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -13,13 +13,13 @@
 namespace {
 
 /// Another host that never answers: each question then takes its full time.
-exchange_hooks silent_host(std::vector<net::rpc_done>& unanswered) {
-  exchange_hooks hooks;
+directory_hooks silent_host(std::vector<net::rpc_done>& unanswered) {
+  directory_hooks hooks;
   hooks.hosts = [] { return std::vector<host_id>{host_id("silent")}; };
   hooks.send = [&unanswered](const host_id&, const std::string&, const net::rpc_done& done) {
     unanswered.push_back(done);
   };
-  hooks.take = [](const directory_answer&) {};
+  hooks.take = [](const directory_response&) {};
   return hooks;
 }
 
@@ -45,7 +45,7 @@
 std::vector<host_id> others_that_keep(server_key server) {
   for (int number = 0;; ++number) {
     host_id name("other-" + std::to_string(number));
-    if (keeper_of(server.get(), {host_id("own"), name}) == name) {
+    if (directory_host_for(server.get(), {host_id("own"), name}) == name) {
       return {std::move(name)};
     }
   }
@@ -73,7 +73,7 @@
   call_placer& placer = host.placer;
   std::vector<net::rpc_done> unanswered;
   directory_exchange exchange(context, host_id("own"), silent_host(unanswered));
-  placer.share_by(exchange);
+  placer.set_directory_exchange(exchange);
 
   placement_wait wait;
   acquired_server got;
@@ -122,10 +122,10 @@
                          const net::rpc_done& done) {
       sent.push_back(method);
       done(net::rpc_failure::none,
-           to_bytes(claim_answer{claim_outcome::refused, std::chrono::seconds(7), 9}));
+           to_bytes(claim_response{claim_outcome::refused, std::chrono::seconds(7), 9}));
     };
     place_exchange places(context, host_id("own"), counts, host.metrics, hooks);
-    placer.claim_by(places);
+    placer.set_place_exchange(places);
 
     placement_request request = turn_request();
     request.prompt.resize(item.has_prompt ? request.prompt.size() : 0);
@@ -135,9 +135,9 @@
       got = co_await placer.acquire(service_name("models"), request, wait);
     };
     REQUIRE(placer.lists_servers(service_name("models")));
-    directory_answer loads;
+    directory_response loads;
     loads.loads.push_back({key, item.calls});
-    placer.take_answer(loads);
+    placer.apply_directory_response(loads);
     boost::asio::co_spawn(context, acquire(), boost::asio::detached);
     context.run();
 
@@ -172,10 +172,10 @@
     std::vector<net::rpc_done> unanswered;
     // The server's keeper is the silent host or this one, by hash.
     std::size_t told = 0;
-    exchange_hooks hooks = silent_host(unanswered);
-    hooks.take = [&told](const directory_answer& answer) { told += answer.loads.size(); };
+    directory_hooks hooks = silent_host(unanswered);
+    hooks.take = [&told](const directory_response& answer) { told += answer.loads.size(); };
     directory_exchange exchange(context, host_id("own"), hooks);
-    placer.share_by(exchange);
+    placer.set_directory_exchange(exchange);
 
     placement_wait wait;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
@@ -194,7 +194,7 @@
     }
     constexpr int looks = 20;
     for (int number = 0; number < looks; ++number) {
-      placer.take_demand({});
+      placer.apply_demand({});
     }
     call();
     CHECK((unanswered.size() + told > 0) == item.told);
--- a/libs/front/test/copy_intake_test.cc
+++ b/libs/front/test/copy_fetch_scheduler_test.cc
@@ -1,5 +1,5 @@
 // Which host is asked for a copy, and when.
-#include "hawthornlane/front/copy_intake.h"
+#include "hawthornlane/front/copy_fetch_scheduler.h"
 
 #include <catch2/catch.hpp>
 
@@ -35,7 +35,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_intake intake(self);
+    copy_fetch_scheduler intake(self);
     intake.heard(kind, one, true, item.prompt, at(0ms));
     intake.heard(kind, one, true, false, at(item.after));
     CHECK(intake.next(kind, item.urgent, at(item.after)).has_value() == item.asked);
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("one copy of a kind is under way, however many hosts are ahead") {
-  copy_intake intake(self);
+  copy_fetch_scheduler intake(self);
   intake.heard(kind, one, true, true, at(0ms));
   intake.heard(kind, two, true, true, at(0ms));
   REQUIRE(intake.next(kind, true, at(0ms)));
@@ -59,14 +59,14 @@
 TEST_CASE("whom a host asks after an answer without a copy") {
   struct row {
     const char* what;
-    std::function<void(copy_intake&)> answer;
+    std::function<void(copy_fetch_scheduler&)> answer;
     duration later;
     std::optional<host_id> asked;
   };
   const auto busy = [](std::vector<host_id> holders) {
-    return [holders](copy_intake& intake) { intake.busy(kind, holders, at(0ms)); };
+    return [holders](copy_fetch_scheduler& intake) { intake.busy(kind, holders, at(0ms)); };
   };
-  const auto failed = [](copy_intake& intake) { intake.failed(kind, at(0ms)); };
+  const auto failed = [](copy_fetch_scheduler& intake) { intake.failed(kind, at(0ms)); };
   const row rows[] = {
       {"a busy host rests", busy({}), 59ms, std::nullopt},
       {"and is asked again", busy({}), 60ms, one},
@@ -78,7 +78,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_intake intake(self);
+    copy_fetch_scheduler intake(self);
     intake.heard(kind, one, true, true, at(0ms));
     REQUIRE(intake.next(kind, false, at(0ms)) == one);
     item.answer(intake);
@@ -102,7 +102,7 @@
   };
   for (const row& item : rows) {
     INFO(item.hosts << " hosts");
-    copy_intake intake(self);
+    copy_fetch_scheduler intake(self);
     intake.count_hosts(item.hosts);
     intake.heard(kind, one, true, true, at(0ms));
     int questions = 0;
@@ -119,7 +119,7 @@
 TEST_CASE("hosts that lack the same do not all ask the same one") {
   std::map<host_id, int> asked;
   for (int number = 0; number < 60; ++number) {
-    copy_intake intake(host_id("front-" + std::to_string(number)));
+    copy_fetch_scheduler intake(host_id("front-" + std::to_string(number)));
     for (const char* holder : {"a", "b", "c", "d"}) {
       intake.heard(kind, host_id(holder), true, true, at(0ms));
     }
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("a host that is gone, or no more ahead, is not asked") {
-  copy_intake intake(self);
+  copy_fetch_scheduler intake(self);
   intake.heard(kind, one, true, true, at(0ms));
   intake.heard(kind, two, true, true, at(0ms));
   intake.forget(one);
@@ -141,7 +141,7 @@
 }
 
 TEST_CASE("a host that fails again and again rests longer, until it answers") {
-  copy_intake intake(self);
+  copy_fetch_scheduler intake(self);
   const auto asked_from = [&intake](duration from) {
     while (!intake.next(kind, true, at(from))) {
       from += 10ms;
@@ -177,7 +177,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_intake intake(self, [](const host_id& other) { return other != one; });
+    copy_fetch_scheduler intake(self, [](const host_id& other) { return other != one; });
     for (const host_id& host : item.ahead) {
       intake.heard(kind, host, true, true, at(0ms));
     }
--- a/libs/front/test/copy_spread_test.cc
+++ b/libs/front/test/copy_propagation_test.cc
@@ -24,8 +24,8 @@
 #include <random>
 #include <set>
 
-#include "hawthornlane/front/copy_intake.h"
-#include "hawthornlane/front/copy_outlet.h"
+#include "hawthornlane/front/copy_fetch_scheduler.h"
+#include "hawthornlane/front/copy_send_limiter.h"
 
 using namespace hawthornlane;
 using namespace hawthornlane::front;
@@ -101,10 +101,10 @@
 
 /// A host as far as copies go. A new one after each restart.
 struct member {
-  member(const host_id& name, copy_intake::reaches_hook reaches)
+  member(const host_id& name, copy_fetch_scheduler::reaches_hook reaches)
       : intake(name, std::move(reaches)) {}
-  copy_intake intake;
-  copy_outlet outlet;
+  copy_fetch_scheduler intake;
+  copy_send_limiter outlet;
   state_version version = 0;
   struct word {
     state_version version = 0;
@@ -142,7 +142,7 @@
     }
     this->cut_some();
     for (std::size_t host = 0; host < this->plan.hosts; ++host) {
-      this->tell_all(host, false);
+      this->broadcast_state(host, false);
       this->probe_later(host, this->part_of(this->probe_pause()));
       this->tick_later(host, this->part_of(tick_pause));
     }
@@ -237,7 +237,7 @@
     for (std::size_t host = 1; host < this->plan.hosts; ++host) {
       if (this->happens(this->plan.restarts * seconds)) {
         this->start(host);
-        this->tell_all(host, false);
+        this->broadcast_state(host, false);
       }
     }
   }
@@ -377,7 +377,7 @@
     return this->clock.now() - moment < this->probe_pause() * 3 + 100ms;
   }
 
-  void tell_all(std::size_t host, bool prompt) {
+  void broadcast_state(std::size_t host, bool prompt) {
     for (const auto& [other, word] : this->members[host]->heard) {
       if (!this->is_recent(word.at)) {
         this->members[host]->intake.forget(name_of(other));
@@ -399,7 +399,7 @@
 
   void probe_later(std::size_t host, duration pause) {
     this->clock.at(this->clock.now() + pause, [this, host] {
-      this->tell_all(host, false);
+      this->broadcast_state(host, false);
       this->probe_later(host, this->probe_pause());
     });
   }
@@ -415,7 +415,7 @@
   void read_later() {
     this->clock.at(this->clock.now() + read_pause, [this] {
       this->take(0, this->store);
-      this->tell_all(0, true);
+      this->broadcast_state(0, true);
       this->read_later();
     });
   }
--- a/libs/front/test/copy_outlet_test.cc
+++ b/libs/front/test/copy_send_limiter_test.cc
@@ -1,5 +1,5 @@
 // How many copies a host gives at a time, and whom it names.
-#include "hawthornlane/front/copy_outlet.h"
+#include "hawthornlane/front/copy_send_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -25,13 +25,13 @@
   };
   const row rows[] = {
       {"a whole configuration", 1'000'000, 2},
-      {"half of what may go at once", copy_outlet::burst_bytes / 2, 2},
-      {"a quarter of it", copy_outlet::burst_bytes / 4, 4},
+      {"half of what may go at once", copy_send_limiter::burst_bytes / 2, 2},
+      {"a quarter of it", copy_send_limiter::burst_bytes / 4, 4},
       {"a registry of some servers", 2000, 32},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_outlet outlet;
+    copy_send_limiter outlet;
     int given = 0;
     for (int number = 0; number < 60; ++number) {
       given += outlet.begin(kind, host(number), item.bytes, at(0ms)) ? 1 : 0;
@@ -43,23 +43,23 @@
 TEST_CASE("a copy counts until its receiver has it, asks again, or must have given up") {
   struct row {
     const char* what;
-    std::function<void(copy_outlet&)> then;
+    std::function<void(copy_send_limiter&)> then;
     duration later;
     bool another;
   };
   const row rows[] = {
-      {"on its way", [](copy_outlet&) {}, 999ms, false},
-      {"taken", [](copy_outlet& outlet) { outlet.taken(kind, host(0)); }, 1ms, true},
+      {"on its way", [](copy_send_limiter&) {}, 999ms, false},
+      {"taken", [](copy_send_limiter& outlet) { outlet.taken(kind, host(0)); }, 1ms, true},
       {"taken of another kind",
-       [](copy_outlet& outlet) { outlet.taken(copy_kind::hosts, host(0)); }, 1ms, false},
-      {"lost", [](copy_outlet&) {}, 1000ms, true},
+       [](copy_send_limiter& outlet) { outlet.taken(copy_kind::hosts, host(0)); }, 1ms, false},
+      {"lost", [](copy_send_limiter&) {}, 1000ms, true},
       {"asked for again: still one",
-       [](copy_outlet& outlet) { CHECK(outlet.begin(kind, host(0), 1'000'000, at(1ms))); }, 2ms,
-       false},
+       [](copy_send_limiter& outlet) { CHECK(outlet.begin(kind, host(0), 1'000'000, at(1ms))); },
+       2ms, false},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    copy_outlet outlet;
+    copy_send_limiter outlet;
     REQUIRE(outlet.begin(kind, host(0), 1'000'000, at(0ms)));
     REQUIRE(outlet.begin(kind, host(1), 1'000'000, at(0ms)));
     item.then(outlet);
@@ -68,7 +68,7 @@
 }
 
 TEST_CASE("the last hosts that have taken the newest state are named") {
-  copy_outlet outlet;
+  copy_send_limiter outlet;
   const auto take = [&outlet](int number) {
     REQUIRE(outlet.begin(kind, host(number), 10, at(0ms)));
     outlet.taken(kind, host(number));
--- a/libs/front/test/directory_exchange_test.cc
+++ b/libs/front/test/directory_exchange_test.cc
@@ -30,7 +30,7 @@
   }
 
   /// What `host` was answered.
-  directory_answer ask(int host, const directory_question& question) {
+  directory_response ask(int host, const directory_request& question) {
     const host_id name = this->names[host];
     this->taken[name] = {};
     boost::asio::co_spawn(this->context, this->members.at(name)->ask(question),
@@ -45,8 +45,8 @@
   directory_exchange& member(int host) { return *this->members.at(this->names[host]); }
 
 private:
-  exchange_hooks hooks_of(const host_id& own) {
-    exchange_hooks hooks;
+  directory_hooks hooks_of(const host_id& own) {
+    directory_hooks hooks;
     hooks.hosts = [this, own] {
       std::vector<host_id> others;
       for (const host_id& name : this->names) {
@@ -64,8 +64,8 @@
       const auto answer = this->members.at(to)->serve(payload);
       done(answer ? net::rpc_failure::none : net::rpc_failure::refused, answer.value_or(""));
     };
-    hooks.take = [this, own](const directory_answer& answer) {
-      directory_answer& all = this->taken[own];
+    hooks.take = [this, own](const directory_response& answer) {
+      directory_response& all = this->taken[own];
       all.loads.insert(all.loads.end(), answer.loads.begin(), answer.loads.end());
       all.locations.insert(all.locations.end(), answer.locations.begin(), answer.locations.end());
       all.speeds.insert(all.speeds.end(), answer.speeds.begin(), answer.speeds.end());
@@ -77,7 +77,7 @@
   std::vector<host_id> names;
   std::optional<host_id> silent;
   std::vector<net::rpc_done> unanswered;
-  std::map<host_id, directory_answer> taken;
+  std::map<host_id, directory_response> taken;
   std::map<host_id, std::unique_ptr<directory_exchange>> members;
 };
 
@@ -92,7 +92,7 @@
   exchange_network network(hosts);
   const part_location location{line, server, token_count(900)};
   network.tell(0, {{{server, 5}}, {location}, {}});
-  const directory_answer answer = network.ask(hosts - 1, {{server}, {line}});
+  const directory_response answer = network.ask(hosts - 1, {{server}, {line}});
   REQUIRE(answer.loads.size() == 1);
   // A host is not told of its own calls.
   CHECK(answer.loads.front() == server_load{server, hosts == 1 ? 0U : 5U});
@@ -106,7 +106,7 @@
   const server_key former = server_key_of(id, incarnation(100));
   network.tell(0, {{{former, 5}}, {}, {}});
   const server_key restarted = server_key_of(id, incarnation(200));
-  const directory_answer answer = network.ask(2, {{restarted}, {}});
+  const directory_response answer = network.ask(2, {{restarted}, {}});
   REQUIRE(answer.loads.size() == 1);
   CHECK(answer.loads.front() == server_load{restarted, 0});
 }
@@ -119,7 +119,7 @@
 TEST_CASE("a keeper that is silent holds up a placement for a short time only") {
   exchange_network network(2);
   network.silence(1);
-  directory_question all;
+  directory_request all;
   for (std::uint64_t key = 1; key <= 20; ++key) {
     all.parts.emplace_back(key * 7919);
   }
@@ -136,10 +136,10 @@
 
 TEST_CASE("a host hears of speeds with the loads that it asks for, by the hosts that live") {
   exchange_network network(3);
-  const told_speed speed{server, {700, 80, 0, 0}};
+  const speed_report speed{server, {700, 80, 0, 0}};
   network.tell(0, {{{server, 5}}, {}, {speed}});
   CHECK(network.ask(0, {{server}, {}}).speeds.empty());
-  const directory_answer answer = network.ask(2, {{server}, {}});
+  const directory_response answer = network.ask(2, {{server}, {}});
   REQUIRE(answer.speeds.size() == 1);
   CHECK(answer.speeds.front().server == server);
   CHECK(answer.speeds.front().word.slow == 700);
@@ -153,7 +153,7 @@
     void serialize(cereal::BinaryOutputArchive& archive) { archive(loads, locations); }
     void serialize(cereal::BinaryInputArchive& archive) { archive(loads, locations); }
   };
-  directory_answer answer;
+  directory_response answer;
   answer.loads = {{server, 5}};
   answer.locations = {{line, server, token_count(900)}};
   first_answer first{answer.loads, answer.locations};
--- a/libs/front/test/loop_lateness_test.cc
+++ b/libs/front/test/event_loop_lag_test.cc
@@ -1,11 +1,11 @@
 // How late an event loop counts as being, and whom its host suspects meanwhile.
-#include "hawthornlane/front/loop_lateness.h"
+#include "hawthornlane/front/event_loop_lag.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <vector>
 
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 
 using namespace hawthornlane;
 using namespace hawthornlane::front;
@@ -36,7 +36,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    loop_lateness lateness(at(0ms));
+    event_loop_lag lateness(at(0ms));
     for (const duration pass : item.passes) {
       lateness.pass(at(pass));
     }
@@ -45,20 +45,20 @@
 }
 
 TEST_CASE("a host that stands still right after its first probes suspects nobody for it") {
-  loop_lateness lateness(at(0s));
-  std::vector<peer_watch> watches(300, peer_watch(at(0s), 0));
-  for (peer_watch& watch : watches) {
+  event_loop_lag lateness(at(0s));
+  std::vector<peer_failure_detector> watches(300, peer_failure_detector(at(0s), 0));
+  for (peer_failure_detector& watch : watches) {
     watch.probe_sent(at(1ms), lateness.total(at(1ms)));
   }
   const auto suspects = [&](timestamp now) {
-    return std::count_if(watches.begin(), watches.end(), [&](const peer_watch& watch) {
+    return std::count_if(watches.begin(), watches.end(), [&](const peer_failure_detector& watch) {
       return watch.suspected(now, lateness.total(now));
     });
   };
   const duration stands_still = 900ms;
   CHECK(suspects(at(stands_still)) == 0);
   // The limits of its probes pass before it has read the answers.
-  for (peer_watch& watch : watches) {
+  for (peer_failure_detector& watch : watches) {
     watch.probe_failed(at(1ms), lateness.total(at(stands_still)));
   }
   lateness.pass(at(stands_still));
--- a/libs/front/test/death_spread_test.cc
+++ b/libs/front/test/failure_detection_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 #include "hawthornlane/front/suspicion_limits.h"
 
 using namespace hawthornlane;
@@ -102,7 +102,7 @@
 
 private:
   struct watching_host {
-    std::vector<peer_watch> watches;
+    std::vector<peer_failure_detector> watches;
     suspicion_limits limits;
     /// Whom its messages name until its next look.
     std::vector<host_key> named;
@@ -160,7 +160,7 @@
   }
 
   void probe(int from, int to) {
-    peer_watch& watch = this->hosts[from].watches[to];
+    peer_failure_detector& watch = this->hosts[from].watches[to];
     watch.probe_sent(this->moment());
     this->probes_in_calm += this->now >= calm && this->now < death ? 1 : 0;
     if (this->dead(to)) {
@@ -175,7 +175,7 @@
   }
 
   void answer(const open_probe& probe) {
-    peer_watch& watch = this->hosts[probe.from].watches[probe.to];
+    peer_failure_detector& watch = this->hosts[probe.from].watches[probe.to];
     watch.probe_answered(this->moment(probe.sent));
     watch.heard(this->moment());
     this->hosts[probe.to].watches[probe.from].was_probed(this->moment());
@@ -218,7 +218,7 @@
   }
 
   void hear_suspicion(int host, int from, int about) {
-    peer_watch& watch = this->hosts[host].watches[about];
+    peer_failure_detector& watch = this->hosts[host].watches[about];
     watch.told_by(host_id(std::to_string(from)), this->moment());
     if (watch.doubted(this->moment()) && this->hosts[host].limits.admit_probe()) {
       this->probe_on_word(host, about);
@@ -251,7 +251,7 @@
     const int living = this->plan.hosts - this->plan.deaths;
     for (int number = 0; number < living; ++number) {
       for (int other = 0; other < living; ++other) {
-        const peer_watch& watch = this->hosts[number].watches[other];
+        const peer_failure_detector& watch = this->hosts[number].watches[other];
         wrong += other != number && !watch.lives(this->pace, this->moment()) ? 1 : 0;
       }
     }
@@ -259,7 +259,7 @@
   }
 
   fleet_plan plan;
-  watch_pace pace;
+  detector_timing pace;
   duration now{};
   std::mt19937 random{11};
   std::vector<watching_host> hosts;
--- a/libs/front/test/gossip_messages_test.cc
+++ b/libs/front/test/gossip_messages_test.cc
@@ -26,10 +26,10 @@
   digest.disks_reached = 3;
   digest.configuration = config_version(9);
   digest.backends_changed_at = store_revision(11);
-  digest.hosts_at = store_revision(12);
-  digest.ledger_at = set_epoch(13);
-  digest.checked_by = host_id("front-2");
-  digest.checked_ago = 345ms;
+  digest.hosts_revision = store_revision(12);
+  digest.ledger_epoch = set_epoch(13);
+  digest.store_read_by = host_id("front-2");
+  digest.store_read_age = 345ms;
   digest.demand = {{service_name("models"), 7}, {service_name("apps"), 2}};
   return digest;
 }
@@ -46,10 +46,10 @@
   CHECK(read->disks_reached == 3);
   CHECK(read->configuration == sent.configuration);
   CHECK(read->backends_changed_at == sent.backends_changed_at);
-  CHECK(read->hosts_at == sent.hosts_at);
-  CHECK(read->ledger_at == sent.ledger_at);
-  CHECK(read->checked_by == sent.checked_by);
-  CHECK(read->checked_ago == sent.checked_ago);
+  CHECK(read->hosts_revision == sent.hosts_revision);
+  CHECK(read->ledger_epoch == sent.ledger_epoch);
+  CHECK(read->store_read_by == sent.store_read_by);
+  CHECK(read->store_read_age == sent.store_read_age);
   CHECK(read->demand == sent.demand);
 }
 
--- a/libs/front/test/ledger_client_test.cc
+++ b/libs/front/test/ledger_client_test.cc
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "hawthornlane/net/message_bytes.h"
-#include "hawthornlane/turn_ledger/ledger_copy.h"
+#include "hawthornlane/turn_ledger/ledger_replica.h"
 
 using namespace hawthornlane;
 using namespace hawthornlane::front;
@@ -35,8 +35,9 @@
     }
     this->fleet.list_hosts(store_revision(1), hosts);
     this->ledger.refresh_hosts();
-    this->ledger.take_set({set_epoch(1), {disk_id("a"), disk_id("b"), disk_id("c")}, {}}, "test");
-    this->ledger.set_relay([this](const relayed_question& question, duration, net::rpc_done done) {
+    this->ledger.adopt_ledger_set({set_epoch(1), {disk_id("a"), disk_id("b"), disk_id("c")}, {}},
+                                  "test");
+    this->ledger.set_relay([this](const relayed_request& question, duration, net::rpc_done done) {
       this->relay(question, done);
     });
   }
@@ -61,25 +62,25 @@
   int relayed = 0;
   /// The disks that were asked for a chain, in order.
   std::vector<disk_id> asked_for_chain;
-  std::map<disk_id, ledger_copy> copies;
+  std::map<disk_id, ledger_replica> copies;
 
 private:
-  void relay(const relayed_question& question, const net::rpc_done& done) {
+  void relay(const relayed_request& question, const net::rpc_done& done) {
     ++this->relayed;
     if (!this->reached.contains(question.disk)) {
       done(net::rpc_failure::refused, {});
       return;
     }
-    ledger_copy& copy = this->copies[question.disk];
+    ledger_replica& copy = this->copies[question.disk];
     if (static_cast<ledger_method>(question.method) == ledger_method::chain) {
       this->asked_for_chain.push_back(question.disk);
       const auto request = from_bytes<chain_request>(question.payload);
-      chain_answer chain = copy.chain_of(request->last);
+      chain_response chain = copy.chain_of(request->last);
       chain.disk = question.disk;
       done(net::rpc_failure::none, to_bytes(chain));
       return;
     }
-    program_answer answer;
+    program_response answer;
     answer.disk = question.disk;
     if (const auto request = from_bytes<append_request>(question.payload)) {
       copy.apply(request->record);
@@ -143,7 +144,7 @@
     ledger_record kept;
     kept.program = program_id("p");
     kept.state = {request_id("t0"), token_count(30), token_count(30), reservation_phase::settled};
-    kept.turn = kept_turn{request_id("t0"), std::nullopt, "in;", "out;"};
+    kept.turn = stored_turn{request_id("t0"), std::nullopt, "in;", "out;"};
     kept.expires_at = wall_ms(std::int64_t{1} << 60);
     for (const char* holder : item.holders) {
       host.copies[disk_id(holder)].apply(kept);
--- a/libs/front/test/ledger_traffic_test.cc
+++ b/libs/front/test/ledger_traffic_test.cc
@@ -141,7 +141,7 @@
   SECTION("disks that left the set do not count") {
     disks.front.admit(kept_turn_request("t1"), 3s);
     disks.front.run_for(100ms);
-    ledger.take_set({set_epoch(2), {disk_id("a"), disk_id("b"), disk_id("c")}, {}}, "test");
+    ledger.adopt_ledger_set({set_epoch(2), {disk_id("a"), disk_id("b"), disk_id("c")}, {}}, "test");
     CHECK(ledger.reached() == 3);
   }
   SECTION("a host that finds a disk silent for another host knows") {
@@ -161,11 +161,11 @@
   SECTION("listed no more, but still in the set: turns may depend on it") {
     disks.front.list_disks(four_places);
     CHECK(disks.front.passes_on(disk_id("e")));
-    disks.front.ledger.take_set({set_epoch(2), first_four, {}}, "test");
+    disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
     CHECK_FALSE(disks.front.passes_on(disk_id("e")));
   }
   SECTION("out of the set, but still listed: it may join") {
-    disks.front.ledger.take_set({set_epoch(2), first_four, {}}, "test");
+    disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
     CHECK(disks.front.passes_on(disk_id("e")));
     disks.front.list_disks(four_places);
     CHECK_FALSE(disks.front.passes_on(disk_id("e")));
@@ -174,7 +174,7 @@
     disks.mute = {disk_id("e")};
     bool kept = false;
     disks.front.begin_settle(kept_turn_request("t1"), whole_result(2600), 3s, kept);
-    disks.front.ledger.take_set({set_epoch(2), first_four, {}}, "test");
+    disks.front.ledger.adopt_ledger_set({set_epoch(2), first_four, {}}, "test");
     disks.front.list_disks(four_places);
     disks.front.run_all();
     disks.front.run_for(100ms);
--- a/libs/front/test/gossip_news_test.cc
+++ b/libs/front/test/newer_kinds_test.cc
@@ -1,5 +1,5 @@
 // What a host fetches from another one that tells how far it is.
-#include "hawthornlane/front/gossip_news.h"
+#include "hawthornlane/front/newer_kinds.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,12 +13,12 @@
   gossip_digest told;
   told.configuration = config_version(configuration);
   told.backends_changed_at = store_revision(backends);
-  told.hosts_at = store_revision(hosts);
-  told.ledger_at = set_epoch(ledger);
+  told.hosts_revision = store_revision(hosts);
+  told.ledger_epoch = set_epoch(ledger);
   return told;
 }
 
-std::string text_of(const gossip_news& news) {
+std::string text_of(const newer_kinds& news) {
   std::string text;
   text += news.configuration ? 'c' : '-';
   text += news.backends ? 'b' : '-';
@@ -30,10 +30,10 @@
 }  // namespace
 
 TEST_CASE("only what is newer is fetched") {
-  known_state own;
+  known_versions own;
   own.configuration = config_version(5);
   own.backends_changed_at = store_revision(100);
-  own.hosts_at = store_revision(90);
+  own.hosts_revision = store_revision(90);
   own.ledger = set_epoch(3);
   struct row {
     const char* what;
@@ -51,11 +51,11 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    CHECK(text_of(news_in(item.told, own)) == item.fetched);
+    CHECK(text_of(find_newer_kinds(item.told, own)) == item.fetched);
   }
 }
 
 TEST_CASE("a host that knows nothing fetches all that there is") {
-  CHECK(text_of(news_in(digest(1, 1, 1, 1), known_state{})) == "cbhl");
-  CHECK(text_of(news_in(digest(0, 7, 0, 0), known_state{})) == "-b--");
+  CHECK(text_of(find_newer_kinds(digest(1, 1, 1, 1), known_versions{})) == "cbhl");
+  CHECK(text_of(find_newer_kinds(digest(0, 7, 0, 0), known_versions{})) == "-b--");
 }
--- a/libs/front/test/peer_watch_test.cc
+++ b/libs/front/test/peer_failure_detector_test.cc
@@ -1,5 +1,5 @@
 // What one host believes of another one by its own probes and by what others tell.
-#include "hawthornlane/front/peer_watch.h"
+#include "hawthornlane/front/peer_failure_detector.h"
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr watch_pace pace{1300ms, 4s};
+constexpr detector_timing pace{1300ms, 4s};
 
 enum class event { heard, probe_failed, told_by_a, told_by_b };
 
 timestamp at(duration since) { return timestamp(1h + since); }
 
-bool probe_due(const peer_watch& watch, timestamp now) {
+bool probe_due(const peer_failure_detector& watch, timestamp now) {
   return watch.doubted(now) || watch.turn_due(false, pace, now);
 }
 
@@ -42,7 +42,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    peer_watch watch(at(0s), 0);
+    peer_failure_detector watch(at(0s), 0);
     duration now = 0ms;
     for (const event what : item.events) {
       now += 100ms;
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("a probe that began before the last word came does not count as failed") {
-  peer_watch watch(at(0s), 0);
+  peer_failure_detector watch(at(0s), 0);
   watch.heard(at(500ms));
   watch.probe_failed(at(400ms));
   CHECK_FALSE(watch.suspected(at(600ms)));
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("a probe that waits for long is told of before it fails") {
-  peer_watch watch(at(0s), 0);
+  peer_failure_detector watch(at(0s), 0);
   watch.heard(at(100ms));
   watch.probe_sent(at(200ms));
   CHECK_FALSE(watch.suspected(at(390ms)));
@@ -89,7 +89,7 @@
 }
 
 TEST_CASE("a host that others suspect is asked at once, unless it was just heard") {
-  peer_watch watch(at(0s), 0);
+  peer_failure_detector watch(at(0s), 0);
   watch.probe_sent(at(0s));
   watch.probe_answered(at(0s));
   watch.told_by(host_id("a"), at(200ms));
@@ -122,7 +122,7 @@
     INFO(item.what);
     // What was late before the probe does not bear on it.
     constexpr duration late_before = 7s;
-    peer_watch watch(at(0s), 0);
+    peer_failure_detector watch(at(0s), 0);
     watch.heard(at(100ms));
     watch.probe_sent(at(200ms), late_before);
     const timestamp now = at(200ms + item.waits);
--- a/libs/front/test/place_exchange_test.cc
+++ b/libs/front/test/place_exchange_test.cc
@@ -58,7 +58,7 @@
   /// All hosts know both servers as full, whoever keeps them.
   void fill() {
     this->tell(places);
-    this->run(place_queue::learning_time + 20ms);
+    this->run(place_queue::warm_up_time + 20ms);
     this->tell(places);
   }
   void tell(std::uint32_t calls) {
@@ -104,7 +104,7 @@
   }
 
   [[nodiscard]] host_id keeper(const place_target& target) const {
-    return keeper_of(target.key.get(), {this->live.begin(), this->live.end()}).value();
+    return directory_host_for(target.key.get(), {this->live.begin(), this->live.end()}).value();
   }
   /// A host that keeps neither server.
   [[nodiscard]] host_id other_host(const std::set<host_id>& not_these = {}) const {
@@ -247,7 +247,7 @@
     (item.refuses ? network.refusing : network.silent) = {dead};
     network.run(item.known_after);
     network.live.erase(dead);
-    network.run(2 * place_queue::repeat_pause + 20ms);
+    network.run(2 * place_queue::repeat_interval + 20ms);
     CHECK_FALSE(call->result);
     CHECK(network.exchange(network.keeper(first_server)).waiting(first_server.key) == 1);
     network.tell(first_server, places - 1);
@@ -263,7 +263,7 @@
   const auto call = network.claim(network.other_host(), {first_server});
   network.lost = gossip_method::grant;
   network.tell(first_server, places - 1);
-  network.run(place_queue::repeat_pause + 30ms);
+  network.run(place_queue::repeat_interval + 30ms);
   REQUIRE(call->result);
   CHECK(call->result->outcome == kind::granted);
 }
--- a/libs/front/test/probe_encoder_test.cc
+++ b/libs/front/test/probe_encoder_test.cc
@@ -17,8 +17,8 @@
   message.digest.self.name = host_id("front-1");
   message.digest.self.zone = availability_zone("a");
   message.digest.configuration = config_version(9);
-  message.digest.checked_by = reader;
-  message.digest.checked_ago = reader.get().empty() ? 0ms : 40ms;
+  message.digest.store_read_by = reader;
+  message.digest.store_read_age = reader.get().empty() ? 0ms : 40ms;
   message.digest.demand = std::move(demand);
   message.suspected = std::move(suspected);
   return message;
@@ -48,8 +48,8 @@
     REQUIRE_FALSE(encoder.is_stale());
     for (const duration later : {0ms, 25ms, 99ms, 5ms}) {
       probe_message fresh = item.message;
-      if (!fresh.digest.checked_by.get().empty()) {
-        fresh.digest.checked_ago += later;
+      if (!fresh.digest.store_read_by.get().empty()) {
+        fresh.digest.store_read_age += later;
       }
       CHECK(encoder.encoded(at(later)) == to_bytes(fresh));
     }
--- a/libs/front/test/probe_turns_test.cc
+++ b/libs/front/test/probe_schedule_test.cc
@@ -1,6 +1,6 @@
 // Two hosts that take turns at probing: how many probes they need, and how old what one
 // knows of the other becomes.
-#include "hawthornlane/front/probe_turns.h"
+#include "hawthornlane/front/probe_schedule.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -22,7 +22,7 @@
 /// One of the two hosts.
 struct prober {
   duration started{};
-  probe_moments moments;
+  probe_times moments;
   duration heard{};
   duration longest_unheard{};
 
@@ -38,13 +38,13 @@
 };
 
 /// Whether a host probes the other one now.
-using probe_rule = std::function<bool(const probe_moments&, int host, timestamp now)>;
+using probe_rule = std::function<bool(const probe_times&, int host, timestamp now)>;
 
-bool by_turns(const probe_moments& moments, int host, timestamp now) {
+bool by_turns(const probe_times& moments, int host, timestamp now) {
   return is_probe_due(moments, host == 0, pause_between, now);
 }
 
-bool at_every_pause(const probe_moments& moments, int, timestamp now) {
+bool at_every_pause(const probe_times& moments, int, timestamp now) {
   return now - moments.tried >= pause_between;
 }
 
--- a/libs/front/test/quota_client_test.cc
+++ b/libs/front/test/quota_client_test.cc
@@ -32,7 +32,7 @@
     const auto began = std::chrono::steady_clock::now();
     const auto ask = [&]() -> asio::awaitable<void> {
       const auto until = std::chrono::steady_clock::now() + time;
-      quota_question question;
+      quota_request question;
       question.account = client_account("north");
       result = co_await this->client.admit(question, 7, until);
       // Questions to silent keepers may still be under way.
@@ -78,13 +78,13 @@
     timer->async_wait([timer, what, done = std::move(done)](const boost::system::error_code&) {
       switch (what) {
         case reply::grant:
-          done(net::rpc_failure::none, to_bytes(quota_answer{quota_verdict::granted, {}}));
+          done(net::rpc_failure::none, to_bytes(quota_response{quota_outcome::granted, {}}));
           break;
         case reply::refuse:
-          done(net::rpc_failure::none, to_bytes(quota_answer{quota_verdict::refused, 70ms}));
+          done(net::rpc_failure::none, to_bytes(quota_response{quota_outcome::refused, 70ms}));
           break;
         case reply::not_kept:
-          done(net::rpc_failure::none, to_bytes(quota_answer{quota_verdict::not_kept, {}}));
+          done(net::rpc_failure::none, to_bytes(quota_response{quota_outcome::not_kept, {}}));
           break;
         case reply::fail:
         case reply::silence:
@@ -129,7 +129,7 @@
   CHECK(result.decision == item.decision);
   CHECK(keepers.took < item.at_most);
   if (result.decision == quota_decision::over_limit) {
-    CHECK(result.room_in == duration(70ms));
+    CHECK(result.retry_after == duration(70ms));
   }
 }
 
--- a/libs/front/test/planned_stop_test.cc
+++ b/libs/front/test/shutdown_policy_test.cc
@@ -1,5 +1,5 @@
 // A planned stop: no caller who may know the host is cut off, and the process ends before the kill.
-#include "hawthornlane/front/planned_stop.h"
+#include "hawthornlane/front/shutdown_policy.h"
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -11,14 +11,14 @@
 TEST_CASE("a host that leaves serves until it is forgotten, and ends before the kill") {
   struct row {
     std::string name;
-    planned_stop stop;
+    shutdown_policy stop;
     duration since;
     std::size_t calls;
     bool turns_away;
     bool may_end;
   };
-  const planned_stop usual{30s, 2s};
-  const planned_stop short_grace{5s, 2s};
+  const shutdown_policy usual{30s, 2s};
+  const shutdown_policy short_grace{5s, 2s};
   for (const row& item : {
            row{"callers may still know it", usual, 5s, 0, false, false},
            row{"forgotten and idle", usual, 6s, 0, false, true},
--- a/libs/front/test/slow_disks.h
+++ b/libs/front/test/slow_disks.h
@@ -36,7 +36,7 @@
   front_side()
       : sweeper(context),
         ledger(context, sweeper, fleet, availability_zone("zone-a"), 64 * kilobyte * kilobyte) {
-    this->ledger.set_relay([](const relayed_question&, duration, const net::rpc_done& done) {
+    this->ledger.set_relay([](const relayed_request&, duration, const net::rpc_done& done) {
       done(net::rpc_failure::refused, {});
     });
   }
@@ -55,7 +55,7 @@
     }
     this->fleet.list_hosts(store_revision(++this->revision), hosts);
     this->ledger.refresh_hosts();
-    this->ledger.take_set({set_epoch(1), disk_names, {}}, "test");
+    this->ledger.adopt_ledger_set({set_epoch(1), disk_names, {}}, "test");
   }
 
   /// Both return at once; the results are there when `open` is 0 again.
@@ -97,7 +97,7 @@
 
   /// Whether a question that another front host cannot ask itself is answered here.
   bool passes_on(const disk_id& disk) {
-    const relayed_question probe{disk, static_cast<std::uint16_t>(ledger_method::probe), ""};
+    const relayed_request probe{disk, static_cast<std::uint16_t>(ledger_method::probe), ""};
     std::optional<bool> answered;
     this->ledger.serve_relayed(to_bytes(probe), [&](const std::optional<std::string>& answer) {
       answered = answer.has_value();
@@ -210,7 +210,7 @@
 class stub_disks {
 public:
   /// Answers one append.
-  using answer_hook = std::function<program_answer(const disk_id&, const append_request&)>;
+  using answer_hook = std::function<program_response(const disk_id&, const append_request&)>;
 
   explicit stub_disks(answer_hook answer_with, double link_rate = 1e9)
       : answer(std::move(answer_with)), link(front.context, link_rate) {
@@ -225,13 +225,13 @@
     this->front.list_disks(this->places);
     const http::endpoint other = this->listen(
         [this](std::uint16_t, const std::string& payload, const net::rpc_reply& reply) {
-          const auto question = from_bytes<relayed_question>(payload);
+          const auto question = from_bytes<relayed_request>(payload);
           this->serve(question->disk, question->method, question->payload, reply);
         });
     this->relay =
         std::make_unique<net::rpc_client>(this->front.context, this->front.sweeper, other);
     this->front.ledger.set_relay(
-        [this](const relayed_question& question, duration limit, net::rpc_done done) {
+        [this](const relayed_request& question, duration limit, net::rpc_done done) {
           constexpr auto method = static_cast<std::uint16_t>(gossip_method::relay);
           this->relay->call(method, to_bytes(question), limit, std::move(done));
         });
@@ -276,11 +276,11 @@
     }
     const auto asked = static_cast<ledger_method>(method);
     if (asked == ledger_method::probe) {
-      reply(to_bytes(probe_answer{disk, set_epoch(0), set_epoch(0)}));
+      reply(to_bytes(probe_response{disk, set_epoch(0), set_epoch(0)}));
       return;
     }
     if (asked == ledger_method::collect) {
-      program_answer nothing;
+      program_response nothing;
       nothing.disk = disk;
       reply(to_bytes(nothing));
       return;
@@ -303,8 +303,8 @@
                           const boost::system::error_code&) { reply(bytes); });
   }
 
-  [[nodiscard]] chain_answer chain_at(const disk_id& disk) const {
-    chain_answer chain;
+  [[nodiscard]] chain_response chain_at(const disk_id& disk) const {
+    chain_response chain;
     chain.disk = disk;
     chain.known = true;
     chain.turns.push_back(
@@ -335,8 +335,8 @@
   return result;
 }
 
-inline program_answer taken(const disk_id& disk, const append_request&) {
-  program_answer answer;
+inline program_response taken(const disk_id& disk, const append_request&) {
+  program_response answer;
   answer.disk = disk;
   return answer;
 }
@@ -344,7 +344,7 @@
 /// Refuses epoch 1; tells of epoch 2 only after a while.
 inline stub_disks::answer_hook late_with_the_news(duration late) {
   return [late, began = steady::now()](const disk_id& disk, const append_request& request) {
-    program_answer answer;
+    program_response answer;
     answer.disk = disk;
     answer.stale = request.epoch < set_epoch(2);
     const bool knows = steady::now() - began >= late;
--- a/libs/front/test/suspicion_limits_test.cc
+++ b/libs/front/test/suspicion_limits_test.cc
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("the turn goes on when the host that was named last is no more suspected") {
-  host_rotation rotation;
+  host_round_robin rotation;
   std::set<host_key> suspects = keys_of(10);
   CHECK(rotation.next(suspects, 4).back() == host_key(4));
   suspects.erase(host_key(4));
--- a/libs/limits/include/hawthornlane/limits/begun_programs.h
+++ b/libs/limits/include/hawthornlane/limits/active_programs.h
@@ -26,7 +26,7 @@
 /// How many calls a program makes, over all accounts of a keeper. A keeper is the first to be asked
 /// for each call of the programs that begin at it, so that it learns the size of whole programs,
 /// wherever their calls are granted.
-class program_size {
+class program_size_estimate {
 public:
   void note_begin();
   /// A program whose beginning was noted asks for another call.
@@ -41,7 +41,7 @@
 };
 
 /// The programs of one account that began at one keeper.
-class begun_programs {
+class active_programs {
 public:
   /// Calls that the keeper's bucket has to hold for another program to begin: its part of what a
   /// program makes, and of what those under way are still to make. `size`: of a whole program.
--- a/libs/limits/include/hawthornlane/limits/quota_lease.h
+++ b/libs/limits/include/hawthornlane/limits/quota_lease.h
@@ -13,12 +13,12 @@
 
 /// For so long the word of the store, or of a majority of the set, holds. A member that has been
 /// silent for longer may be replaced.
-constexpr duration quota_lease = std::chrono::milliseconds(3000);
+constexpr duration quota_lease_duration = std::chrono::milliseconds(3000);
 
 /// The last answer of another disk to a probe.
-struct member_word {
+struct member_probe_result {
   disk_id disk;
-  timestamp heard_at{};
+  timestamp received_at{};
   /// The epoch of the newest set of which that disk has been told by one that joins it.
   set_epoch fence;
 };
@@ -26,7 +26,7 @@
 /// The part of each quota that a disk's host keeps by this set. While the set is joint the next
 /// one may come into force unheard, so that a member keeps what it has in both: one that leaves
 /// keeps nothing, one that joins begins with the next set.
-inline double quota_part(const ledger_set& set, const disk_id& self) {
+inline double quota_share(const ledger_set& set, const disk_id& self) {
   const auto part_in = [&self](const std::vector<disk_id>& disks) {
     const bool is_in = std::find(disks.begin(), disks.end(), self) != disks.end();
     return is_in ? 1.0 / static_cast<double>(disks.size()) : 0.0;
@@ -40,8 +40,8 @@
   disk_id self;
   const ledger_set& set;
   /// When the store last named `set`, while this process ran.
-  timestamp set_told_at{};
-  std::vector<member_word> heard;
+  timestamp set_confirmed_at{};
+  std::vector<member_probe_result> heard;
 };
 
 /// Nobody can have put another host in this one's place: the store has just named it, or a
@@ -51,16 +51,16 @@
 inline bool holds_quota_lease(const quota_lease_view& view, timestamp now) {
   const bool is_outdated =
       std::any_of(view.heard.begin(), view.heard.end(),
-                  [&view](const member_word& word) { return word.fence > view.set.epoch; });
+                  [&view](const member_probe_result& word) { return word.fence > view.set.epoch; });
   if (is_outdated) {
     return false;
   }
-  if (now - view.set_told_at < quota_lease) {
+  if (now - view.set_confirmed_at < quota_lease_duration) {
     return true;
   }
   std::set<disk_id> answering{view.self};
-  for (const member_word& word : view.heard) {
-    if (now - word.heard_at < quota_lease) {
+  for (const member_probe_result& word : view.heard) {
+    if (now - word.received_at < quota_lease_duration) {
       answering.insert(word.disk);
     }
   }
--- a/libs/limits/include/hawthornlane/limits/quota_keeper.h
+++ b/libs/limits/include/hawthornlane/limits/quota_manager.h
@@ -18,14 +18,14 @@
 
 /// How far beyond a quota the operator lets its calls go: in no span of `window` may there be more
 /// than (calls_per_second * window + burst) * (1 + excess) + slack.
-struct quota_rules {
+struct quota_tolerance {
   duration window = std::chrono::seconds(1);
   double excess = 0;
   double slack = 0;
 };
 
 /// One account's bucket, as it is written down.
-struct quota_mark {
+struct quota_bucket_record {
   client_account account;
   account_limit limit;
   limit_version version;
@@ -45,11 +45,11 @@
   double age = 0;
   /// What was written before counts no more.
   bool begins = false;
-  std::vector<quota_mark> marks;
+  std::vector<quota_bucket_record> bucket_records;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->age, this->begins, this->marks);
+    archive(this->age, this->begins, this->bucket_records);
   }
 };
 
@@ -58,18 +58,18 @@
 /// is more, also when its process has started again in between: whatever is granted is written
 /// down before the asker is told, and `restore` brings it back. Without that all accounts stood
 /// before empty buckets after a loss of power, just when their callers came back.
-class quota_keeper {
+class quota_manager {
 public:
-  quota_keeper() = default;
-  explicit quota_keeper(quota_rules with) : rules(with) {}
+  quota_manager() = default;
+  explicit quota_manager(quota_tolerance with) : rules(with) {}
 
   /// Takes back what an earlier process wrote down, in the order in which it did.
   void restore(const quota_record& record);
   /// From now on this host keeps so much of each quota: 1 / number of keepers, or 0. One that
   /// begins to keep them does so with empty buckets, since it does not know what was granted
   /// before; one that goes on after a restart has those that were restored.
-  void keep(double part, timestamp now);
-  quota_answer ask(const quota_question& question, timestamp now);
+  void set_share(double part, timestamp now);
+  quota_response ask(const quota_request& question, timestamp now);
   /// Forgets accounts whose buckets are full: they would be full too if they were new.
   void forget_idle(timestamp now);
   /// The buckets that have changed since this was last asked, to be written down.
@@ -97,15 +97,16 @@
   [[nodiscard]] double age(timestamp now) const;
   [[nodiscard]] double level_at(const bucket& from, double age) const;
   /// What the bucket has to hold for the call to be granted, calls.
-  [[nodiscard]] double level_needed(const quota_question& question, const bucket& from,
+  [[nodiscard]] double level_needed(const quota_request& question, const bucket& from,
                                     timestamp now);
   /// Of a program that began here.
-  void note_call(const quota_question& question, timestamp now);
+  void note_call(const quota_request& question, timestamp now);
   void note_grant(const quota_program& program, const client_account& account, timestamp now);
-  bucket& bucket_of(const quota_question& question, timestamp now);
-  [[nodiscard]] static quota_mark mark_of(const client_account& account, const bucket& item);
+  bucket& bucket_of(const quota_request& question, timestamp now);
+  [[nodiscard]] static quota_bucket_record mark_of(const client_account& account,
+                                                   const bucket& item);
 
-  quota_rules rules;
+  quota_tolerance rules;
   /// 0: keeps none.
   double part = 0;
   /// Seconds for which quotas had been kept at `resumed`.
@@ -114,8 +115,8 @@
   std::unordered_map<client_account, bucket> buckets;
   /// Of accounts with programs under way. Not written down: those that are under way at a restart
   /// go on, and others begin beside them.
-  std::unordered_map<client_account, begun_programs> programs;
-  program_size size;
+  std::unordered_map<client_account, active_programs> programs;
+  program_size_estimate size;
   std::uint64_t held_back = 0;
   /// Nothing of this time as a keeper has been written down yet, or told.
   bool is_new = false;
--- a/libs/limits/include/hawthornlane/limits/quota_messages.h
+++ b/libs/limits/include/hawthornlane/limits/quota_messages.h
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "hawthornlane/accounts/account_table.h"
-#include "hawthornlane/limits/begun_programs.h"
+#include "hawthornlane/limits/active_programs.h"
 #include "hawthornlane/units/ids.h"
 #include "hawthornlane/units/quantities.h"
 
@@ -28,7 +28,7 @@
 };
 
 /// Asks for one call out of an account's quota.
-struct quota_question {
+struct quota_request {
   client_account account;
   account_limit limit;
   limit_version version;
@@ -41,7 +41,7 @@
   }
 };
 
-enum class quota_verdict : std::uint8_t {
+enum class quota_outcome : std::uint8_t {
   /// The call may run, once, at any time from now on.
   granted,
   /// The keeper's part of the quota is used up.
@@ -50,16 +50,16 @@
   not_kept,
 };
 
-struct quota_answer {
-  quota_verdict verdict = quota_verdict::not_kept;
+struct quota_response {
+  quota_outcome outcome = quota_outcome::not_kept;
   /// When refused: how long until the keeper has room again, if nobody asks before.
-  duration room_in{};
+  duration retry_after{};
 
   template <class Archive>
   void serialize(Archive& archive) {
-    std::int64_t wait = this->room_in.count();
-    archive(this->verdict, wait);
-    this->room_in = duration(wait);
+    std::int64_t wait = this->retry_after.count();
+    archive(this->outcome, wait);
+    this->retry_after = duration(wait);
   }
 };
 
--- a/libs/limits/include/hawthornlane/limits/quota_round.h
+++ b/libs/limits/include/hawthornlane/limits/quota_round.h
@@ -33,13 +33,13 @@
     return this->asked++;
   }
   /// The answer of a keeper that was asked; each gives one, or fails.
-  void answered(const quota_answer& answer) {
+  void answered(const quota_response& answer) {
     ++this->ended;
-    if (answer.verdict == quota_verdict::granted) {
+    if (answer.outcome == quota_outcome::granted) {
       this->is_granted = true;
     }
-    if (answer.verdict == quota_verdict::refused) {
-      this->soonest = std::min(this->soonest.value_or(answer.room_in), answer.room_in);
+    if (answer.outcome == quota_outcome::refused) {
+      this->soonest = std::min(this->soonest.value_or(answer.retry_after), answer.retry_after);
     }
   }
   /// No answer will come.
@@ -64,7 +64,7 @@
     return this->soonest ? quota_decision::over_limit : quota_decision::unknown;
   }
   /// The earliest moment, from the answers on, at which a keeper has room.
-  [[nodiscard]] duration room_in() const { return this->soonest.value_or(duration::zero()); }
+  [[nodiscard]] duration retry_after() const { return this->soonest.value_or(duration::zero()); }
 
 private:
   // Invariant: ended <= asked <= count.
--- a/libs/limits/src/begun_programs.cc
+++ b/libs/limits/src/active_programs.cc
@@ -1,5 +1,5 @@
 // What one keeper of an account's quota holds back for programs that it let begin.
-#include "hawthornlane/limits/begun_programs.h"
+#include "hawthornlane/limits/active_programs.h"
 
 #include <algorithm>
 
@@ -14,16 +14,16 @@
 
 }  // namespace
 
-void program_size::note_begin() {
+void program_size_estimate::note_begin() {
   this->begun = this->begun * kept_part + 1;
   this->calls = this->calls * kept_part + 1;
 }
 
-double program_size::mean() const {
+double program_size_estimate::mean() const {
   return this->begun < fewest_programs ? 0 : this->calls / this->begun;
 }
 
-double begun_programs::needed(double size, double part, timestamp now) const {
+double active_programs::needed(double size, double part, timestamp now) const {
   double calls = part * size;
   for (const auto& [name, program] : this->programs) {
     if (now - program.last <= longest_program_silence) {
@@ -33,30 +33,30 @@
   return calls;
 }
 
-bool begun_programs::contains(program_key program, timestamp now) const {
+bool active_programs::contains(program_key program, timestamp now) const {
   const auto found = this->programs.find(program);
   return found != this->programs.end() && now - found->second.last <= program_memory;
 }
 
-void begun_programs::begin(program_key program, timestamp now) {
+void active_programs::begin(program_key program, timestamp now) {
   this->programs[program] = {1, now};
 }
 
-void begun_programs::note_call(program_key program, timestamp now) {
+void active_programs::note_call(program_key program, timestamp now) {
   const auto found = this->programs.find(program);
   if (found != this->programs.end()) {
     found->second.last = now;
   }
 }
 
-void begun_programs::note_grant(program_key program) {
+void active_programs::note_grant(program_key program) {
   const auto found = this->programs.find(program);
   if (found != this->programs.end()) {
     found->second.calls += 1;
   }
 }
 
-void begun_programs::forget_ended(timestamp now) {
+void active_programs::forget_ended(timestamp now) {
   std::erase_if(this->programs,
                 [&](const auto& entry) { return now - entry.second.last > program_memory; });
 }
--- a/libs/limits/src/credit_steward.cc
+++ b/libs/limits/src/credit_split.cc
@@ -1,5 +1,5 @@
 // Max-min fair division of a window.
-#include "hawthornlane/limits/credit_steward.h"
+#include "hawthornlane/limits/credit_split.h"
 
 #include <algorithm>
 
--- a/libs/limits/src/quota_keeper.cc
+++ b/libs/limits/src/quota_manager.cc
@@ -1,5 +1,5 @@
 // One keeper's part of the client accounts' quotas.
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-void quota_keeper::restore(const quota_record& record) {
+void quota_manager::restore(const quota_record& record) {
   if (record.begins) {
     this->buckets.clear();
     this->age_before = 0;
   }
   this->age_before = std::max(this->age_before, record.age);
-  for (const quota_mark& mark : record.marks) {
+  for (const quota_bucket_record& mark : record.bucket_records) {
     this->buckets[mark.account] = {mark.limit, mark.version, mark.level, record.age};
   }
 }
 
-void quota_keeper::keep(double share, timestamp now) {
+void quota_manager::set_share(double share, timestamp now) {
   const bool begins = this->part == 0 && share != 0;
   if (share == 0) {
     this->buckets.clear();
@@ -48,27 +48,27 @@
   this->part = share;
 }
 
-double quota_keeper::capacity_of(const account_limit& limit) const {
+double quota_manager::capacity_of(const account_limit& limit) const {
   const double in_window = limit.calls_per_second * to_seconds(this->rules.window) + limit.burst;
   const double tolerated = in_window * this->rules.excess + this->rules.slack;
   // Less than a whole call could never be granted.
   return std::max(1.0, this->part * (limit.burst + used_tolerance * tolerated));
 }
 
-double quota_keeper::rate_of(const account_limit& limit) const {
+double quota_manager::rate_of(const account_limit& limit) const {
   return limit.calls_per_second * this->part;
 }
 
-double quota_keeper::age(timestamp now) const {
+double quota_manager::age(timestamp now) const {
   return this->age_before + to_seconds(now - this->resumed);
 }
 
-double quota_keeper::level_at(const bucket& from, double age) const {
+double quota_manager::level_at(const bucket& from, double age) const {
   const double filled = from.level + this->rate_of(from.limit) * (age - from.at);
   return std::min(filled, this->capacity_of(from.limit));
 }
 
-quota_keeper::bucket& quota_keeper::bucket_of(const quota_question& question, timestamp now) {
+quota_manager::bucket& quota_manager::bucket_of(const quota_request& question, timestamp now) {
   const auto [found, is_new] = this->buckets.try_emplace(question.account);
   bucket& item = found->second;
   if (is_new) {
@@ -86,13 +86,13 @@
   return item;
 }
 
-quota_answer quota_keeper::ask(const quota_question& question, timestamp now) {
+quota_response quota_manager::ask(const quota_request& question, timestamp now) {
   if (this->part == 0) {
-    return {quota_verdict::not_kept, {}};
+    return {quota_outcome::not_kept, {}};
   }
   bucket& item = this->bucket_of(question, now);
   if (!item.limit.limits()) {
-    return {quota_verdict::granted, {}};
+    return {quota_outcome::granted, {}};
   }
   const double needed = this->level_needed(question, item, now);
   this->note_call(question, now);
@@ -102,18 +102,18 @@
     if (question.program) {
       this->note_grant(*question.program, question.account, now);
     }
-    return {quota_verdict::granted, {}};
+    return {quota_outcome::granted, {}};
   }
   this->held_back += item.level >= 1 - least_difference ? 1 : 0;
-  return {quota_verdict::refused, from_seconds((needed - item.level) / this->rate_of(item.limit))};
+  return {quota_outcome::refused, from_seconds((needed - item.level) / this->rate_of(item.limit))};
 }
 
-double quota_keeper::level_needed(const quota_question& question, const bucket& from,
-                                  timestamp now) {
+double quota_manager::level_needed(const quota_request& question, const bucket& from,
+                                   timestamp now) {
   if (!question.program || !question.program->begins) {
     return 1;
   }
-  begun_programs& begun = this->programs[question.account];
+  active_programs& begun = this->programs[question.account];
   begun.forget_ended(now);
   if (begun.contains(question.program->key, now)) {
     return 1;
@@ -123,7 +123,7 @@
   return std::clamp(needed, 1.0, this->capacity_of(from.limit));
 }
 
-void quota_keeper::note_call(const quota_question& question, timestamp now) {
+void quota_manager::note_call(const quota_request& question, timestamp now) {
   const auto begun = this->programs.find(question.account);
   if (!question.program || begun == this->programs.end() ||
       !begun->second.contains(question.program->key, now)) {
@@ -133,9 +133,9 @@
   this->size.note_call();
 }
 
-void quota_keeper::note_grant(const quota_program& program, const client_account& account,
-                              timestamp now) {
-  begun_programs& begun = this->programs[account];
+void quota_manager::note_grant(const quota_program& program, const client_account& account,
+                               timestamp now) {
+  active_programs& begun = this->programs[account];
   if (begun.contains(program.key, now)) {
     begun.note_grant(program.key);
   } else if (program.begins) {
@@ -144,7 +144,7 @@
   }
 }
 
-void quota_keeper::forget_idle(timestamp now) {
+void quota_manager::forget_idle(timestamp now) {
   const double age = this->age(now);
   for (auto& [account, begun] : this->programs) {
     begun.forget_ended(now);
@@ -158,11 +158,11 @@
   std::erase_if(this->programs, [](const auto& entry) { return entry.second.empty(); });
 }
 
-quota_mark quota_keeper::mark_of(const client_account& account, const bucket& item) {
+quota_bucket_record quota_manager::mark_of(const client_account& account, const bucket& item) {
   return {account, item.limit, item.version, item.level};
 }
 
-quota_record quota_keeper::take_changes(timestamp now) {
+quota_record quota_manager::take_changes(timestamp now) {
   quota_record record;
   record.age = this->age(now);
   record.begins = std::exchange(this->is_new, false);
@@ -170,20 +170,20 @@
     bucket& item = this->buckets.at(account);
     item.level = this->level_at(item, record.age);
     item.at = record.age;
-    record.marks.push_back(mark_of(account, item));
+    record.bucket_records.push_back(mark_of(account, item));
   }
   this->changed.clear();
   return record;
 }
 
-quota_record quota_keeper::whole(timestamp now) const {
+quota_record quota_manager::whole(timestamp now) const {
   quota_record record;
   record.age = this->part == 0 ? this->age_before : this->age(now);
   record.begins = true;
   for (const auto& [account, item] : this->buckets) {
     bucket filled = item;
     filled.level = this->level_at(item, record.age);
-    record.marks.push_back(mark_of(account, filled));
+    record.bucket_records.push_back(mark_of(account, filled));
   }
   return record;
 }
