--- a/libs/limits/test/begun_programs_test.cc
+++ b/libs/limits/test/active_programs_test.cc
@@ -1,5 +1,5 @@
 // Programs under a quota: what is held back for those under way, and what callers get by it.
-#include "hawthornlane/limits/begun_programs.h"
+#include "hawthornlane/limits/active_programs.h"
 
 #include <algorithm>
 #include <array>
@@ -11,7 +11,7 @@
 #include <numeric>
 #include <random>
 
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 using namespace hawthornlane;
 using namespace std::chrono_literals;
@@ -23,7 +23,7 @@
 }  // namespace
 
 TEST_CASE("a program needs its own calls and what those under way are still to make") {
-  begun_programs begun;
+  active_programs begun;
   CHECK(begun.needed(0, 1, at(0)) == 0);
   CHECK(begun.needed(10, 0.2, at(0)) == Approx(2));
   begun.begin(program_key(7), at(0));
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("a keeper learns how many calls a program makes") {
-  program_size size;
+  program_size_estimate size;
   for (int program = 0; program < 50; ++program) {
     size.note_begin();
     for (int call = 1; call < 8; ++call) {
@@ -56,12 +56,12 @@
 
 TEST_CASE("a call that begins no program is granted as before, and a full bucket lets any begin") {
   const account_limit limit{1, 9};
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   const auto ask = [&](std::uint64_t program, bool begins, double seconds) {
-    quota_question question{client_account("north"), limit, limit_version(1)};
+    quota_request question{client_account("north"), limit, limit_version(1)};
     question.program = quota_program{program_key(program), begins};
-    return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
+    return keeper.ask(question, at(seconds)).outcome == quota_outcome::granted;
   };
   // Programs of six calls, each by a bucket that is full again.
   for (std::uint64_t program = 1; program <= 8; ++program) {
@@ -81,12 +81,12 @@
 
 TEST_CASE("calls of programs whose beginning nobody saw do not make programs look large") {
   const account_limit limit{1000, 60};
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   const auto ask = [&](const char* account, std::uint64_t program, bool begins, double seconds) {
-    quota_question question{client_account(account), limit, limit_version(1)};
+    quota_request question{client_account(account), limit, limit_version(1)};
     question.program = quota_program{program_key(program), begins};
-    return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
+    return keeper.ask(question, at(seconds)).outcome == quota_outcome::granted;
   };
   for (std::uint64_t program = 1; program <= 10; ++program) {
     for (int call = 0; call < 4; ++call) {
@@ -102,12 +102,12 @@
 TEST_CASE(
     "a program that has begun goes on after a long turn, also by a call that could be its first") {
   const account_limit limit{1, 9};
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   const auto ask = [&](std::uint64_t program, double seconds) {
-    quota_question question{client_account("north"), limit, limit_version(1)};
+    quota_request question{client_account("north"), limit, limit_version(1)};
     question.program = quota_program{program_key(program), true};
-    return keeper.ask(question, at(seconds)).verdict == quota_verdict::granted;
+    return keeper.ask(question, at(seconds)).outcome == quota_outcome::granted;
   };
   for (std::uint64_t program = 1; program <= 9; ++program) {
     REQUIRE(ask(program, 100));
@@ -138,9 +138,9 @@
   /// `holds_back`: keepers are told which calls begin a program.
   played_account(std::uint64_t seed, double usual_calls, bool tells_programs)
       : random(seed), holds_back(tells_programs), limit{1.6 * usual_calls, 1.6 * usual_calls} {
-    for (quota_keeper& keeper : this->keepers) {
-      keeper = quota_keeper(quota_rules{5s, 0.1, 20});
-      keeper.keep(1.0 / static_cast<double>(this->keepers.size()), at(0));
+    for (quota_manager& keeper : this->keepers) {
+      keeper = quota_manager(quota_tolerance{5s, 0.1, 20});
+      keeper.set_share(1.0 / static_cast<double>(this->keepers.size()), at(0));
     }
   }
 
@@ -266,11 +266,11 @@
                 [=, this] { this->do_call(program, step, calls, tries + 1, left); });
   }
   bool is_granted(played_program& program) {
-    quota_question question{client_account("north"), this->limit, limit_version(1)};
+    quota_request question{client_account("north"), this->limit, limit_version(1)};
     question.program = quota_program{program.key, this->holds_back && program.granted == 0};
     for (std::size_t turn = 0; turn < this->keepers.size(); ++turn) {
       const std::size_t keeper = (program.key.get() + turn) % this->keepers.size();
-      if (this->keepers[keeper].ask(question, at(this->now)).verdict == quota_verdict::granted) {
+      if (this->keepers[keeper].ask(question, at(this->now)).outcome == quota_outcome::granted) {
         ++program.granted;
         return true;
       }
@@ -281,7 +281,7 @@
   std::mt19937_64 random;
   bool holds_back;
   account_limit limit;
-  std::array<quota_keeper, 5> keepers;
+  std::array<quota_manager, 5> keepers;
   double now = 0;
   std::multimap<double, std::function<void()>> events;
 };
--- a/libs/limits/test/limits_test.cc
+++ b/libs/limits/test/limits_test.cc
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 #include <numeric>
 
-#include "hawthornlane/limits/credit_steward.h"
+#include "hawthornlane/limits/credit_split.h"
 #include "hawthornlane/limits/fair_queue.h"
 #include "hawthornlane/limits/retry_budget.h"
 #include "hawthornlane/limits/server_window.h"
--- a/libs/limits/test/quota_faults.h
+++ b/libs/limits/test/quota_faults.h
@@ -6,7 +6,7 @@
 #include <ostream>
 #include <utility>
 
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 namespace hawthornlane::quota_test {
 
@@ -55,7 +55,7 @@
 };
 
 /// What the operator tolerates.
-inline constexpr quota_rules rules{std::chrono::seconds(5), 0.1, 20};
+inline constexpr quota_tolerance rules{std::chrono::seconds(5), 0.1, 20};
 
 /// Which way between two hosts is cut, slow or unsure, and until when.
 class fake_links {
--- a/libs/limits/test/quota_history_test.cc
+++ b/libs/limits/test/quota_history_test.cc
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <sstream>
 
-#include "quota_world.h"
+#include "quota_simulation.h"
 
 using namespace hawthornlane;
 using namespace hawthornlane::quota_test;
--- a/libs/limits/test/quota_lease_test.cc
+++ b/libs/limits/test/quota_lease_test.cc
@@ -42,13 +42,13 @@
   const ledger_set before{set_epoch(1), disks(item.members), {}};
   const ledger_set joint{set_epoch(2), disks(item.members), disks(item.next)};
   const ledger_set after{set_epoch(3), disks(item.next.empty() ? item.members : item.next), {}};
-  CHECK(quota_part(joint, disk('a')) == Approx(item.part_of_a));
-  CHECK(quota_part(joint, disk('e')) == Approx(item.part_of_e));
+  CHECK(quota_share(joint, disk('a')) == Approx(item.part_of_a));
+  CHECK(quota_share(joint, disk('e')) == Approx(item.part_of_e));
   // Each host knows of the joint set and, as may be, of the one before or behind it.
   for (const ledger_set& other : {before, after}) {
     double most = 0;
     for (const disk_id& host : disks("abcde")) {
-      most += std::max(quota_part(joint, host), quota_part(other, host));
+      most += std::max(quota_share(joint, host), quota_share(other, host));
     }
     CHECK(most <= 1 + 1e-9);
   }
--- a/libs/limits/test/quota_keeper_test.cc
+++ b/libs/limits/test/quota_manager_test.cc
@@ -1,6 +1,6 @@
 // Quotas over several keepers: nothing beyond the limit in any span, whatever becomes of keepers
 // and of what connects them; nothing refused below it.
-#include "hawthornlane/limits/quota_keeper.h"
+#include "hawthornlane/limits/quota_manager.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -18,20 +18,20 @@
 const client_account north("north");
 
 constexpr double window = 5;
-constexpr quota_rules tolerant{5s, 0.1, 20};
+constexpr quota_tolerance tolerant{5s, 0.1, 20};
 
 timestamp at(double seconds) { return timestamp(from_seconds(seconds)); }
 
-quota_question question_of(account_limit limit, std::uint64_t version = 1) {
+quota_request question_of(account_limit limit, std::uint64_t version = 1) {
   return {north, limit, limit_version(version)};
 }
 
-bool is_granted(quota_keeper& keeper, account_limit limit, double seconds,
+bool is_granted(quota_manager& keeper, account_limit limit, double seconds,
                 std::uint64_t version = 1) {
-  return keeper.ask(question_of(limit, version), at(seconds)).verdict == quota_verdict::granted;
+  return keeper.ask(question_of(limit, version), at(seconds)).outcome == quota_outcome::granted;
 }
 
-int granted_of(quota_keeper& keeper, account_limit limit, double seconds, int calls) {
+int granted_of(quota_manager& keeper, account_limit limit, double seconds, int calls) {
   int granted = 0;
   for (int call = 0; call < calls; ++call) {
     granted += is_granted(keeper, limit, seconds) ? 1 : 0;
@@ -56,8 +56,8 @@
 }  // namespace
 
 TEST_CASE("a keeper grants its part of the burst at once and then its part of the rate") {
-  quota_keeper keeper;
-  keeper.keep(0.2, at(0));
+  quota_manager keeper;
+  keeper.set_share(0.2, at(0));
   const account_limit limit{50, 20};
   CHECK(granted_of(keeper, limit, 100, 100) == 4);
   CHECK(granted_of(keeper, limit, 100.4, 100) == 4);
@@ -65,34 +65,34 @@
 }
 
 TEST_CASE("a keeper's burst grows by its part of what the operator tolerates") {
-  quota_keeper keeper(tolerant);
-  keeper.keep(0.2, at(0));
+  quota_manager keeper(tolerant);
+  keeper.set_share(0.2, at(0));
   // (50 * 5 + 20) / 10 + 20 are tolerated, and nine tenths of them used.
   CHECK(granted_of(keeper, {50, 20}, 100, 100) == 12);
 }
 
 TEST_CASE("a refusal says when there is room again") {
-  quota_keeper keeper;
-  keeper.keep(0.5, at(0));
+  quota_manager keeper;
+  keeper.set_share(0.5, at(0));
   const account_limit limit{4, 2};
   REQUIRE(is_granted(keeper, limit, 10));
-  const quota_answer answer = keeper.ask(question_of(limit), at(10));
-  REQUIRE(answer.verdict == quota_verdict::refused);
-  CHECK(answer.room_in == duration(500ms));
+  const quota_response answer = keeper.ask(question_of(limit), at(10));
+  REQUIRE(answer.outcome == quota_outcome::refused);
+  CHECK(answer.retry_after == duration(500ms));
   CHECK(is_granted(keeper, limit, 10.5));
 }
 
 TEST_CASE("who keeps no quotas grants nothing") {
-  quota_keeper keeper;
-  CHECK(keeper.ask(question_of({5, 5}), at(10)).verdict == quota_verdict::not_kept);
-  keeper.keep(0.5, at(10));
-  keeper.keep(0, at(11));
-  CHECK(keeper.ask(question_of({5, 5}), at(20)).verdict == quota_verdict::not_kept);
+  quota_manager keeper;
+  CHECK(keeper.ask(question_of({5, 5}), at(10)).outcome == quota_outcome::not_kept);
+  keeper.set_share(0.5, at(10));
+  keeper.set_share(0, at(11));
+  CHECK(keeper.ask(question_of({5, 5}), at(20)).outcome == quota_outcome::not_kept);
 }
 
 TEST_CASE("who begins to keep quotas begins with nothing to give") {
-  quota_keeper keeper;
-  keeper.keep(0.5, at(10));
+  quota_manager keeper;
+  keeper.set_share(0.5, at(10));
   const account_limit limit{10, 100};
   CHECK(granted_of(keeper, limit, 10, 100) == 0);
   CHECK(granted_of(keeper, limit, 11, 100) == 5);
@@ -101,49 +101,49 @@
 TEST_CASE("who goes on after a restart has the buckets that were written down") {
   const account_limit limit{10, 10};
   const client_account south("south");
-  quota_keeper before;
-  before.keep(1, at(0));
+  quota_manager before;
+  before.set_share(1, at(0));
   REQUIRE(granted_of(before, limit, 100, 10) == 10);
   std::vector<quota_record> log{before.take_changes(at(100))};
-  REQUIRE(before.ask({south, limit, limit_version(1)}, at(100.3)).verdict ==
-          quota_verdict::granted);
+  REQUIRE(before.ask({south, limit, limit_version(1)}, at(100.3)).outcome ==
+          quota_outcome::granted);
   log.push_back(before.take_changes(at(100.3)));
-  CHECK(before.take_changes(at(100.3)).marks.empty());
+  CHECK(before.take_changes(at(100.3)).bucket_records.empty());
 
-  quota_keeper after;
+  quota_manager after;
   for (const quota_record& record : log) {
     after.restore(record);
   }
   // The time between the last record and the restart is not known, and counts nothing.
-  after.keep(1, at(7));
+  after.set_share(1, at(7));
   CHECK(granted_of(after, limit, 7, 10) == 3);
   CHECK(granted_of(after, limit, 7.5, 10) == 5);
   // Who was not asked for before is not held to have used anything.
-  CHECK(after.ask({client_account("east"), limit, limit_version(1)}, at(7)).verdict ==
-        quota_verdict::granted);
+  CHECK(after.ask({client_account("east"), limit, limit_version(1)}, at(7)).outcome ==
+        quota_outcome::granted);
 
-  quota_keeper from_whole;
+  quota_manager from_whole;
   from_whole.restore(before.whole(at(100.3)));
-  from_whole.keep(1, at(1));
+  from_whole.set_share(1, at(1));
   CHECK(granted_of(from_whole, limit, 1, 10) == 3);
 }
 
 TEST_CASE("what was written down counts no more for one that was no keeper since") {
   const account_limit limit{10, 10};
-  quota_keeper before;
-  before.keep(1, at(0));
+  quota_manager before;
+  before.set_share(1, at(0));
   REQUIRE(is_granted(before, limit, 100));
-  quota_keeper after;
+  quota_manager after;
   after.restore(before.take_changes(at(100)));
-  after.keep(0, at(0));
-  after.keep(1, at(50));
+  after.set_share(0, at(0));
+  after.set_share(1, at(50));
   CHECK(granted_of(after, limit, 50, 10) == 0);
   // Nor for the process after that one.
   REQUIRE(is_granted(after, limit, 50.1));
-  quota_keeper last;
+  quota_manager last;
   last.restore(before.whole(at(100)));
   last.restore(after.take_changes(at(50.1)));
-  last.keep(1, at(0));
+  last.set_share(1, at(0));
   CHECK(granted_of(last, limit, 0, 10) == 0);
 }
 
@@ -162,8 +162,8 @@
       {"lifted", {2, 2}, {0, 0}, 2, 50},
   }));
   INFO(item.what);
-  quota_keeper keeper;
-  keeper.keep(1, at(0));
+  quota_manager keeper;
+  keeper.set_share(1, at(0));
   REQUIRE(is_granted(keeper, item.first, 100, 1));
   int granted = 0;
   for (int call = 0; call < 50; ++call) {
@@ -173,8 +173,8 @@
 }
 
 TEST_CASE("an account that is idle is forgotten and loses nothing by it") {
-  quota_keeper keeper;
-  keeper.keep(0.5, at(0));
+  quota_manager keeper;
+  keeper.set_share(0.5, at(0));
   const account_limit limit{10, 10};
   REQUIRE(granted_of(keeper, limit, 100, 5) == 5);
   keeper.forget_idle(at(100.5));
@@ -210,13 +210,13 @@
     REQUIRE(keeper);
     switch (kind) {
       case reply::grant:
-        round.answered({quota_verdict::granted, {}});
+        round.answered({quota_outcome::granted, {}});
         break;
       case reply::refusal:
-        round.answered({quota_verdict::refused, 30ms});
+        round.answered({quota_outcome::refused, 30ms});
         break;
       case reply::not_kept:
-        round.answered({quota_verdict::not_kept, {}});
+        round.answered({quota_outcome::not_kept, {}});
         break;
       case reply::silence:
         round.failed();
@@ -232,9 +232,9 @@
 class quota_world {
 public:
   quota_world(std::uint64_t seed, std::size_t count)
-      : random(seed), keepers(count, quota_keeper(tolerant)) {
-    for (quota_keeper& keeper : this->keepers) {
-      keeper.keep(this->part(), at(0));
+      : random(seed), keepers(count, quota_manager(tolerant)) {
+    for (quota_manager& keeper : this->keepers) {
+      keeper.set_share(this->part(), at(0));
     }
   }
 
@@ -253,7 +253,7 @@
         round.failed();
         continue;
       }
-      const quota_answer answer =
+      const quota_response answer =
           this->keepers[order[keeper]].ask(question_of(limit, version), at(seconds));
       if (this->happens(loss)) {
         round.failed();
@@ -264,15 +264,15 @@
     return round.decision() == quota_decision::granted;
   }
   void restart_some(double seconds, double chance) {
-    for (quota_keeper& keeper : this->keepers) {
+    for (quota_manager& keeper : this->keepers) {
       if (this->happens(chance)) {
         // What was granted is written down by then; what becomes of the time in between, too.
         const quota_record known = keeper.whole(at(seconds));
-        keeper = quota_keeper(tolerant);
+        keeper = quota_manager(tolerant);
         if (this->happens(0.7)) {
           keeper.restore(known);
         }
-        keeper.keep(this->part(), at(seconds));
+        keeper.set_share(this->part(), at(seconds));
       }
     }
   }
@@ -285,7 +285,7 @@
   [[nodiscard]] double part() const { return 1.0 / static_cast<double>(this->keepers.size()); }
 
   std::mt19937_64 random;
-  std::vector<quota_keeper> keepers;
+  std::vector<quota_manager> keepers;
 };
 
 /// What the operator allows in a window.
@@ -321,8 +321,8 @@
 
 TEST_CASE("an account is hardly ever refused what one exact bucket would grant it") {
   const double rate = GENERATE(2.0, 8.0, 30.0, 200.0);
-  quota_keeper exact;
-  exact.keep(1, at(0));
+  quota_manager exact;
+  exact.set_share(1, at(0));
   quota_world world(static_cast<std::uint64_t>(rate), 5);
   const account_limit limit{1.6 * rate, 1.6 * rate};
   int calls = 0;
--- a/libs/limits/test/quota_world.h
+++ b/libs/limits/test/quota_simulation.h
@@ -78,13 +78,13 @@
     timestamp paused_until{};
     /// The process's clock is ahead of the world's by that.
     duration clock{};
-    std::unique_ptr<quota_keeper> keeper;
+    std::unique_ptr<quota_manager> keeper;
     std::vector<quota_record> log;
     std::vector<std::function<void()>> unwritten;
     bool writing = false;
     std::optional<ledger_set> set;
     timestamp told_at{};
-    std::map<int, member_word> heard;
+    std::map<int, member_probe_result> heard;
     /// As `heard`, also of hosts that have never answered.
     std::map<int, timestamp> alive_at;
     set_epoch fence;
@@ -182,10 +182,10 @@
     item.paused_until = {};
     ++item.life;
     item.clock = this->random_time(std::chrono::hours(1));
-    item.keeper = std::make_unique<quota_keeper>(rules);
+    item.keeper = std::make_unique<quota_manager>(rules);
     for (quota_record record : item.log) {
       if (this->planted == planted_fault::forgets_grants) {
-        record.marks.clear();
+        record.bucket_records.clear();
       }
       item.keeper->restore(record);
     }
@@ -211,13 +211,13 @@
     }
     item.set = this->stored;
     item.told_at = this->clock_of(item);
-    item.keeper->keep(this->part_of(*item.set, name_of(host)), this->clock_of(item));
+    item.keeper->set_share(this->part_of(*item.set, name_of(host)), this->clock_of(item));
   }
   [[nodiscard]] double part_of(ledger_set set, const disk_id& disk) const {
     if (this->planted == planted_fault::stays_to_the_end) {
       set.next.clear();
     }
-    return quota_part(set, disk);
+    return quota_share(set, disk);
   }
   void probe(int host) {
     const int life = this->hosts.at(host).life;
@@ -246,7 +246,7 @@
     set_view view;
     view.self = name_of(host);
     view.set = item.set;
-    view.wanted = keepers;
+    view.target_size = keepers;
     for (int other = 0; other < disk_hosts; ++other) {
       const bool is_self = other == host;
       const bool reachable =
@@ -257,9 +257,9 @@
     }
     return view;
   }
-  std::size_t passed_over(int host, set_view view) {
+  std::size_t skipped_candidates(int host, set_view view) {
     disk_host& item = this->hosts.at(host);
-    view.passed_over = view.disks.size();
+    view.skipped_candidates = view.disks.size();
     const bool due = decide_set_change(view).step == set_step::propose;
     if (!due || item.set->epoch != item.due_at) {
       item.due_at = item.set->epoch;
@@ -274,7 +274,7 @@
       return;
     }
     set_view view = this->view_of(host);
-    view.passed_over = this->passed_over(host, view);
+    view.skipped_candidates = this->skipped_candidates(host, view);
     const set_decision decision = decide_set_change(view);
     if (decision.step == set_step::copy) {
       this->copy(host);
@@ -324,16 +324,16 @@
     return this->planted == planted_fault::ignores_lease ||
            holds_quota_lease(view, this->clock_of(host));
   }
-  void ask_keeper(int host, const quota_question& question,
-                  const std::function<void(const quota_answer&)>& reply) {
+  void ask_keeper(int host, const quota_request& question,
+                  const std::function<void(const quota_response&)>& reply) {
     disk_host& item = this->hosts.at(host);
-    quota_answer answer;
+    quota_response answer;
     if (this->holds_lease(item, host)) {
       answer = item.keeper->ask(question, this->clock_of(item));
     }
-    if (answer.verdict != quota_verdict::granted) {
+    if (answer.outcome != quota_outcome::granted) {
       if (this->planted == planted_fault::counts_refusals &&
-          answer.verdict == quota_verdict::refused) {
+          answer.outcome == quota_outcome::refused) {
         this->take_one(item);
       }
       reply(answer);
@@ -347,12 +347,12 @@
   }
   void take_one(disk_host& host) {
     quota_record record = host.keeper->whole(this->clock_of(host));
-    for (quota_mark& mark : record.marks) {
+    for (quota_bucket_record& mark : record.bucket_records) {
       mark.level -= 1;
     }
-    host.keeper = std::make_unique<quota_keeper>(rules);
+    host.keeper = std::make_unique<quota_manager>(rules);
     host.keeper->restore(record);
-    host.keeper->keep(1.0 / keepers, this->clock_of(host));
+    host.keeper->set_share(1.0 / keepers, this->clock_of(host));
   }
   /// Who was granted a call is told when the grant is in the log.
   void write(int host) {
@@ -414,9 +414,9 @@
     call->next_at = this->now + keeper_patience;
     const int keeper = host_of(call->keepers[*next]);
     const known_limit& known = this->known_limits.at(front);
-    const quota_question question{client_account("north"), known.limit, known.version};
+    const quota_request question{client_account("north"), known.limit, known.version};
     const auto answered = std::make_shared<bool>(false);
-    const auto hear = [=, this](const quota_answer& answer) {
+    const auto hear = [=, this](const quota_response& answer) {
       this->send(keeper, disk_hosts + front, [=, this] {
         if (!std::exchange(*answered, true)) {
           call->round.answered(answer);
--- a/libs/membership/include/hawthornlane/membership/messages.h
+++ b/libs/membership/include/hawthornlane/membership/messages.h
@@ -39,7 +39,7 @@
 };
 
 /// The generation of one service document that a host uses.
-struct document_mark {
+struct document_generation {
   service_name service;
   generation at;
 
@@ -78,14 +78,15 @@
   /// become ready because its own digest is equal.
   bool documents_current = false;
   /// Generations that the sender uses; sent when the digests differ.
-  std::vector<document_mark> marks;
+  std::vector<document_generation> document_generations;
   /// Documents that the receiver lacks.
   std::vector<document_copy> documents;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->what, this->from, this->reply_to, this->sequence, this->target, this->updates,
-            this->documents_digest, this->documents_current, this->marks, this->documents);
+            this->documents_digest, this->documents_current, this->document_generations,
+            this->documents);
   }
 };
 
--- a/libs/net/src/rpc_client.cc
+++ b/libs/net/src/rpc_client.cc
@@ -55,7 +55,7 @@
   bool connected = false;
   bool writing = false;
   bool closed = false;
-  steady_time heard_at{};
+  steady_time received_at{};
 
   void send(std::uint16_t method, std::string payload, duration limit, rpc_done done) {
     if (payload.size() > largest_payload) {
@@ -125,7 +125,7 @@
 
   void on_timeout(std::uint64_t id) {
     const auto self = this->shared_from_this();
-    const bool silent = this->heard_at < this->calls.at(id)->sent_at;
+    const bool silent = this->received_at < this->calls.at(id)->sent_at;
     const bool unseen = this->drop_unsent(id) || !this->connected;
     this->finish(id, unseen ? rpc_failure::unreachable : rpc_failure::unknown, {});
     if (silent && this->socket) {
@@ -197,7 +197,7 @@
       if (error) {
         co_return;
       }
-      self->heard_at = std::chrono::steady_clock::now();
+      self->received_at = std::chrono::steady_clock::now();
       while (auto message = reader.take(buffer)) {
         const bool answered = message->kind == frame_kind::answer;
         self->finish(message->call, answered ? rpc_failure::none : rpc_failure::refused,
--- a/libs/node/include/hawthornlane/node/document_keeper.h
+++ b/libs/node/include/hawthornlane/node/document_keeper.h
@@ -68,8 +68,9 @@
 
   // Exchange with peers.
   [[nodiscard]] std::uint64_t digest() const;
-  [[nodiscard]] std::vector<document_mark> marks() const;
-  [[nodiscard]] std::vector<document_copy> lacking(const std::vector<document_mark>& theirs) const;
+  [[nodiscard]] std::vector<document_generation> document_generations() const;
+  [[nodiscard]] std::vector<document_copy> lacking(
+      const std::vector<document_generation>& theirs) const;
   void take_copies(const std::vector<document_copy>& copies);
 
   [[nodiscard]] std::shared_ptr<const service_document> find(const service_name& service) const;
--- a/libs/node/src/admin_routes.cc
+++ b/libs/node/src/admin_routes.cc
@@ -75,12 +75,12 @@
           {"client_account", state.opened.account.get()},
           {"turns", state.turns.size()},
           {"charged_tokens", state.charged.get()},
-          {"budget_left", state.left().get()},
+          {"budget_left", state.tokens_left().get()},
           {"running", state.open_intent.has_value()},
           {"closed", state.closed},
           {"shard", core.shard().get()},
           {"epoch", core.known_assignment().at.get()},
-          {"copies", core.replicas_in_step() + 1}};
+          {"copies", core.in_sync_replicas() + 1}};
 }
 
 }  // namespace
--- a/libs/node/src/document_keeper.cc
+++ b/libs/node/src/document_keeper.cc
@@ -106,9 +106,9 @@
   return this->rollout.digest();
 }
 
-std::vector<document_mark> document_keeper::marks() const {
+std::vector<document_generation> document_keeper::document_generations() const {
   const std::lock_guard lock(this->mutex);
-  std::vector<document_mark> out;
+  std::vector<document_generation> out;
   for (const auto& [service, document] : this->rollout.documents()) {
     out.push_back({service, document.at});
   }
@@ -116,9 +116,9 @@
 }
 
 std::vector<document_copy> document_keeper::lacking(
-    const std::vector<document_mark>& theirs) const {
+    const std::vector<document_generation>& theirs) const {
   std::map<service_name, generation> known;
-  for (const document_mark& mark : theirs) {
+  for (const document_generation& mark : theirs) {
     known[mark.service] = mark.at;
   }
   const std::lock_guard lock(this->mutex);
--- a/libs/node/src/front_answers.cc
+++ b/libs/node/src/front_answers.cc
@@ -53,7 +53,7 @@
     body["outcome"] = "kept";
   }
   if (answer.turn) {
-    body["turn"] = answer.turn->run_under.turn.get();
+    body["turn"] = answer.turn->call_ticket.turn.get();
     body["answer"] = answer.turn->answer;
     body["used_tokens"] = answer.turn->used.get();
     body["backend_failed"] = answer.turn->failed;
--- a/libs/node/src/front_routes.cc
+++ b/libs/node/src/front_routes.cc
@@ -174,7 +174,7 @@
     const shard_id shard(static_cast<std::uint32_t>((start + step) % count));
     bool usable = false;
     this->parts.shards.read(shard, [&usable](const shard_core& core) {
-      usable = core.serving() && core.replicas_in_step() > 0;
+      usable = core.serving() && core.in_sync_replicas() > 0;
     });
     if (usable) {
       return shard;
@@ -258,12 +258,12 @@
         body["service"] = state.opened.service.get();
         body["turns"] = state.turns.size();
         body["digest"] = hex(state.digest());
-        body["budget_left"] = state.left().get();
+        body["budget_left"] = state.tokens_left().get();
         body["running"] = state.open_intent.has_value();
         body["closed"] = state.closed;
         body["epoch"] = core.known_assignment().at.get();
         body["host"] = core.known_assignment().owner.host.get();
-        body["copies"] = core.replicas_in_step() + 1;
+        body["copies"] = core.in_sync_replicas() + 1;
       });
   http::response answer =
       known ? json_response(body) : error_response(error_kind::program_unknown, program.get());
@@ -287,7 +287,7 @@
       answer = to_response(kept);
       return;
     }
-    if (state.open_intent && state.open_intent->run_under == *asked) {
+    if (state.open_intent && state.open_intent->call_ticket == *asked) {
       answer = error_response(error_kind::turn_in_progress, "");
       return;
     }
--- a/libs/node/src/model_queue.cc
+++ b/libs/node/src/model_queue.cc
@@ -6,7 +6,7 @@
 scheduler& model_queue::of(const model_name& model) {
   std::unique_ptr<scheduler>& found = this->schedulers[model];
   if (!found) {
-    found = std::make_unique<scheduler>(window_limits{}, schedule_times{}, schedule_parts{});
+    found = std::make_unique<scheduler>(window_limits{}, scheduler_settings{}, policy_features{});
   }
   return *found;
 }
--- a/libs/node/src/node.cc
+++ b/libs/node/src/node.cc
@@ -174,8 +174,8 @@
   this->shards.set_hooks(std::move(hooks));
 
   this->map.on_entry([this](shard_id shard, const assignment& entry) {
-    this->shards.change(shard,
-                        [&](shard_core& core) { return core.learn(entry, this->time.now()); });
+    this->shards.change(
+        shard, [&](shard_core& core) { return core.observe_assignment(entry, this->time.now()); });
   });
   this->map.on_proposal(
       [this](shard_id shard, proposal_outcome outcome, const std::optional<assignment>& current) {
@@ -328,7 +328,7 @@
   this->documents.take_copies(message.documents);
   this->hosts->set_documents(this->documents.digest(), this->documents.ready());
   if (message.what == probe_message::kind::documents) {
-    if (!message.marks.empty() || message.documents.empty()) {
+    if (!message.document_generations.empty() || message.documents.empty()) {
       this->send_documents(message);
     }
     return;
@@ -340,7 +340,7 @@
     ask.what = probe_message::kind::documents;
     ask.from = this->self;
     ask.reply_to = this->hosts->self().peer_address;
-    ask.marks = this->documents.marks();
+    ask.document_generations = this->documents.document_generations();
     this->peers->send_probe(message.reply_to, ask);
   } else if (!differs && !this->documents.ready() && message.documents_current) {
     this->documents.heard_all();
@@ -352,7 +352,7 @@
   copies.what = probe_message::kind::documents;
   copies.from = this->self;
   copies.reply_to = this->hosts->self().peer_address;
-  copies.documents = this->documents.lacking(asked.marks);
+  copies.documents = this->documents.lacking(asked.document_generations);
   if (!copies.documents.empty()) {
     this->peers->send_probe(asked.reply_to, copies);
   }
@@ -436,7 +436,7 @@
     this->activity = std::move(seen);
     for (const ending& item : due) {
       this->shards.change(item.shard, [&](shard_core& core) {
-        return item.closed ? core.forget_program(item.program, now)
+        return item.closed ? core.remove_program(item.program, now)
                            : core.close_program(call_id(0), item.program, now);
       });
     }
--- a/libs/node/src/ownership_duty.cc
+++ b/libs/node/src/ownership_duty.cc
@@ -91,7 +91,7 @@
         }
       }
       // Additions first; what is to go leaves once the new ones are in step.
-      const bool in_step = core.replicas_in_step() >= std::min(next.size(), current.size());
+      const bool in_step = core.in_sync_replicas() >= std::min(next.size(), current.size());
       if (!in_step) {
         for (const host_incarnation& replica : current) {
           const bool kept = std::find(next.begin(), next.end(), replica) != next.end();
--- a/libs/node/src/shard_table.cc
+++ b/libs/node/src/shard_table.cc
@@ -18,7 +18,7 @@
     return;
   }
   this->carry_out(shard, std::move(todo));
-  this->report(shard, target.core.broken_by_newest_turn());
+  this->report(shard, target.core.broken_invariant_in_newest_turns());
 }
 
 void shard_table::check_next() {
--- a/libs/ownership/include/hawthornlane/ownership/messages.h
+++ b/libs/ownership/include/hawthornlane/ownership/messages.h
@@ -21,7 +21,7 @@
 };
 
 /// A host's copy of a shard's log, as the state that its records lead to.
-struct held_log {
+struct log_snapshot {
   /// Epoch and position of the last record. The log of each epoch starts at index 1 with
   /// the state that the owner installs.
   epoch at;
@@ -42,7 +42,7 @@
   /// False when the host has seen a higher epoch.
   bool granted = false;
   /// The host's copy of the log; absent when it has none.
-  std::optional<held_log> log;
+  std::optional<log_snapshot> log;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -52,7 +52,7 @@
 
 /// The owner replaces the log copy of a sealed host by its own.
 struct install_request {
-  held_log log;
+  log_snapshot log;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -105,7 +105,7 @@
 /// Answer to `late_result`, sent when the result is stored or is known not to be storable.
 struct late_result_reply {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
   bool kept = false;
   std::uint32_t copies = 0;
   /// Ticket for the caller's next call, which runs at the new owner.
@@ -115,7 +115,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under, this->kept, this->copies, this->next, this->digest,
+    archive(this->program, this->call_ticket, this->kept, this->copies, this->next, this->digest,
             this->budget_left);
   }
 };
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -64,7 +64,7 @@
 
   // The shard map.
   /// Takes in the shard's map entry, as read, watched or received from a peer.
-  actions learn(const assignment& entry, timestamp now);
+  actions observe_assignment(const assignment& entry, timestamp now);
   /// Proposes this host as the owner, with these replicas. `random` is the proposal's nonce.
   actions claim(std::vector<host_incarnation> replicas, std::uint64_t random, timestamp now);
   /// Proposes a new replica set; does nothing when that could lose records.
@@ -86,7 +86,7 @@
                        timestamp now);
   actions close_program(call_id call, const program_id& program, timestamp now);
   /// Drops a closed program after the retention time of its answers.
-  actions forget_program(const program_id& program, timestamp now);
+  actions remove_program(const program_id& program, timestamp now);
   /// The answer to a call that is not dispatched: a stored answer or a refusal. Nothing when the
   /// call can begin. `random` is the nonce of a new ticket where one is needed.
   std::optional<call_answer> check_call(const call_request& request, std::uint64_t random);
@@ -112,18 +112,18 @@
   [[nodiscard]] const assignment& known_assignment() const { return this->known; }
   [[nodiscard]] bool proposal_open() const { return this->proposed.has_value(); }
   [[nodiscard]] epoch sealed_epoch() const { return this->sealed; }
-  [[nodiscard]] const std::optional<held_log>& log() const { return this->held; }
+  [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->held; }
   [[nodiscard]] const program_state* find_program(const program_id& program) const;
   [[nodiscard]] bool complete() const;
   /// Number of calls that are logged or dispatched and not yet answered.
   [[nodiscard]] std::size_t open_calls() const { return this->calls.size(); }
   /// Number of replicas that hold every record; 0 when this host does not serve the shard.
-  [[nodiscard]] std::size_t replicas_in_step() const;
+  [[nodiscard]] std::size_t in_sync_replicas() const;
   /// Description of the first invariant found broken, to be reported by the host; empty if none.
   [[nodiscard]] std::string broken_invariant() const;
   /// The same for the newest turn of each program only. This covers what a single change can
   /// break, at a cost that does not grow with the histories.
-  [[nodiscard]] std::string broken_by_newest_turn() const;
+  [[nodiscard]] std::string broken_invariant_in_newest_turns() const;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -201,7 +201,8 @@
   bool all_former_sealed() const;
   void start_serving(timestamp now, actions& out);
   void merge_gathered();
-  void absorb_late(const held_log& log, const host_incarnation& from, timestamp now, actions& out);
+  void absorb_late(const log_snapshot& log, const host_incarnation& from, timestamp now,
+                   actions& out);
   void end_call_of_former_owner(call_id call, const open_call& item, timestamp now, actions& out);
   void depose(const assignment& entry, timestamp now, actions& out);
   void settle_proposal(const assignment& entry, timestamp now, actions& out);
@@ -247,7 +248,7 @@
   /// The highest epoch to which this host was sealed. Invariant: never decreases; no record of a
   /// lower epoch is appended here.
   epoch sealed;
-  std::optional<held_log> held;
+  std::optional<log_snapshot> held;
   /// Appends of the current epoch that arrived before an earlier one; at most `most_early`.
   std::map<record_index, append_request> early;
 
@@ -255,7 +256,7 @@
   assignment former;
   /// Replicas of `former` that are not sealed yet.
   std::set<host_incarnation> former_missing;
-  std::vector<held_log> gathered;
+  std::vector<log_snapshot> gathered;
   timestamp sealing_since;
   /// `unknown_below` in the log of the former owner's epoch; absent when no log of that epoch was
   /// found.
--- a/libs/ownership/src/log_order.h
+++ b/libs/ownership/src/log_order.h
@@ -13,7 +13,7 @@
 }
 
 /// Whether `a` is of a later epoch, or of the same epoch with more records.
-inline bool is_longer(const held_log& a, const held_log& b) {
+inline bool is_longer(const log_snapshot& a, const log_snapshot& b) {
   return a.at != b.at ? a.at > b.at : a.last > b.last;
 }
 
--- a/libs/ownership/src/shard_core.cc
+++ b/libs/ownership/src/shard_core.cc
@@ -14,7 +14,7 @@
 
 // --- the shard map ---------------------------------------------------------
 
-actions shard_core::learn(const assignment& entry, timestamp now) {
+actions shard_core::observe_assignment(const assignment& entry, timestamp now) {
   actions out;
   if (this->proposed) {
     this->settle_proposal(entry, now, out);
@@ -81,10 +81,10 @@
   }
   switch (outcome) {
     case proposal_outcome::applied:
-      return this->learn(*this->proposed, now);
+      return this->observe_assignment(*this->proposed, now);
     case proposal_outcome::rejected:
       if (current) {
-        return this->learn(*current, now);
+        return this->observe_assignment(*current, now);
       }
       return {};
     case proposal_outcome::unknown:
@@ -159,11 +159,11 @@
   for (std::size_t at = first; at < program.turns.size(); ++at) {
     const finished_turn& item = program.turns[at];
     digest = chain_digest(digest, item.request, item.answer);
-    if (item.digest != digest || item.run_under.turn.get() != at + 1) {
+    if (item.digest != digest || item.call_ticket.turn.get() != at + 1) {
       return "history of " + id + ": wrong digest or ticket at turn " + std::to_string(at + 1);
     }
   }
-  if (program.open_intent && program.open_intent->run_under.turn != program.next_turn()) {
+  if (program.open_intent && program.open_intent->call_ticket.turn != program.next_turn()) {
     return "open intent of " + id + " is not for the next turn";
   }
   return {};
@@ -184,7 +184,7 @@
   return {};
 }
 
-std::string shard_core::broken_by_newest_turn() const {
+std::string shard_core::broken_invariant_in_newest_turns() const {
   if (!this->held) {
     return {};
   }
--- a/libs/ownership/src/shard_core_calls.cc
+++ b/libs/ownership/src/shard_core_calls.cc
@@ -29,7 +29,7 @@
     answer.next = this->current_ticket(program, random);
   }
   answer.digest = program.digest();
-  answer.budget_left = program.left();
+  answer.budget_left = program.tokens_left();
   answer.copies = this->held ? this->acknowledgements(this->held->last) + 1 : 0;
   return answer;
 }
@@ -84,13 +84,13 @@
   return out;
 }
 
-actions shard_core::forget_program(const program_id& program, timestamp now) {
+actions shard_core::remove_program(const program_id& program, timestamp now) {
   actions out;
   const program_state* state = this->serving() ? this->find_program(program) : nullptr;
   if (state == nullptr || !state->closed) {
     return out;
   }
-  this->append(program_forgotten{program}, now, out);
+  this->append(program_removed{program}, now, out);
   this->nonces.erase(program);
   this->hold_until.erase(program);
   return out;
@@ -156,8 +156,8 @@
                                                     std::uint64_t random) {
   const budget_limits& limits = program.opened.limits;
   std::string exceeded;
-  if (request.reserved > program.left()) {
-    exceeded = "tokens: " + std::to_string(program.left().get()) + " left, " +
+  if (request.reserved > program.tokens_left()) {
+    exceeded = "tokens: " + std::to_string(program.tokens_left().get()) + " left, " +
                std::to_string(request.reserved.get()) + " requested";
   } else if (program.turns.size() >= limits.turns) {
     exceeded = "turns: " + std::to_string(limits.turns) + " allowed";
@@ -195,7 +195,7 @@
     kept.replayed = true;
     return kept;
   }
-  if (program->open_intent && program->open_intent->run_under == request.presented) {
+  if (program->open_intent && program->open_intent->call_ticket == request.presented) {
     refusal.error = error_kind::turn_in_progress;
     return refusal;
   }
@@ -242,7 +242,7 @@
   }
   intent_logged intent;
   intent.program = request.program;
-  intent.run_under = request.presented;
+  intent.call_ticket = request.presented;
   intent.repeatable = request.repeatable;
   intent.reserved = request.reserved;
   intent.is_tool_call = request.is_tool_call;
@@ -266,7 +266,7 @@
   }
   open_call& item = found->second;
   const bool own_ticket =
-      item.intent->run_under.issued_in == this->known.at || !this->rules.ticket_bound_to_epoch;
+      item.intent->call_ticket.issued_in == this->known.at || !this->rules.ticket_bound_to_epoch;
   if (!this->serving() || !own_ticket) {
     call_answer refusal;
     refusal.error = error_kind::not_owner;
@@ -297,15 +297,15 @@
   }
   open_call& item = found->second;
   const intent_logged intent = *item.intent;
-  const turn_finished record{item.program,  intent.run_under, result.request,
-                             result.answer, result.used,      result.failed};
-  if (!this->serving() || intent.run_under.issued_in != this->known.at) {
+  const turn_finished record{item.program,  intent.call_ticket, result.request,
+                             result.answer, result.used,        result.failed};
+  if (!this->serving() || intent.call_ticket.issued_in != this->known.at) {
     if (result.unknown || result.never_started) {
       call_answer answer;
       answer.error = error_kind::may_have_run;
       out.push_back(answer_call{result.call, answer});
     } else {
-      this->late.emplace(intent.run_under, late_call{result.call, record, now, now});
+      this->late.emplace(intent.call_ticket, late_call{result.call, record, now, now});
       out.push_back(send_message{this->known.owner, late_result{record}});
     }
     this->calls.erase(found);
@@ -314,11 +314,11 @@
   this->nonces[item.program] = random;
   call_answer answer;
   if (result.never_started) {
-    this->append(intent_voided{item.program, intent.run_under}, now, out);
+    this->append(intent_voided{item.program, intent.call_ticket}, now, out);
     answer.error = error_kind::no_backend_server;
     answer.detail = "the backend server did not accept the call";
   } else if (result.unknown) {
-    this->append(intent_abandoned{item.program, intent.run_under}, now, out);
+    this->append(intent_abandoned{item.program, intent.call_ticket}, now, out);
     answer.error = error_kind::may_have_run;
   } else {
     this->append(record, now, out);
--- a/libs/ownership/src/shard_core_log.cc
+++ b/libs/ownership/src/shard_core_log.cc
@@ -142,7 +142,7 @@
   return true;
 }
 
-std::size_t shard_core::replicas_in_step() const {
+std::size_t shard_core::in_sync_replicas() const {
   return this->serving() ? this->acknowledgements(this->held->last) : 0;
 }
 
@@ -262,7 +262,7 @@
     return true;
   }
   const std::int64_t at_full = program.left_at_full().get();
-  return program.left().get() >= at_full - at_full / 2;
+  return program.tokens_left().get() >= at_full - at_full / 2;
 }
 
 void shard_core::dispatch(call_id call, open_call& item, timestamp now, actions& out) {
@@ -294,7 +294,7 @@
   }
   const std::uint32_t copies = this->acknowledgements(item.index) + 1;
   if (item.brought_by) {
-    late_result_reply reply{item.program, item.intent->run_under, true, copies, {}, 0, {}};
+    late_result_reply reply{item.program, item.intent->call_ticket, true, copies, {}, 0, {}};
     reply.next = item.answer->next;
     reply.digest = item.answer->digest;
     reply.budget_left = item.answer->budget_left;
@@ -321,20 +321,20 @@
   const turn_finished& result = message.result;
   const program_state* program = this->find_program(result.program);
   const finished_turn* known_turn =
-      program == nullptr ? nullptr : program->find_finished(result.run_under);
+      program == nullptr ? nullptr : program->find_finished(result.call_ticket);
   const bool fits = program != nullptr && known_turn == nullptr && !program->open_intent &&
-                    program->find_abandoned(result.run_under) != nullptr &&
-                    result.run_under.turn == program->next_turn();
+                    program->find_abandoned(result.call_ticket) != nullptr &&
+                    result.call_ticket.turn == program->next_turn();
   if (!fits && known_turn == nullptr) {
     out.push_back(send_message{
-        from, late_result_reply{result.program, result.run_under, false, 0, {}, 0, {}}});
+        from, late_result_reply{result.program, result.call_ticket, false, 0, {}, 0, {}}});
     return out;
   }
   open_call item;
   item.program = result.program;
   item.stage = call_stage::logging_result;
   item.intent = intent_logged{};
-  item.intent->run_under = result.run_under;
+  item.intent->call_ticket = result.call_ticket;
   item.brought_by = from;
   item.since = now;
   if (known_turn == nullptr) {
@@ -345,7 +345,7 @@
   item.index = this->held->last;
   // A message carries no random number. The nonce is derived from the ticket and the epoch, and
   // differs from each nonce that was issued for the turn.
-  const std::uint64_t fresh = chain_digest(result.run_under.nonce, to_string(result.run_under),
+  const std::uint64_t fresh = chain_digest(result.call_ticket.nonce, to_string(result.call_ticket),
                                            std::to_string(this->known.at.get()));
   item.answer = this->answer_with(this->held->state.programs.at(result.program), fresh);
   // Calls without a waiting caller have ids from the largest number downwards, so that they do
@@ -362,14 +362,14 @@
 actions shard_core::on(const host_incarnation& /*from*/, const late_result_reply& message,
                        timestamp /*now*/) {
   actions out;
-  const auto found = this->late.find(message.run_under);
+  const auto found = this->late.find(message.call_ticket);
   if (found == this->late.end()) {
     return out;
   }
   const turn_finished& result = found->second.result;
   call_answer answer;
   finished_turn turn;
-  turn.run_under = result.run_under;
+  turn.call_ticket = result.call_ticket;
   turn.request = result.request;
   turn.answer = result.answer;
   turn.used = result.used;
@@ -411,7 +411,7 @@
   for (const call_id call : expired) {
     const open_call item = this->calls.at(call);
     this->calls.erase(call);
-    this->append(intent_voided{item.program, item.intent->run_under}, now, out);
+    this->append(intent_voided{item.program, item.intent->call_ticket}, now, out);
     call_answer refusal;
     refusal.error = error_kind::not_ready;
     refusal.detail = "no replica confirmed the call; nothing was sent";
@@ -426,7 +426,7 @@
       call_answer answer;
       answer.error = error_kind::ran_not_kept;
       finished_turn turn;
-      turn.run_under = item.result.run_under;
+      turn.call_ticket = item.result.call_ticket;
       turn.answer = item.result.answer;
       answer.turn = std::move(turn);
       out.push_back(answer_call{item.call, std::move(answer)});
--- a/libs/ownership/src/shard_core_takeover.cc
+++ b/libs/ownership/src/shard_core_takeover.cc
@@ -97,13 +97,13 @@
 }
 
 void shard_core::merge_gathered() {
-  held_log merged;
-  for (const held_log& log : this->gathered) {
+  log_snapshot merged;
+  for (const log_snapshot& log : this->gathered) {
     if (is_longer(log, merged)) {
       merged = log;
     }
   }
-  for (const held_log& log : this->gathered) {
+  for (const log_snapshot& log : this->gathered) {
     if (log.at != merged.at) {
       absorb(merged.state, log.state);
     }
@@ -172,7 +172,7 @@
   return out;
 }
 
-void shard_core::absorb_late(const held_log& log, const host_incarnation& from, timestamp now,
+void shard_core::absorb_late(const log_snapshot& log, const host_incarnation& from, timestamp now,
                              actions& out) {
   if (log.at == this->former.at) {
     this->inherited_unknown = log.state.unknown_below;
@@ -216,9 +216,9 @@
   const bool has_result = item.stage == call_stage::logging_result && item.intent && item.answer;
   if (has_result && item.answer->turn) {
     const finished_turn& turn = *item.answer->turn;
-    turn_finished record{item.program, turn.run_under, turn.request,
-                         turn.answer,  turn.used,      turn.failed};
-    this->late.emplace(turn.run_under, late_call{call, record, now, now});
+    turn_finished record{item.program, turn.call_ticket, turn.request,
+                         turn.answer,  turn.used,        turn.failed};
+    this->late.emplace(turn.call_ticket, late_call{call, record, now, now});
     out.push_back(send_message{this->known.owner, late_result{std::move(record)}});
     return;
   }
--- a/libs/ownership/test/search_model.h
+++ b/libs/ownership/test/search_model.h
@@ -92,10 +92,10 @@
       sending.from = host;
       sending.to = host;
       sending.call = order->call;
-      sending.presented = order->intent.run_under;
+      sending.presented = order->intent.call_ticket;
       this->put(state, std::move(sending));
     } else if (const auto* answer = std::get_if<answer_call>(&item)) {
-      const ticket asked = answer->answer.turn ? answer->answer.turn->run_under : ticket{};
+      const ticket asked = answer->answer.turn ? answer->answer.turn->call_ticket : ticket{};
       this->note_answer(state, answer->answer, asked);
     }
   }
@@ -327,7 +327,7 @@
     }
     model after = state;
     --after.takeovers_left;
-    after.hosts[host].learn(state.map_entry, this->now);
+    after.hosts[host].observe_assignment(state.map_entry, this->now);
     this->carry_out(after, host,
                     after.hosts[host].claim(others, fresh_number(host, state) + 80, this->now));
     this->add(out, "claim " + host_at(host).host.get(), std::move(after));
@@ -352,7 +352,8 @@
         acts && (core.known_assignment().at < state.map_entry.at || core.proposal_open());
     if (news) {
       model after = state;
-      this->carry_out(after, host, after.hosts[host].learn(state.map_entry, this->now));
+      this->carry_out(after, host,
+                      after.hosts[host].observe_assignment(state.map_entry, this->now));
       this->add(out, "read map " + name, std::move(after));
     }
     if (!core.serving() || state.set_changes_left == 0 || core.proposal_open()) {
@@ -438,7 +439,7 @@
   this->carry_out(state, 0, state.hosts[0].open_program(call_id(0), opened, 5, this->now));
   settle();
   for (std::size_t host = 1; host < host_count; ++host) {
-    state.hosts[host].learn(state.map_entry, this->now);
+    state.hosts[host].observe_assignment(state.map_entry, this->now);
   }
   state.current = ticket{the_shard, epoch(1), turn_number(1), 5};
   state.sends_left = this->limits.sends;
--- a/libs/ownership/test/shard_core_test.cc
+++ b/libs/ownership/test/shard_core_test.cc
@@ -47,7 +47,7 @@
   }
 
   void claim(std::size_t at, const std::vector<host_incarnation>& replicas) {
-    this->cores[at].learn(this->map, this->now);
+    this->cores[at].observe_assignment(this->map, this->now);
     this->carry_out(at, this->cores[at].claim(replicas, 100 + at, this->now));
   }
 
@@ -235,7 +235,7 @@
   hosts.lose_map_answer = true;
   hosts.claim(1, {host(2), host(0)});
   CHECK_FALSE(hosts.cores[1].serving());
-  hosts.carry_out(1, hosts.cores[1].learn(hosts.map, hosts.now));
+  hosts.carry_out(1, hosts.cores[1].observe_assignment(hosts.map, hosts.now));
   CHECK(hosts.cores[1].serving());
   CHECK(hosts.map.at == epoch(2));
 }
@@ -243,7 +243,7 @@
 TEST_CASE("of two hosts that claim at the same time, one wins and the other stays a follower") {
   trio hosts;
   hosts.cut_off = {0};
-  hosts.cores[2].learn(hosts.map, hosts.now);
+  hosts.cores[2].observe_assignment(hosts.map, hosts.now);
   const actions late = hosts.cores[2].claim({host(1)}, 7, hosts.now);
   hosts.claim(1, {host(2)});
   hosts.carry_out(2, late);
@@ -281,7 +281,7 @@
   trio hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.finish(0, 2);
-  hosts.cores[2].learn(hosts.map, hosts.now);
+  hosts.cores[2].observe_assignment(hosts.map, hosts.now);
   hosts.carry_out(0, hosts.cores[0].hand_over(host(2)));
   REQUIRE(hosts.cores[2].serving());
   CHECK(hosts.cores[2].complete());
--- a/libs/peer/include/hawthornlane/peer/wire.h
+++ b/libs/peer/include/hawthornlane/peer/wire.h
@@ -15,7 +15,7 @@
 std::string to_bytes(const probe_message& message);
 std::optional<probe_message> probe_from_bytes(const std::string& bytes);
 /// A shard's log as a disk keeps it.
-std::string to_bytes(const held_log& log);
-std::optional<held_log> held_log_from_bytes(const std::string& bytes);
+std::string to_bytes(const log_snapshot& log);
+std::optional<log_snapshot> log_snapshot_from_bytes(const std::string& bytes);
 
 }  // namespace hawthornlane
--- a/libs/peer/src/wire.cc
+++ b/libs/peer/src/wire.cc
@@ -49,10 +49,10 @@
   return decode<probe_message>(bytes);
 }
 
-std::string to_bytes(const held_log& log) { return encode(log); }
+std::string to_bytes(const log_snapshot& log) { return encode(log); }
 
-std::optional<held_log> held_log_from_bytes(const std::string& bytes) {
-  return decode<held_log>(bytes);
+std::optional<log_snapshot> log_snapshot_from_bytes(const std::string& bytes) {
+  return decode<log_snapshot>(bytes);
 }
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/call_window.h
+++ b/libs/placement/include/hawthornlane/placement/in_flight_limit.h
@@ -28,6 +28,6 @@
 constexpr std::uint32_t least_window = 2;
 
 /// The host's part of all places by its part of the demand; nothing while there is room.
-std::optional<std::uint32_t> window_for(const service_load& load);
+std::optional<std::uint32_t> compute_in_flight_limit(const service_load& load);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -66,7 +66,7 @@
   unknown
 };
 
-struct claim_answer {
+struct claim_response {
   claim_outcome outcome = claim_outcome::unknown;
   /// To be expected until a place is free; of a claim that waits or is refused.
   duration wait{};
@@ -97,15 +97,15 @@
 class place_queue {
 public:
   /// Between two repeats of a claim by its host.
-  static constexpr duration repeat_pause = std::chrono::milliseconds(150);
+  static constexpr duration repeat_interval = std::chrono::milliseconds(150);
   /// A claim that has not been repeated for this long is dropped: its host is gone, or has
   /// missed two repeats.
-  static constexpr duration claim_lifetime = 3 * repeat_pause;
+  static constexpr duration claim_lifetime = 3 * repeat_interval;
   /// A grant that no count shows after this long is free again: a message takes 1 to 10 ms,
   /// and a host with a full core answers within 50 ms.
   static constexpr duration grant_lifetime = std::chrono::milliseconds(100);
   /// Hosts tell their counts again within this time, so that a new keeper knows them then.
-  static constexpr duration learning_time = std::chrono::milliseconds(1000);
+  static constexpr duration warm_up_time = std::chrono::milliseconds(1000);
   /// Hosts learn of another host's start or end, and so which host keeps a server, within this
   /// time of each other. A server that is first heard of later than this and the learning time
   /// after a change was kept here before, and idle or not there.
@@ -134,7 +134,7 @@
   /// Other hosts live now than before: this one may keep servers that another one kept.
   void hosts_changed(timestamp now) { this->hosts_changed_at = now; }
   /// Answers a new claim, or one repeated. A claim that was granted already is granted again.
-  claim_answer claim(const place_claim& claim, timestamp now);
+  claim_response claim(const place_claim& claim, timestamp now);
   /// The call wants no place at this server any more; a place granted to it is free.
   void withdraw(const claimant& from, server_key server, timestamp now);
   /// `host` has told the directory a new count in place of `before`.
@@ -207,8 +207,8 @@
   void grant_free(server_key key, kept_server& server, timestamp now);
   /// Takes a grant that was made but not told yet; false: there is none.
   bool take_untold(const claimant& to, server_key server);
-  [[nodiscard]] claim_answer expect(server_key key, const kept_server& server,
-                                    const waiting_claim& item, timestamp now) const;
+  [[nodiscard]] claim_response expect(server_key key, const kept_server& server,
+                                      const waiting_claim& item, timestamp now) const;
   static void note_freed(kept_server& server, double places, timestamp now);
   static double fading(const kept_server& server, timestamp now);
 
--- a/libs/placement/include/hawthornlane/placement/placement_directory.h
+++ b/libs/placement/include/hawthornlane/placement/placement_directory.h
@@ -47,11 +47,11 @@
 };
 
 /// What is believed of a server's speed.
-struct told_speed {
+struct speed_report {
   server_key server;
   speed_word word;
 
-  friend bool operator==(const told_speed&, const told_speed&) = default;
+  friend bool operator==(const speed_report&, const speed_report&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->server, this->word);
@@ -63,7 +63,7 @@
   std::vector<server_load> loads;
   std::vector<part_location> locations;
   /// By this host's own calls.
-  std::vector<told_speed> speeds;
+  std::vector<speed_report> speeds;
 
   [[nodiscard]] bool empty() const {
     return this->loads.empty() && this->locations.empty() && this->speeds.empty();
@@ -71,7 +71,7 @@
 };
 
 /// What one host wants to know before it places a call.
-struct directory_question {
+struct directory_request {
   std::vector<server_key> servers;
   std::vector<prompt_part_key> parts;
 
@@ -96,11 +96,11 @@
   std::uint32_t set_load(const host_id& host, const server_load& load, timestamp now);
   void set_location(const part_location& location);
   /// What `host` believes of the server now; it takes the place of what it told before.
-  void set_speed(const host_id& host, const told_speed& speed, timestamp now);
+  void set_speed(const host_id& host, const speed_report& speed, timestamp now);
   /// The mean of what all hosts but `asker` have told. Nothing: they have told nothing that
   /// still counts.
-  [[nodiscard]] std::optional<told_speed> speed_of_others(server_key server, const host_id& asker,
-                                                          timestamp now) const;
+  [[nodiscard]] std::optional<speed_report> speed_of_others(server_key server, const host_id& asker,
+                                                            timestamp now) const;
   /// Calls at the server of all hosts but `asker`.
   [[nodiscard]] std::uint32_t load_of_others(server_key server, const host_id& asker,
                                              timestamp now) const;
@@ -135,6 +135,6 @@
 
 /// The host that keeps the entry of `key`: each host that knows the same hosts says the
 /// same. Nothing when `hosts` is empty.
-std::optional<host_id> keeper_of(std::uint64_t key, const std::vector<host_id>& hosts);
+std::optional<host_id> directory_host_for(std::uint64_t key, const std::vector<host_id>& hosts);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
+++ b/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
@@ -38,7 +38,9 @@
   [[nodiscard]] std::vector<backend_server_id> holders_of_line(
       const std::vector<prompt_piece>& prompt) const;
   /// Some server has read this part.
-  [[nodiscard]] bool knows(prompt_part_key part) const { return this->parts.contains(part); }
+  [[nodiscard]] bool has_prompt_part(prompt_part_key part) const {
+    return this->parts.contains(part);
+  }
   /// `server` reads the prompt.
   void note(const std::vector<prompt_piece>& prompt, const backend_server_id& server);
   /// The same for one part, as another host told it.
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -101,7 +101,7 @@
 };
 
 /// What a host believes of a server's speed, for operators.
-struct server_pace {
+struct server_slowdown {
   backend_server_id id;
   /// How many times longer calls take there than usual.
   double factor = 1;
@@ -117,30 +117,32 @@
   /// The servers that may get calls now: listed and not draining.
   std::vector<placement> set_servers(const std::vector<backend_entry>& servers, timestamp now);
   /// What is worth asking other hosts before `request` is submitted.
-  [[nodiscard]] directory_question question_for(const placement_request& request,
-                                                timestamp now) const;
+  [[nodiscard]] directory_request directory_request_for(const placement_request& request,
+                                                        timestamp now) const;
   /// What other hosts answered.
-  void note_load(const server_load& load, timestamp now);
-  void note_location(const part_location& location);
+  void set_remote_load(const server_load& load, timestamp now);
+  void add_prompt_location(const part_location& location);
   /// What other hosts should know and have not been told yet.
   directory_update take_update();
   /// Calls of this host at each server that has any.
   [[nodiscard]] std::vector<server_load> own_loads() const;
   /// How many calls all hosts have for each place of the servers, as far as this host has heard.
   /// Calls without a prompt are told and asked about only when that is high.
-  void note_fill(double calls_per_place) { this->fill_heard = calls_per_place; }
+  void set_utilization(double calls_per_place) { this->fill_heard = calls_per_place; }
   /// Ends of calls without a prompt are told together; those due by `now` are part of the next
   /// `take_update`. True: there are some.
-  bool release_ends(timestamp now);
+  bool flush_ended_calls(timestamp now);
   /// Adds what calls of this host have said of the servers that `update` names, and has not
   /// been told.
   void add_speeds(directory_update& update, timestamp now);
   /// What other hosts believe.
-  void note_speed(const told_speed& speed, timestamp now);
+  void set_remote_speed(const speed_report& speed, timestamp now);
   /// Of the listed servers of which something is known.
-  [[nodiscard]] std::vector<server_pace> paces(timestamp now) const;
+  [[nodiscard]] std::vector<server_slowdown> slowdowns(timestamp now) const;
   /// Some server is known to have read this part of a prompt.
-  [[nodiscard]] bool knows(prompt_part_key part) const { return this->caches.knows(part); }
+  [[nodiscard]] bool has_prompt_part(prompt_part_key part) const {
+    return this->caches.has_prompt_part(part);
+  }
   /// Places the call, queues it, or refuses it at once because it cannot be served.
   submit_outcome submit(const placement_request& request, timestamp now,
                         std::vector<placement>& placed);
@@ -157,7 +159,7 @@
   /// The first part of a call's answer came; the rest is as long as the call itself.
   void started(placement_id id, timestamp now);
   /// While places are scarce: so many calls may be at servers.
-  std::vector<placement> set_window(std::optional<std::uint32_t> most, timestamp now);
+  std::vector<placement> set_in_flight_limit(std::optional<std::uint32_t> most, timestamp now);
   /// The call leaves the queue.
   void cancel(placement_id id);
   /// Calls whose time is over; they have left the queue.
@@ -173,9 +175,9 @@
   [[nodiscard]] std::set<backend_server_id> excluded(timestamp now) const;
   /// Servers that get nothing, or nothing while others are free, because of how calls
   /// at them went.
-  [[nodiscard]] std::set<backend_server_id> set_aside(timestamp now) const;
+  [[nodiscard]] std::set<backend_server_id> unhealthy(timestamp now) const;
   /// Calls that the servers which are not set aside work on at once.
-  [[nodiscard]] double places_in_good_health(timestamp now) const;
+  [[nodiscard]] double healthy_places(timestamp now) const;
   [[nodiscard]] std::vector<backend_server_id> listed() const;
 
 private:
@@ -267,8 +269,8 @@
                                             const placement_request& request, timestamp now) const;
   /// Has other hosts told of a call without a prompt as the load wants.
   void note_plain_call(running_call& call, const server_state& server);
-  [[nodiscard]] directory_question plain_question(const placement_request& request,
-                                                  timestamp now) const;
+  [[nodiscard]] directory_request plain_question(const placement_request& request,
+                                                 timestamp now) const;
   /// Of a call that is about to be placed.
   void note_load_met(running_call& call, const server_state& server,
                      const placement_request& request, timestamp now) const;
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -108,7 +108,7 @@
 private:
   struct faded_sum {
     /// Of paces by their faded weights, of those weights, and of the weights as they were told.
-    double paces = 0;
+    double slowdowns = 0;
     double faded = 0;
     double whole = 0;
 
--- a/libs/placement/src/call_window.cc
+++ b/libs/placement/src/in_flight_limit.cc
@@ -1,12 +1,12 @@
 // How many calls one host may have at the servers of a service while places are scarce.
-#include "hawthornlane/placement/call_window.h"
+#include "hawthornlane/placement/in_flight_limit.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace hawthornlane {
 
-std::optional<std::uint32_t> window_for(const service_load& load) {
+std::optional<std::uint32_t> compute_in_flight_limit(const service_load& load) {
   const double needed = load.own_calls + load.other_calls;
   if (load.places <= 0 || needed < window_from * load.places) {
     return std::nullopt;
--- a/libs/placement/src/place_queue.cc
+++ b/libs/placement/src/place_queue.cc
@@ -18,9 +18,9 @@
 }
 
 bool place_queue::is_learning(const kept_server& server, timestamp now) const {
-  const bool settled = this->hosts_changed_at && server.first_heard - *this->hosts_changed_at >=
-                                                     settling_time + learning_time;
-  return !settled && now - server.first_heard < learning_time;
+  const bool settled = this->hosts_changed_at &&
+                       server.first_heard - *this->hosts_changed_at >= settling_time + warm_up_time;
+  return !settled && now - server.first_heard < warm_up_time;
 }
 
 double place_queue::fair_share::start_of(const client_account& account) const {
@@ -115,8 +115,8 @@
   server.freed_at = now;
 }
 
-claim_answer place_queue::expect(server_key key, const kept_server& server,
-                                 const waiting_claim& item, timestamp now) const {
+claim_response place_queue::expect(server_key key, const kept_server& server,
+                                   const waiting_claim& item, timestamp now) const {
   const claim_rank own = rank_of(server, item, now);
   double claims = 0;
   for (const waiting_claim& other : server.waiting) {
@@ -126,7 +126,7 @@
   const double over = std::max(0.0, taken - server.places);
   const double pace =
       std::max(server.freed * fading(server, now), server.places * least_freed_per_second);
-  claim_answer answer;
+  claim_response answer;
   answer.ahead = static_cast<std::uint32_t>(taken + claims);
   answer.wait = from_seconds((over + claims + 1) / pace);
   const bool in_time = answer.wait < item.claim.given_up_in;
@@ -134,7 +134,7 @@
   return answer;
 }
 
-claim_answer place_queue::claim(const place_claim& claim, timestamp now) {
+claim_response place_queue::claim(const place_claim& claim, timestamp now) {
   kept_server& server = this->heard_of(claim.server, now);
   if (this->is_learning(server, now)) {
     return {};
@@ -153,7 +153,7 @@
   auto item = std::find_if(server.waiting.begin(), server.waiting.end(), is_same);
   if (item == server.waiting.end()) {
     if (server.waiting.size() >= most_waiting) {
-      claim_answer answer =
+      claim_response answer =
           this->expect(claim.server, server, {claim, now, now, now + claim.wanted_in}, now);
       answer.outcome = claim_outcome::refused;
       return answer;
@@ -171,7 +171,7 @@
   if (item == server.waiting.end()) {
     return {claim_outcome::refused, {}, 0};
   }
-  const claim_answer answer = this->expect(claim.server, server, *item, now);
+  const claim_response answer = this->expect(claim.server, server, *item, now);
   if (answer.outcome == claim_outcome::refused) {
     server.waiting.erase(item);
   }
--- a/libs/placement/src/placement_directory.cc
+++ b/libs/placement/src/placement_directory.cc
@@ -50,7 +50,7 @@
   return sum;
 }
 
-void placement_directory::set_speed(const host_id& host, const told_speed& speed, timestamp now) {
+void placement_directory::set_speed(const host_id& host, const speed_report& speed, timestamp now) {
   if (now >= this->next_drop) {
     this->drop_old_speeds(now);
     this->next_drop = now + speed_lifetime;
@@ -65,9 +65,9 @@
   std::erase_if(this->speeds, [](const auto& item) { return item.second.empty(); });
 }
 
-std::optional<told_speed> placement_directory::speed_of_others(server_key server,
-                                                               const host_id& asker,
-                                                               timestamp now) const {
+std::optional<speed_report> placement_directory::speed_of_others(server_key server,
+                                                                 const host_id& asker,
+                                                                 timestamp now) const {
   const auto found = this->speeds.find(server);
   if (found == this->speeds.end()) {
     return std::nullopt;
@@ -79,7 +79,7 @@
     }
   }
   const speed_word word = mean.word(this->rules);
-  return word.empty() ? std::nullopt : std::optional(told_speed{server, word});
+  return word.empty() ? std::nullopt : std::optional(speed_report{server, word});
 }
 
 void placement_directory::set_location(const part_location& location) {
@@ -103,7 +103,7 @@
   return found == this->lines.end() ? std::nullopt : std::optional(found->second.location);
 }
 
-std::optional<host_id> keeper_of(std::uint64_t key, const std::vector<host_id>& hosts) {
+std::optional<host_id> directory_host_for(std::uint64_t key, const std::vector<host_id>& hosts) {
   std::optional<host_id> best;
   std::uint64_t best_weight = 0;
   for (const host_id& host : hosts) {
--- a/libs/placement/src/server_pool.cc
+++ b/libs/placement/src/server_pool.cc
@@ -220,7 +220,8 @@
   }
 }
 
-std::vector<placement> server_pool::set_window(std::optional<std::uint32_t> most, timestamp now) {
+std::vector<placement> server_pool::set_in_flight_limit(std::optional<std::uint32_t> most,
+                                                        timestamp now) {
   this->window = most;
   return this->fill(now);
 }
@@ -306,7 +307,7 @@
   return ids;
 }
 
-std::set<backend_server_id> server_pool::set_aside(timestamp now) const {
+std::set<backend_server_id> server_pool::unhealthy(timestamp now) const {
   std::set<backend_server_id> ids;
   for (const auto& [id, server] : this->servers) {
     if (server.listed && this->is_set_aside(server, now)) {
@@ -316,7 +317,7 @@
   return ids;
 }
 
-double server_pool::places_in_good_health(timestamp now) const {
+double server_pool::healthy_places(timestamp now) const {
   double places = 0;
   for (const auto& [id, server] : this->servers) {
     places += server.listed && !this->is_set_aside(server, now) ? server.entry.slots : 0;
--- a/libs/placement/src/server_pool_choice.cc
+++ b/libs/placement/src/server_pool_choice.cc
@@ -202,9 +202,9 @@
   this->changed.insert(server.key);
 }
 
-directory_question server_pool::question_for(const placement_request& request,
-                                             timestamp now) const {
-  directory_question question;
+directory_request server_pool::directory_request_for(const placement_request& request,
+                                                     timestamp now) const {
+  directory_request question;
   if (request.prompt.empty()) {
     return this->plain_question(request, now);
   }
@@ -224,7 +224,7 @@
   return found == this->by_key.end() ? nullptr : found->second;
 }
 
-void server_pool::note_load(const server_load& load, timestamp now) {
+void server_pool::set_remote_load(const server_load& load, timestamp now) {
   if (server_state* server = this->find_server(load.server)) {
     this->calls_of_others += load.calls - server->others;
     server->others = load.calls;
@@ -232,7 +232,7 @@
   }
 }
 
-void server_pool::note_location(const part_location& location) {
+void server_pool::add_prompt_location(const part_location& location) {
   if (const server_state* server = this->find_server(location.server)) {
     this->caches.note_part({location.part, location.tokens}, server->entry.id);
   }
--- a/libs/placement/src/server_pool_speed.cc
+++ b/libs/placement/src/server_pool_speed.cc
@@ -84,9 +84,9 @@
   return this->rules.learns_speed ? server.shared : server.inside;
 }
 
-directory_question server_pool::plain_question(const placement_request& request,
-                                               timestamp now) const {
-  directory_question question;
+directory_request server_pool::plain_question(const placement_request& request,
+                                              timestamp now) const {
+  directory_request question;
   if (!this->rules.learns_speed || this->fill_heard < ask_from) {
     return question;
   }
@@ -197,7 +197,7 @@
   this->speed_news.insert(server->key);
 }
 
-void server_pool::note_speed(const told_speed& speed, timestamp now) {
+void server_pool::set_remote_speed(const speed_report& speed, timestamp now) {
   server_state* server = this->find_server(speed.server);
   if (!this->rules.learns_speed || server == nullptr) {
     return;
@@ -234,7 +234,7 @@
   this->ended.insert(server.key);
 }
 
-bool server_pool::release_ends(timestamp now) {
+bool server_pool::flush_ended_calls(timestamp now) {
   if (this->ended.empty() || now - this->ended_since < ends_pause) {
     return false;
   }
@@ -252,18 +252,18 @@
   }
 }
 
-std::vector<server_pace> server_pool::paces(timestamp now) const {
-  std::vector<server_pace> paces;
+std::vector<server_slowdown> server_pool::slowdowns(timestamp now) const {
+  std::vector<server_slowdown> slowdowns;
   if (!this->rules.learns_speed) {
-    return paces;
+    return slowdowns;
   }
   for (const auto& [id, server] : this->servers) {
     const double weight = server.speed.weight(this->rules.speed, now);
     if (server.listed && weight >= least_shown_weight) {
-      paces.push_back({id, std::exp(server.speed.slow(this->rules.speed, now)), weight});
+      slowdowns.push_back({id, std::exp(server.speed.slow(this->rules.speed, now)), weight});
     }
   }
-  return paces;
+  return slowdowns;
 }
 
 }  // namespace hawthornlane
--- a/libs/placement/src/server_speed.cc
+++ b/libs/placement/src/server_speed.cc
@@ -113,7 +113,7 @@
 }
 
 void speed_mean::faded_sum::add(double pace, double weight, double fading) {
-  this->paces += weight * fading * pace;
+  this->slowdowns += weight * fading * pace;
   this->faded += weight * fading;
   this->whole += weight;
 }
@@ -131,10 +131,10 @@
   mean.slow_weight = told(this->slow);
   mean.fast_weight = told(this->fast);
   if (mean.slow_weight > 0) {
-    mean.slow = rounded<std::int16_t>(this->slow.paces / this->slow.faded * word_per_pace);
+    mean.slow = rounded<std::int16_t>(this->slow.slowdowns / this->slow.faded * word_per_pace);
   }
   if (mean.fast_weight > 0) {
-    mean.fast = rounded<std::int16_t>(this->fast.paces / this->fast.faded * word_per_pace);
+    mean.fast = rounded<std::int16_t>(this->fast.slowdowns / this->fast.faded * word_per_pace);
   }
   return mean;
 }
--- a/libs/placement/test/call_window_test.cc
+++ b/libs/placement/test/in_flight_limit_test.cc
@@ -1,5 +1,5 @@
 // How a host's part of scarce places follows from the demand.
-#include "hawthornlane/placement/call_window.h"
+#include "hawthornlane/placement/in_flight_limit.h"
 
 #include <catch2/catch.hpp>
 
@@ -23,6 +23,6 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    CHECK(window_for(item.load) == item.window);
+    CHECK(compute_in_flight_limit(item.load) == item.window);
   }
 }
--- a/libs/placement/test/place_queue_test.cc
+++ b/libs/placement/test/place_queue_test.cc
@@ -28,7 +28,7 @@
 public:
   full_server() {
     this->count(busy_host, places);
-    this->now += place_queue::learning_time;
+    this->now += place_queue::warm_up_time;
     this->count(busy_host, places);
   }
 
@@ -126,7 +126,7 @@
   place_claim late = claim_of(1);
   late.wanted_in = -1s;
   CHECK(keeper.claim(late) == claim_outcome::waiting);
-  constexpr duration repeat = place_queue::repeat_pause;
+  constexpr duration repeat = place_queue::repeat_interval;
   std::uint64_t others = 1;
   duration waited{};
   while (waited < 2s) {
@@ -223,7 +223,7 @@
     place_claim claim = claim_of(1);
     claim.wanted_in = 10s;
     claim.given_up_in = item.given_up_in;
-    const claim_answer answer = keeper.queue.claim(claim, keeper.now);
+    const claim_response answer = keeper.queue.claim(claim, keeper.now);
     CHECK(answer.outcome == item.expected);
     CHECK((answer.wait < item.given_up_in) == (item.expected == claim_outcome::waiting));
     const std::size_t waits = item.expected == claim_outcome::waiting ? 1 : 0;
@@ -250,7 +250,7 @@
   place_queue queue(directory);
   timestamp now{1h};
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::unknown);
-  now += place_queue::learning_time - 1ms;
+  now += place_queue::warm_up_time - 1ms;
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::unknown);
   now += 1ms;
   CHECK(queue.claim(claim_of(1), now).outcome == claim_outcome::granted);
@@ -267,7 +267,7 @@
     duration since_change;
     claim_outcome expected;
   };
-  constexpr duration settled = place_queue::settling_time + place_queue::learning_time;
+  constexpr duration settled = place_queue::settling_time + place_queue::warm_up_time;
   const row rows[] = {
       {"the hosts have just changed", 0ms, claim_outcome::unknown},
       {"they may not all know yet", settled - 1ms, claim_outcome::unknown},
@@ -282,7 +282,7 @@
     CHECK(queue.claim(claim_of(1), changed + item.since_change).outcome == item.expected);
     // A later change does not take away what is known.
     queue.hosts_changed(changed + settled);
-    const timestamp later = changed + settled + place_queue::learning_time;
+    const timestamp later = changed + settled + place_queue::warm_up_time;
     CHECK(queue.claim(claim_of(1), later).outcome == claim_outcome::granted);
   }
 }
@@ -291,7 +291,7 @@
   full_server keeper;
   for (int number = 0; number < 5; ++number) {
     CHECK(keeper.claim(claim_of(1)) == claim_outcome::waiting);
-    keeper.now += place_queue::repeat_pause;
+    keeper.now += place_queue::repeat_interval;
   }
   CHECK(keeper.queue.waiting(server) == 1);
   CHECK(keeper.free_one() == calls{1});
--- a/libs/placement/test/placement_directory_test.cc
+++ b/libs/placement/test/placement_directory_test.cc
@@ -59,10 +59,10 @@
   constexpr int entries = 2000;
   std::vector<host_id> fewer(hosts.begin(), hosts.end() - 1);
   for (std::uint64_t key = 0; key < entries; ++key) {
-    const auto keeper = keeper_of(key * 7919, hosts);
+    const auto keeper = directory_host_for(key * 7919, hosts);
     REQUIRE(keeper);
     ++kept[*keeper];
-    moved += keeper_of(key * 7919, fewer) != keeper ? 1 : 0;
+    moved += directory_host_for(key * 7919, fewer) != keeper ? 1 : 0;
   }
   for (const auto& [host, count] : kept) {
     CHECK(count > entries / 20 / 2);
@@ -70,5 +70,5 @@
   }
   // Only the entries of the host that is gone move.
   CHECK(moved == kept[hosts.back()]);
-  CHECK_FALSE(keeper_of(1, {}));
+  CHECK_FALSE(directory_host_for(1, {}));
 }
--- a/libs/placement/test/played_turns.h
+++ b/libs/placement/test/played_turns.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <random>
 
-#include "hawthornlane/placement/call_window.h"
+#include "hawthornlane/placement/in_flight_limit.h"
 #include "hawthornlane/placement/place_queue.h"
 #include "hawthornlane/placement/placement_directory.h"
 #include "hawthornlane/placement/server_pool.h"
@@ -200,7 +200,7 @@
       return true;
     }
     const placement_id id = item.request.id;
-    this->waiting[id] = {targets, this->now + place_queue::repeat_pause};
+    this->waiting[id] = {targets, this->now + place_queue::repeat_interval};
     return this->claim_at(id);
   }
 
@@ -211,7 +211,8 @@
     std::map<claim_outcome, int> outcomes;
     duration wait{};
     for (const place_target& target : targets) {
-      const claim_answer answer = this->places->claim(this->claim_of(item, target), this->moment());
+      const claim_response answer =
+          this->places->claim(this->claim_of(item, target), this->moment());
       ++outcomes[answer.outcome];
       wait = std::max(wait, answer.wait);
       if (answer.outcome == claim_outcome::granted) {
@@ -270,7 +271,7 @@
     std::vector<placement_id> due;
     for (auto& [id, item] : this->waiting) {
       if (item.repeat_at <= this->now) {
-        item.repeat_at = this->now + place_queue::repeat_pause;
+        item.repeat_at = this->now + place_queue::repeat_interval;
         due.push_back(id);
       }
     }
@@ -295,7 +296,7 @@
       load.places = this->plan.servers * this->plan.slots;
       load.own_calls = static_cast<double>(pool.demand());
       load.other_calls = all - load.own_calls;
-      this->send(pool.set_window(window_for(load), this->moment()));
+      this->send(pool.set_in_flight_limit(compute_in_flight_limit(load), this->moment()));
     }
   }
 
@@ -305,18 +306,18 @@
   }
 
   void ask(server_pool& pool, const placement_request& request, const host_id& asker) {
-    const directory_question question = pool.question_for(request, this->moment());
+    const directory_request question = pool.directory_request_for(request, this->moment());
     for (const server_key& server : question.servers) {
       const auto calls = this->directory.load_of_others(server, asker, this->moment());
       const auto claims = static_cast<std::uint32_t>(this->places->waiting(server));
-      pool.note_load({server, calls + claims}, this->moment());
+      pool.set_remote_load({server, calls + claims}, this->moment());
       if (const auto speed = this->directory.speed_of_others(server, asker, this->moment())) {
-        pool.note_speed(*speed, this->moment());
+        pool.set_remote_speed(*speed, this->moment());
       }
     }
     for (const prompt_part_key& part : question.parts) {
       if (const auto location = this->directory.find(part)) {
-        pool.note_location(*location);
+        pool.add_prompt_location(*location);
       }
     }
   }
@@ -340,7 +341,7 @@
         const auto before = this->directory.set_load(host, load, this->moment());
         this->places->count_changed(host, load, before, this->moment());
       }
-      for (const told_speed& speed : item.update.speeds) {
+      for (const speed_report& speed : item.update.speeds) {
         this->directory.set_speed(host, speed, this->moment());
       }
     }
--- a/libs/placement/test/prefix_cache_view_test.cc
+++ b/libs/placement/test/prefix_cache_view_test.cc
@@ -56,9 +56,9 @@
   for (std::uint64_t key = 1; key <= many; ++key) {
     view.note({piece(1, 500), piece(key, 10)}, one);
   }
-  CHECK_FALSE(view.knows(prompt_part_key(2)));
-  CHECK(view.knows(prompt_part_key(1)));
-  CHECK(view.knows(prompt_part_key(many)));
+  CHECK_FALSE(view.has_prompt_part(prompt_part_key(2)));
+  CHECK(view.has_prompt_part(prompt_part_key(1)));
+  CHECK(view.has_prompt_part(prompt_part_key(many)));
 }
 
 TEST_CASE("absurd token counts never make a sum of held tokens negative") {
--- a/libs/placement/test/server_pool_claims_test.cc
+++ b/libs/placement/test/server_pool_claims_test.cc
@@ -32,7 +32,7 @@
                             {prompt_part_key(2), token_count(line_tokens)}};
     this->request.give_up_at = heard + 5s;
     for (const prompt_piece& piece : this->request.prompt) {
-      this->pool.note_location({piece.key, server_key_of(holder), piece.tokens});
+      this->pool.add_prompt_location({piece.key, server_key_of(holder), piece.tokens});
     }
   }
   static pool_rules rules() {
@@ -41,8 +41,8 @@
     return with;
   }
   void load(std::uint32_t of_holder, std::uint32_t of_other) {
-    this->pool.note_load({server_key_of(holder), of_holder}, heard);
-    this->pool.note_load({server_key_of(backend_server_id("s2")), of_other}, heard);
+    this->pool.set_remote_load({server_key_of(holder), of_holder}, heard);
+    this->pool.set_remote_load({server_key_of(backend_server_id("s2")), of_other}, heard);
   }
 
   server_pool pool{rules(), host_id("front"), availability_zone("here")};
--- a/libs/placement/test/server_pool_speed_test.cc
+++ b/libs/placement/test/server_pool_speed_test.cc
@@ -67,7 +67,7 @@
     return at_slow;
   }
   double pace_of_slow() const {
-    for (const server_pace& pace : this->pool.paces(this->moment())) {
+    for (const server_slowdown& pace : this->pool.slowdowns(this->moment())) {
       if (pace.id == slow_server) {
         return pace.factor;
       }
@@ -96,20 +96,20 @@
 TEST_CASE("what is not to be learnt is not learnt, told or heard") {
   lone_host host(false);
   host.call_times(200);
-  host.pool.note_fill(1);
-  host.pool.note_speed({key, {900, 400, 0, 0}}, host.moment());
+  host.pool.set_utilization(1);
+  host.pool.set_remote_speed({key, {900, 400, 0, 0}}, host.moment());
   host.call_times(1);
-  CHECK(host.pool.paces(host.moment()).empty());
-  CHECK_FALSE(host.pool.release_ends(host.moment() + 1s));
+  CHECK(host.pool.slowdowns(host.moment()).empty());
+  CHECK_FALSE(host.pool.flush_ended_calls(host.moment() + 1s));
   CHECK(host.pool.take_update().empty());
   placement_request request;
   request.id = placement_id(9999);
-  CHECK(host.pool.question_for(request, host.moment()).empty());
+  CHECK(host.pool.directory_request_for(request, host.moment()).empty());
 }
 
 TEST_CASE("a new host goes by what others tell") {
   lone_host host;
-  host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
+  host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
   CHECK(host.pace_of_slow() == Approx(2.4).margin(0.1));
   CHECK(host.call_times(130) < 20);
 }
@@ -117,14 +117,14 @@
 TEST_CASE("nothing is known of a server that has started again under its id") {
   lone_host host;
   host.call_times(200);
-  host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
+  host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
   REQUIRE(host.pace_of_slow() > 2);
   host.pool.set_servers(entries(200), host.moment());
-  CHECK(host.pool.paces(host.moment()).empty());
+  CHECK(host.pool.slowdowns(host.moment()).empty());
 
   SECTION("what is still told of the former one does not count") {
-    host.pool.note_speed({key, {875, 400, 0, 0}}, host.moment());
-    CHECK(host.pool.paces(host.moment()).empty());
+    host.pool.set_remote_speed({key, {875, 400, 0, 0}}, host.moment());
+    CHECK(host.pool.slowdowns(host.moment()).empty());
   }
   SECTION("it is used as others are when it is as fast") {
     host.factor = 1;
@@ -192,7 +192,7 @@
   for (const row& item : rows) {
     INFO(item.what);
     lone_host host;
-    host.pool.note_fill(item.fill);
+    host.pool.set_utilization(item.fill);
     placement_request request;
     request.id = placement_id(1);
     request.give_up_at = timestamp(10s);
@@ -200,14 +200,14 @@
     host.pool.submit(request, timestamp{}, placed);
     CHECK(host.pool.take_update().loads.size() == item.at_begin);
     host.pool.finished(request.id, server_outcome::answered, timestamp(100ms));
-    host.pool.release_ends(timestamp(1s));
+    host.pool.flush_ended_calls(timestamp(1s));
     CHECK(host.pool.take_update().loads.size() == item.at_end);
   }
 }
 
 TEST_CASE("ends of calls without a prompt wait for others, though not long") {
   lone_host host;
-  host.pool.note_fill(0.48);
+  host.pool.set_utilization(0.48);
   placement_request request;
   request.id = placement_id(1);
   request.give_up_at = timestamp(10s);
@@ -217,8 +217,8 @@
   CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 1}});
   host.pool.finished(request.id, server_outcome::answered, timestamp(100ms));
   CHECK(host.pool.take_update().empty());
-  CHECK_FALSE(host.pool.release_ends(timestamp(120ms)));
-  CHECK(host.pool.release_ends(timestamp(150ms)));
+  CHECK_FALSE(host.pool.flush_ended_calls(timestamp(120ms)));
+  CHECK(host.pool.flush_ended_calls(timestamp(150ms)));
   CHECK(host.pool.take_update().loads == std::vector<server_load>{{told, 0}});
 }
 
@@ -239,14 +239,14 @@
     INFO(item.what);
     lone_host host;
     host.now = 20s;
-    host.pool.note_fill(item.fill);
+    host.pool.set_utilization(item.fill);
     for (const backend_entry& entry : entries()) {
       const server_key server = server_key_of(entry.id, entry.start);
-      host.pool.note_load({server, 1}, host.moment() - item.heard_ago);
+      host.pool.set_remote_load({server, 1}, host.moment() - item.heard_ago);
     }
     placement_request request;
     request.id = placement_id(1);
-    CHECK(host.pool.question_for(request, host.moment()).servers.size() == item.asked);
+    CHECK(host.pool.directory_request_for(request, host.moment()).servers.size() == item.asked);
   }
 }
 
@@ -254,7 +254,7 @@
   lone_host host;
   for (const backend_entry& entry : entries()) {
     const server_key server = server_key_of(entry.id, entry.start);
-    host.pool.note_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
+    host.pool.set_remote_load({server, entry.id == slow_server ? 0U : 6U}, host.moment());
   }
   // Three servers are weighed for each call, so that some do not see the free one.
   int at_free = 0;
--- a/libs/placement/test/server_pool_test.cc
+++ b/libs/placement/test/server_pool_test.cc
@@ -193,7 +193,7 @@
   SECTION("a line that another host has read more of elsewhere") {
     const std::string other = first == "s9" ? "s8" : "s9";
     const server_key there = server_key_of(backend_server_id(other));
-    pool.pool.note_location({prompt_part_key(2), there, token_count(2000)});
+    pool.pool.add_prompt_location({prompt_part_key(2), there, token_count(2000)});
     pool.submit(turn(2, {piece(1, 500), piece(2, 2400)}));
     CHECK(pool.last_server() == other);
   }
@@ -202,8 +202,8 @@
 TEST_CASE("what other hosts tell of servers that are unknown or gone changes nothing") {
   pool_fixture pool(ten_servers());
   const server_key unknown = server_key_of(backend_server_id("nobody"));
-  pool.pool.note_location({prompt_part_key(2), unknown, token_count(5000)});
-  pool.pool.note_load({unknown, 1000}, at(1s));
+  pool.pool.add_prompt_location({prompt_part_key(2), unknown, token_count(5000)});
+  pool.pool.set_remote_load({unknown, 1000}, at(1s));
   CHECK(pool.submit(turn(1, {piece(1, 500), piece(2, 400)})) == submit_outcome::placed);
   const std::string holder = pool.last_server();
   pool.pool.finished(placement_id(1), server_outcome::answered, at(1s));
@@ -219,7 +219,7 @@
   pool.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   const std::string usual = pool.last_server();
   pool_fixture fresh(ten_servers());
-  fresh.pool.note_load({server_key_of(backend_server_id(usual)), 12}, at(1s));
+  fresh.pool.set_remote_load({server_key_of(backend_server_id(usual)), 12}, at(1s));
   fresh.submit(turn(1, {piece(1, 500), piece(2, 400)}));
   CHECK(fresh.last_server() != usual);
 }
@@ -273,8 +273,8 @@
     } else {
       pool.pool.set_servers(started(item.listed), at(1s));
       const server_key key = server_key_of(backend_server_id("a"), incarnation(item.told_of));
-      pool.pool.note_location({prompt_part_key(2), key, token_count(400)});
-      pool.pool.note_load({key, 7}, at(1s));
+      pool.pool.add_prompt_location({prompt_part_key(2), key, token_count(400)});
+      pool.pool.set_remote_load({key, 7}, at(1s));
     }
     pool.submit(turn(2, {piece(1, 500), piece(2, 400)}));
     REQUIRE(pool.placed.size() == 1);
@@ -295,9 +295,9 @@
   for (std::uint64_t id = 1; id <= 2; ++id) {
     pool.pool.finished(placement_id(id), outcome, at(1s));
   }
-  REQUIRE(pool.pool.set_aside(at(1s)).size() == 1);
+  REQUIRE(pool.pool.unhealthy(at(1s)).size() == 1);
   pool.pool.set_servers(started(200), at(1s));
-  CHECK(pool.pool.set_aside(at(1s)).empty());
+  CHECK(pool.pool.unhealthy(at(1s)).empty());
   CHECK(pool.submit(call(3)) == submit_outcome::placed);
 }
 
@@ -314,7 +314,7 @@
   SECTION("its failure does not exclude the new one, nor free a place there twice") {
     pool.pool.finished(placement_id(1), server_outcome::unreachable, at(1s));
     pool.pool.finished(placement_id(2), server_outcome::failed, at(1s));
-    CHECK(pool.pool.set_aside(at(1s)).empty());
+    CHECK(pool.pool.unhealthy(at(1s)).empty());
     CHECK(pool.submit(call(4)) == submit_outcome::placed);
     CHECK(pool.submit(call(5)) == submit_outcome::queued);
   }
@@ -322,7 +322,7 @@
     pool.pool.finished(placement_id(3), server_outcome::answered, at(1100ms));
     pool.pool.started(placement_id(1), at(9s));
     pool.pool.finished(placement_id(1), server_outcome::answered, at(9s));
-    CHECK(pool.pool.set_aside(at(9s)).empty());
+    CHECK(pool.pool.unhealthy(at(9s)).empty());
   }
   SECTION("it may end after the server is gone") {
     pool.pool.finished(placement_id(3), server_outcome::answered, at(1s));
@@ -331,7 +331,7 @@
     CHECK(pool.pool.demand() == 0);
   }
   SECTION("places that are shared out are not used up by it") {
-    pool.pool.set_window(2, at(1s));
+    pool.pool.set_in_flight_limit(2, at(1s));
     CHECK(pool.submit(call(4)) == submit_outcome::placed);
   }
 }
--- a/libs/placement/test/shared_load_test.cc
+++ b/libs/placement/test/shared_load_test.cc
@@ -4,7 +4,7 @@
 #include <deque>
 #include <random>
 
-#include "hawthornlane/placement/call_window.h"
+#include "hawthornlane/placement/in_flight_limit.h"
 #include "hawthornlane/placement/server_pool.h"
 #include "played_events.h"
 
@@ -182,10 +182,10 @@
       }
       if (this->plan.share_places) {
         service_load load;
-        load.places = pool.places_in_good_health(this->moment());
+        load.places = pool.healthy_places(this->moment());
         load.own_calls = static_cast<double>(pool.demand());
         load.other_calls = this->told_by_all - this->told.at(static_cast<std::size_t>(number));
-        this->send(pool.set_window(window_for(load), this->moment()));
+        this->send(pool.set_in_flight_limit(compute_in_flight_limit(load), this->moment()));
       }
       this->send(pool.tick(this->moment()));
     }
--- a/libs/placement/test/speed_load_test.cc
+++ b/libs/placement/test/speed_load_test.cc
@@ -167,7 +167,8 @@
   }
 
   void ask(int host, const placement_request& request) {
-    const directory_question question = this->pools[host].question_for(request, this->moment());
+    const directory_request question =
+        this->pools[host].directory_request_for(request, this->moment());
     for (const server_key key : question.servers) {
       this->answer(host, key);
     }
@@ -177,11 +178,11 @@
   void answer(int host, server_key key) {
     const host_id asker = name_of(host);
     const auto calls = this->directory.load_of_others(key, asker, this->moment());
-    this->pools[host].note_load(
+    this->pools[host].set_remote_load(
         {key, calls},
         timestamp(this->events.now() - (this->plan.age_known ? this->plan.view_age : 0ms)));
     if (const auto speed = this->directory.speed_of_others(key, asker, this->moment())) {
-      this->pools[host].note_speed(*speed, this->moment());
+      this->pools[host].set_remote_speed(*speed, this->moment());
     }
   }
 
@@ -200,7 +201,7 @@
       for (const server_load& load : update.loads) {
         this->directory.set_load(name_of(host), load, this->moment());
       }
-      for (const told_speed& speed : update.speeds) {
+      for (const speed_report& speed : update.speeds) {
         this->directory.set_speed(name_of(host), speed, this->moment());
       }
       for (const server_load& load : update.loads) {
@@ -257,9 +258,9 @@
     const double fill = static_cast<double>(this->known.size()) / (servers * slots);
     for (int host = 0; host < hosts; ++host) {
       server_pool& pool = this->pools[host];
-      pool.note_fill(fill);
+      pool.set_utilization(fill);
       this->send(pool.tick(this->moment()));
-      if (pool.release_ends(this->moment())) {
+      if (pool.flush_ended_calls(this->moment())) {
         this->tell(host, pool.take_update());
       }
     }
@@ -290,7 +291,7 @@
       const double due = all_calls / all_rates / factor_of(number);
       this->result.busiest = std::max(this->result.busiest, this->states[number].calls / due);
     }
-    for (const server_pace& pace : this->pools.front().paces(this->moment())) {
+    for (const server_slowdown& pace : this->pools.front().slowdowns(this->moment())) {
       const bool slow = factor_of(this->numbers.at(pace.id)) == slow_factor;
       (slow ? this->result.slow_seen : this->result.fast_seen) += pace.factor * 3 / servers;
     }
--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -12,7 +12,7 @@
 
 /// A finished call; its request and answer are part of the history.
 struct finished_turn {
-  ticket run_under;
+  ticket call_ticket;
   std::uint64_t request_digest = 0;
   std::string request;
   std::string answer;
@@ -24,7 +24,7 @@
   friend bool operator==(const finished_turn&, const finished_turn&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->run_under, this->request_digest, this->request, this->answer, this->used,
+    archive(this->call_ticket, this->request_digest, this->request, this->answer, this->used,
             this->failed, this->digest);
   }
 };
@@ -32,12 +32,12 @@
 /// Tokens left in the budget after the record at `index`; see `program_state::left_since`.
 struct left_mark {
   record_index index;
-  token_count left{0};
+  token_count tokens_left{0};
 
   friend bool operator==(const left_mark&, const left_mark&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->index, this->left);
+    archive(this->index, this->tokens_left);
   }
 };
 
@@ -70,7 +70,7 @@
   /// Digest of the first `turn` turns; nothing when the history is shorter.
   [[nodiscard]] std::optional<std::uint64_t> digest_at(turn_number turn) const;
   /// Tokens that can still be reserved; the open reservation is already subtracted.
-  [[nodiscard]] token_count left() const;
+  [[nodiscard]] token_count tokens_left() const;
   /// Tokens left at the last record known to be held by every replica.
   [[nodiscard]] token_count left_at_full() const;
   /// The fewest tokens left at any record from that record on.
--- a/libs/program/include/hawthornlane/program/records.h
+++ b/libs/program/include/hawthornlane/program/records.h
@@ -45,7 +45,7 @@
 struct intent_logged {
   program_id program;
   /// The ticket that the call runs under; its epoch is that of the owner that logs it.
-  ticket run_under;
+  ticket call_ticket;
   bool repeatable = true;
   token_count reserved{0};
   bool is_tool_call = false;
@@ -56,7 +56,7 @@
   friend bool operator==(const intent_logged&, const intent_logged&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under, this->repeatable, this->reserved, this->is_tool_call,
+    archive(this->program, this->call_ticket, this->repeatable, this->reserved, this->is_tool_call,
             this->server, this->request_digest);
   }
 };
@@ -64,7 +64,7 @@
 /// A call ended; its answer becomes part of the history.
 struct turn_finished {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
   /// The request's new messages, which the call adds to the history, JSON text.
   std::string request;
   /// The whole answer, JSON text.
@@ -75,29 +75,30 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under, this->request, this->answer, this->used, this->failed);
+    archive(this->program, this->call_ticket, this->request, this->answer, this->used,
+            this->failed);
   }
 };
 
 /// An intent whose call was certainly never sent; its reservation is released.
 struct intent_voided {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under);
+    archive(this->program, this->call_ticket);
   }
 };
 
 /// An intent whose call was sent and will have no result; charged in full.
 struct intent_abandoned {
   program_id program;
-  ticket run_under;
+  ticket call_ticket;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->program, this->run_under);
+    archive(this->program, this->call_ticket);
   }
 };
 
@@ -112,7 +113,7 @@
 };
 
 /// The retention time of a closed program is over; its state is dropped.
-struct program_forgotten {
+struct program_removed {
   program_id program;
 
   template <class Archive>
@@ -123,7 +124,7 @@
 
 /// One entry of a shard's log.
 using log_record = std::variant<program_opened, intent_logged, turn_finished, intent_voided,
-                                intent_abandoned, program_closed, program_forgotten>;
+                                intent_abandoned, program_closed, program_removed>;
 
 /// The program that a record is about.
 const program_id& program_of(const log_record& record);
--- a/libs/program/src/program_state.cc
+++ b/libs/program/src/program_state.cc
@@ -30,31 +30,31 @@
   return this->turns[turn.get() - 1].digest;
 }
 
-token_count program_state::left() const {
+token_count program_state::tokens_left() const {
   const token_count reserved = this->open_intent ? this->open_intent->reserved : token_count(0);
   return this->opened.limits.tokens - this->charged - this->withheld - reserved;
 }
 
 token_count program_state::left_at_full() const {
-  return this->left_since.empty() ? this->left() : this->left_since.front().left;
+  return this->left_since.empty() ? this->tokens_left() : this->left_since.front().tokens_left;
 }
 
 token_count program_state::least_left_since_full() const {
-  token_count least = this->left();
+  token_count least = this->tokens_left();
   for (const left_mark& mark : this->left_since) {
-    least = std::min(least, mark.left);
+    least = std::min(least, mark.tokens_left);
   }
   return least;
 }
 
 const finished_turn* program_state::find_finished(const ticket& asked) const {
   for (const finished_turn& turn : this->turns) {
-    if (turn.run_under == asked) {
+    if (turn.call_ticket == asked) {
       return &turn;
     }
   }
   for (const finished_turn& turn : this->side_answers) {
-    if (turn.run_under == asked) {
+    if (turn.call_ticket == asked) {
       return &turn;
     }
   }
@@ -63,7 +63,7 @@
 
 const intent_logged* program_state::find_abandoned(const ticket& asked) const {
   for (const intent_logged& intent : this->abandoned) {
-    if (intent.run_under == asked) {
+    if (intent.call_ticket == asked) {
       return &intent;
     }
   }
@@ -76,7 +76,7 @@
   // this side.
   const token_count allowance = half(std::max(token_count(0), this->least_left_since_full()));
   this->withheld = token_count(0);
-  this->withheld = std::max(token_count(0), this->left() - allowance);
+  this->withheld = std::max(token_count(0), this->tokens_left() - allowance);
 }
 
 void program_state::abandon_open_intent() {
@@ -89,7 +89,7 @@
 }
 
 void program_state::mark_left(record_index index, record_index full) {
-  this->left_since.push_back({index, this->left()});
+  this->left_since.push_back({index, this->tokens_left()});
   std::size_t keep_from = 0;
   for (std::size_t at = 1; at < this->left_since.size(); ++at) {
     if (this->left_since[at].index > full) {
--- a/libs/program/src/shard_state.cc
+++ b/libs/program/src/shard_state.cc
@@ -14,8 +14,8 @@
 }
 
 bool apply_one(program_state& program, const intent_logged& record) {
-  if (program.open_intent || program.closed || record.run_under.turn != program.next_turn() ||
-      record.reserved > program.left()) {
+  if (program.open_intent || program.closed || record.call_ticket.turn != program.next_turn() ||
+      record.reserved > program.tokens_left()) {
     return false;
   }
   program.open_intent = record;
@@ -23,10 +23,10 @@
 }
 
 /// Removes the abandoned call with that ticket, if there is one, and takes back its charge.
-std::optional<intent_logged> take_abandoned(program_state& program, const ticket& run_under) {
+std::optional<intent_logged> take_abandoned(program_state& program, const ticket& call_ticket) {
   const auto found = std::find_if(
       program.abandoned.begin(), program.abandoned.end(),
-      [&run_under](const intent_logged& intent) { return intent.run_under == run_under; });
+      [&call_ticket](const intent_logged& intent) { return intent.call_ticket == call_ticket; });
   if (found == program.abandoned.end()) {
     return std::nullopt;
   }
@@ -38,7 +38,7 @@
 
 void add_turn(program_state& program, const intent_logged& intent, const turn_finished& record) {
   finished_turn turn;
-  turn.run_under = record.run_under;
+  turn.call_ticket = record.call_ticket;
   turn.request_digest = intent.request_digest;
   turn.request = record.request;
   turn.answer = record.answer;
@@ -51,11 +51,11 @@
 }
 
 bool apply_one(program_state& program, const turn_finished& record) {
-  if (record.run_under.turn != program.next_turn()) {
+  if (record.call_ticket.turn != program.next_turn()) {
     return false;
   }
   if (program.open_intent) {
-    if (program.open_intent->run_under != record.run_under) {
+    if (program.open_intent->call_ticket != record.call_ticket) {
       return false;
     }
     const intent_logged intent = *program.open_intent;
@@ -64,7 +64,7 @@
     return true;
   }
   // A late result of a call that a new owner had abandoned.
-  const std::optional<intent_logged> intent = take_abandoned(program, record.run_under);
+  const std::optional<intent_logged> intent = take_abandoned(program, record.call_ticket);
   if (!intent) {
     return false;
   }
@@ -73,7 +73,7 @@
 }
 
 bool apply_one(program_state& program, const intent_voided& record) {
-  if (!program.open_intent || program.open_intent->run_under != record.run_under) {
+  if (!program.open_intent || program.open_intent->call_ticket != record.call_ticket) {
     return false;
   }
   program.open_intent.reset();
@@ -81,7 +81,7 @@
 }
 
 bool apply_one(program_state& program, const intent_abandoned& record) {
-  if (!program.open_intent || program.open_intent->run_under != record.run_under) {
+  if (!program.open_intent || program.open_intent->call_ticket != record.call_ticket) {
     return false;
   }
   program.abandon_open_intent();
@@ -94,25 +94,25 @@
   return true;
 }
 
-bool apply_one(shard_state& state, const program_forgotten& record) {
+bool apply_one(shard_state& state, const program_removed& record) {
   return state.programs.erase(record.program) > 0;
 }
 
 void charge_side_answer(program_state& base, const finished_turn& turn) {
-  if (base.find_finished(turn.run_under) != nullptr) {
+  if (base.find_finished(turn.call_ticket) != nullptr) {
     return;
   }
-  take_abandoned(base, turn.run_under);
+  take_abandoned(base, turn.call_ticket);
   base.side_answers.push_back(turn);
   base.charged = base.charged + turn.used;
 }
 
 void charge_abandoned(program_state& base, const intent_logged& intent) {
-  if (base.find_finished(intent.run_under) != nullptr ||
-      base.find_abandoned(intent.run_under) != nullptr) {
+  if (base.find_finished(intent.call_ticket) != nullptr ||
+      base.find_abandoned(intent.call_ticket) != nullptr) {
     return;
   }
-  if (base.open_intent && base.open_intent->run_under == intent.run_under) {
+  if (base.open_intent && base.open_intent->call_ticket == intent.call_ticket) {
     return;
   }
   base.abandoned.push_back(intent);
@@ -124,7 +124,7 @@
   return shorter.size() <= longer.size() &&
          std::equal(shorter.begin(), shorter.end(), longer.begin(),
                     [](const finished_turn& a, const finished_turn& b) {
-                      return a.run_under == b.run_under;
+                      return a.call_ticket == b.call_ticket;
                     });
 }
 
@@ -141,7 +141,7 @@
       charge_side_answer(base, turn);
       continue;
     }
-    take_abandoned(base, turn.run_under);
+    take_abandoned(base, turn.call_ticket);
     base.turns.push_back(turn);
     base.charged = base.charged + turn.used;
   }
@@ -169,7 +169,7 @@
       return false;
     }
   }
-  if (const auto* forgotten = std::get_if<program_forgotten>(&record)) {
+  if (const auto* forgotten = std::get_if<program_removed>(&record)) {
     return apply_one(state, *forgotten);
   }
   const auto found = state.programs.find(program_of(record));
@@ -181,7 +181,7 @@
       [&program](const auto& item) {
         using kind = std::decay_t<decltype(item)>;
         if constexpr (std::is_same_v<kind, program_opened> ||
-                      std::is_same_v<kind, program_forgotten>) {
+                      std::is_same_v<kind, program_removed>) {
           return true;
         } else {
           return apply_one(program, item);
--- a/libs/program/test/program_state_test.cc
+++ b/libs/program/test/program_state_test.cc
@@ -25,7 +25,7 @@
 intent_logged intent(const ticket& under, std::int64_t reserved) {
   intent_logged record;
   record.program = program;
-  record.run_under = under;
+  record.call_ticket = under;
   record.reserved = token_count(reserved);
   return record;
 }
@@ -59,10 +59,10 @@
   shard_state state = opened(100);
   const ticket first = ticket_of(1, 1, 5);
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
-  CHECK(state.programs.at(program).left() == token_count(40));
+  CHECK(state.programs.at(program).tokens_left() == token_count(40));
   REQUIRE(apply(state, result(first, 25), record_index(4), record_index(3)));
   const program_state& after = state.programs.at(program);
-  CHECK(after.left() == token_count(75));
+  CHECK(after.tokens_left() == token_count(75));
   CHECK(after.next_turn() == turn_number(2));
   CHECK(after.digest() == chain_digest(0, "question", "answer"));
 }
@@ -99,9 +99,9 @@
   const ticket first = ticket_of(1, 1, 5);
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
   state.programs.at(program).abandon_open_intent();
-  CHECK(state.programs.at(program).left() == token_count(40));
+  CHECK(state.programs.at(program).tokens_left() == token_count(40));
   REQUIRE(apply(state, result(first, 25), record_index(4), record_index(3)));
-  CHECK(state.programs.at(program).left() == token_count(75));
+  CHECK(state.programs.at(program).tokens_left() == token_count(75));
   CHECK(state.programs.at(program).abandoned.empty());
 }
 
@@ -139,7 +139,7 @@
   REQUIRE(apply(state, intent(first, 60), record_index(3), record_index(2)));
   REQUIRE(apply(state, result(first, 20), record_index(4), record_index(2)));
   program_state& after = state.programs.at(program);
-  CHECK(after.left() == token_count(80));
+  CHECK(after.tokens_left() == token_count(80));
   after.withhold_for_split();
-  CHECK(after.left() == token_count(20));
+  CHECK(after.tokens_left() == token_count(20));
 }
--- a/libs/routing/include/hawthornlane/routing/scheduler.h
+++ b/libs/routing/include/hawthornlane/routing/scheduler.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "hawthornlane/cache/prefix_mirror.h"
+#include "hawthornlane/cache/prefix_cache_model.h"
 #include "hawthornlane/limits/fair_queue.h"
 #include "hawthornlane/limits/server_window.h"
 #include "hawthornlane/routing/speed_model.h"
@@ -46,7 +46,7 @@
 };
 
 /// Parts of the policy that can be switched off one at a time.
-struct schedule_parts {
+struct policy_features {
   bool window = true;
   bool program_order = true;
   bool ageing = true;
@@ -59,7 +59,7 @@
   bool exclude_failing = true;
 };
 
-struct schedule_times {
+struct scheduler_settings {
   /// A call without its first token for this many times the predicted time counts
   /// against its server.
   double hung_factor = 8;
@@ -81,7 +81,7 @@
 /// randomness; a decision looks at a bounded number of servers.
 class scheduler {
 public:
-  scheduler(window_limits window, schedule_times times, schedule_parts parts);
+  scheduler(window_limits window, scheduler_settings times, policy_features parts);
 
   void add_server(const backend_server_id& server, timestamp now);
   /// No new calls from now on; what waits for it goes elsewhere.
@@ -119,7 +119,7 @@
     /// Calls whose prefix the server holds, and calls that it has to prefill whole.
     fair_queue queue;
     fair_queue newcomers;
-    prefix_mirror mirror;
+    prefix_cache_model mirror;
     speed_model speed;
     std::int64_t inside = 0;
     std::optional<std::int64_t> credits;
@@ -164,8 +164,8 @@
   void reindex(const backend_server_id& id, server_state& server);
 
   window_limits limits;
-  schedule_times times;
-  schedule_parts parts;
+  scheduler_settings times;
+  policy_features parts;
   std::map<backend_server_id, server_state> servers;
   /// Servers by how busy they are, least first. Invariant: one entry a server.
   std::set<std::pair<double, backend_server_id>> by_load;
--- a/libs/routing/src/scheduler.cc
+++ b/libs/routing/src/scheduler.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-scheduler::scheduler(window_limits window, schedule_times timing, schedule_parts chosen)
+scheduler::scheduler(window_limits window, scheduler_settings timing, policy_features chosen)
     : limits(window), times(timing), parts(chosen) {}
 
 void scheduler::add_server(const backend_server_id& server, timestamp now) {
@@ -21,7 +21,7 @@
       this->servers.emplace(server, server_state{server_window(this->limits),
                                                  {},
                                                  {},
-                                                 prefix_mirror(this->times.cache_tokens),
+                                                 prefix_cache_model(this->times.cache_tokens),
                                                  {},
                                                  0,
                                                  {},
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
@@ -53,14 +53,14 @@
 };
 
 /// One whole turn. Immutable.
-struct kept_turn {
+struct stored_turn {
   request_id id;
   std::optional<request_id> previous;
   std::string input;
   /// The data of each event, followed by a line feed.
   std::string output;
 
-  friend bool operator==(const kept_turn&, const kept_turn&) = default;
+  friend bool operator==(const stored_turn&, const stored_turn&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->id, this->previous, this->input, this->output);
@@ -72,7 +72,7 @@
 struct ledger_record {
   program_id program;
   reservation state;
-  std::optional<kept_turn> turn;
+  std::optional<stored_turn> turn;
   /// May be dropped after this.
   wall_ms expires_at;
 
@@ -123,7 +123,7 @@
 };
 
 /// What a disk says of a program.
-struct program_answer {
+struct program_response {
   disk_id disk;
   /// The request's epoch is lower than the disk's: nothing was done.
   bool stale = false;
@@ -148,14 +148,14 @@
 };
 
 /// A turn and those before it.
-struct chain_answer {
+struct chain_response {
   disk_id disk;
   bool stale = false;
   std::optional<ledger_set> newest;
   /// The disk holds the turn itself.
   bool known = false;
   /// Oldest first; whole only when the disk holds all of them, else empty.
-  std::vector<kept_turn> turns;
+  std::vector<stored_turn> turns;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -206,7 +206,7 @@
   }
 };
 
-struct probe_answer {
+struct probe_response {
   disk_id disk;
   set_epoch fence;
   /// The epoch of the joint set up to which this disk has copied; 0: none.
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/rounds.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/quorum_checks.h
@@ -30,7 +30,7 @@
   [[nodiscard]] bool majority() const { return this->set.has_majority(this->yes); }
   [[nodiscard]] bool complete() const { return this->set.has_all(this->yes); }
   /// So many disks have failed that no majority can come any more.
-  [[nodiscard]] bool hopeless() const {
+  [[nodiscard]] bool cannot_succeed() const {
     std::set<disk_id> possible;
     for (const disk_id& disk : this->set.all()) {
       if (!this->no.contains(disk)) {
@@ -41,7 +41,7 @@
   }
   [[nodiscard]] const ledger_set& of() const { return this->set; }
   /// Each disk has answered or failed.
-  [[nodiscard]] bool over() const {
+  [[nodiscard]] bool all_answered() const {
     return this->yes.size() + this->no.size() >= this->set.all().size();
   }
 
@@ -52,7 +52,7 @@
 };
 
 /// Whether a reservation fits its program's budget.
-enum class budget_verdict : std::uint8_t {
+enum class budget_outcome : std::uint8_t {
   /// Not enough answers yet.
   undecided,
   fits,
@@ -73,13 +73,13 @@
     this->merge(own);
   }
 
-  void on_append(const program_answer& answer) {
+  void on_append(const program_response& answer) {
     this->appends.answered(answer.disk);
     this->merge_all(answer);
   }
   void on_append_failed(const disk_id& disk) { this->appends.failed(disk); }
   /// Only answers to questions that were asked after `appended()` became true.
-  void on_collect(const program_answer& answer) {
+  void on_collect(const program_response& answer) {
     this->collects.answered(answer.disk);
     this->merge_all(answer);
   }
@@ -87,15 +87,15 @@
 
   /// A majority holds the reservation: the second round may begin.
   [[nodiscard]] bool appended() const { return this->appends.majority(); }
-  [[nodiscard]] bool hopeless() const {
-    return this->appends.hopeless() || this->collects.hopeless();
+  [[nodiscard]] bool cannot_succeed() const {
+    return this->appends.cannot_succeed() || this->collects.cannot_succeed();
   }
-  [[nodiscard]] budget_verdict verdict() const {
+  [[nodiscard]] budget_outcome outcome() const {
     if (!this->appends.complete() && !this->collects.majority()) {
-      return budget_verdict::undecided;
+      return budget_outcome::undecided;
     }
     const bool fits = !this->budget || this->charged() <= *this->budget;
-    return fits ? budget_verdict::fits : budget_verdict::exceeds;
+    return fits ? budget_outcome::fits : budget_outcome::exceeds;
   }
   /// What all known reservations of the program take, this one included.
   [[nodiscard]] token_count charged() const {
@@ -107,7 +107,7 @@
   }
 
 private:
-  void merge_all(const program_answer& answer) {
+  void merge_all(const program_response& answer) {
     for (const reservation& item : answer.reservations) {
       this->merge(item);
     }
@@ -126,14 +126,14 @@
 };
 
 /// What is known of a chain of turns.
-enum class chain_verdict : std::uint8_t { undecided, whole, absent };
+enum class chain_outcome : std::uint8_t { undecided, whole, absent };
 
 /// Decides whether a turn exists, and gathers its chain from the disks.
 class chain_check {
 public:
   explicit chain_check(ledger_set set) : round(std::move(set)) {}
 
-  void on_answer(const chain_answer& answer) {
+  void on_answer(const chain_response& answer) {
     this->round.answered(answer.disk);
     this->known = this->known || answer.known;
     if (!answer.turns.empty()) {
@@ -143,20 +143,22 @@
   void on_failed(const disk_id& disk) { this->round.failed(disk); }
 
   /// Absent only when a majority says so; a turn that ended whole is at a majority.
-  [[nodiscard]] chain_verdict verdict() const {
+  [[nodiscard]] chain_outcome outcome() const {
     if (!this->turns.empty()) {
-      return chain_verdict::whole;
+      return chain_outcome::whole;
     }
     const bool absent = this->round.majority() && !this->known;
-    return absent ? chain_verdict::absent : chain_verdict::undecided;
+    return absent ? chain_outcome::absent : chain_outcome::undecided;
   }
-  [[nodiscard]] bool hopeless() const { return this->round.hopeless() || this->round.over(); }
-  [[nodiscard]] const std::vector<kept_turn>& chain() const { return this->turns; }
+  [[nodiscard]] bool cannot_succeed() const {
+    return this->round.cannot_succeed() || this->round.all_answered();
+  }
+  [[nodiscard]] const std::vector<stored_turn>& chain() const { return this->turns; }
 
 private:
   disk_round round;
   bool known = false;
-  std::vector<kept_turn> turns;
+  std::vector<stored_turn> turns;
 };
 
 }  // namespace hawthornlane
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
@@ -34,9 +34,9 @@
   std::vector<disk_view> disks;
   /// The first disk that can make a change makes it. So many before this one have
   /// had their time and did not: they may not reach the store.
-  std::size_t passed_over = 0;
+  std::size_t skipped_candidates = 0;
   /// Disks that a set should have: twice the losses to be borne at once, and one.
-  std::size_t wanted = 3;
+  std::size_t target_size = 3;
 };
 
 /// What this disk host should do now.
--- a/libs/turn_ledger/src/ledger_copy.cc
+++ b/libs/turn_ledger/src/ledger_replica.cc
@@ -1,5 +1,5 @@
 // What one disk holds of turns and budgets.
-#include "hawthornlane/turn_ledger/ledger_copy.h"
+#include "hawthornlane/turn_ledger/ledger_replica.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool ledger_copy::apply(const ledger_record& record) {
+bool ledger_replica::apply(const ledger_record& record) {
   program_state& program = this->by_program[record.program];
   program.expires_at = std::max(program.expires_at, record.expires_at);
   const auto [found, is_new] = program.records.try_emplace(record.state.id, record);
@@ -39,7 +39,7 @@
   return changed;
 }
 
-void ledger_copy::extend_chain(const kept_turn& turn, wall_ms until) {
+void ledger_replica::extend_chain(const stored_turn& turn, wall_ms until) {
   std::optional<request_id> previous = turn.previous;
   while (previous) {
     const auto link = this->chains.find(*previous);
@@ -52,7 +52,7 @@
   }
 }
 
-std::vector<reservation> ledger_copy::reservations_of(const program_id& program) const {
+std::vector<reservation> ledger_replica::reservations_of(const program_id& program) const {
   std::vector<reservation> all;
   const auto found = this->by_program.find(program);
   if (found == this->by_program.end()) {
@@ -64,7 +64,7 @@
   return all;
 }
 
-const kept_turn* ledger_copy::turn_of(const request_id& id) const {
+const stored_turn* ledger_replica::turn_of(const request_id& id) const {
   const auto link = this->chains.find(id);
   if (link == this->chains.end()) {
     return nullptr;
@@ -72,9 +72,9 @@
   return &*this->by_program.at(link->second.program).records.at(id).turn;
 }
 
-chain_answer ledger_copy::chain_of(const request_id& last) const {
-  chain_answer answer;
-  const kept_turn* turn = this->turn_of(last);
+chain_response ledger_replica::chain_of(const request_id& last) const {
+  chain_response answer;
+  const stored_turn* turn = this->turn_of(last);
   answer.known = turn != nullptr;
   while (turn != nullptr) {
     answer.turns.push_back(*turn);
@@ -89,7 +89,7 @@
   return answer;
 }
 
-copy_page ledger_copy::page_after(const copy_request& from, std::size_t bytes) const {
+copy_page ledger_replica::page_after(const copy_request& from, std::size_t bytes) const {
   copy_page page;
   std::size_t size = 0;
   for (auto program = this->by_program.lower_bound(from.after_program);
@@ -112,7 +112,7 @@
   return page;
 }
 
-void ledger_copy::expire(wall_ms now) {
+void ledger_replica::expire(wall_ms now) {
   for (auto program = this->by_program.begin(); program != this->by_program.end();) {
     if (program->second.expires_at >= now) {
       ++program;
--- a/libs/turn_ledger/src/set_change.cc
+++ b/libs/turn_ledger/src/set_change.cc
@@ -42,7 +42,7 @@
       continue;
     }
     if (disk == view.self) {
-      return before <= view.passed_over;
+      return before <= view.skipped_candidates;
     }
     ++before;
   }
@@ -66,7 +66,7 @@
   if (disks.empty() || disks.front() != view.self) {
     return {};
   }
-  disks.resize(std::min(disks.size(), view.wanted));
+  disks.resize(std::min(disks.size(), view.target_size));
   return {set_step::propose, {set_epoch(1), disks, {}}, "first set"};
 }
 
@@ -146,7 +146,7 @@
     return {set_step::propose, proposed, "one of two is lost"};
   }
   const std::vector<disk_id>& leaving = retiring.empty() ? lost : retiring;
-  const bool too_few = set.members.size() < view.wanted;
+  const bool too_few = set.members.size() < view.target_size;
   if (!spares.empty() && (!leaving.empty() || too_few)) {
     if (!is_own_turn(view, spares)) {
       return {};
--- a/libs/turn_ledger/test/ledger_search_test.cc
+++ b/libs/turn_ledger/test/ledger_search_test.cc
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
-#include "hawthornlane/turn_ledger/ledger_copy.h"
-#include "hawthornlane/turn_ledger/rounds.h"
+#include "hawthornlane/turn_ledger/ledger_replica.h"
+#include "hawthornlane/turn_ledger/quorum_checks.h"
 #include "hawthornlane/turn_ledger/set_change.h"
 
 using namespace hawthornlane;
@@ -61,7 +61,7 @@
 };
 
 struct world {
-  std::array<ledger_copy, disk_count> disks;
+  std::array<ledger_replica, disk_count> disks;
   std::vector<front> fronts;
   ledger_set set;
   std::array<bool, disk_count> copied_from{};
@@ -119,7 +119,7 @@
     std::string key = std::to_string(at.set.epoch.get()) + (at.suspected ? "s" : "");
     for (int number = 0; number < disk_count; ++number) {
       const auto index = static_cast<std::size_t>(number);
-      key += '|' + std::to_string(at.disks[index].fenced_at().get());
+      key += '|' + std::to_string(at.disks[index].fence_epoch().get());
       key += at.copied_from[index] ? "c" : "";
       for (const reservation& item : at.disks[index].reservations_of(program_id("p"))) {
         key += item.id.get();
@@ -146,17 +146,17 @@
     if (item.decided) {
       return;
     }
-    budget_verdict verdict = item.check.verdict();
+    budget_outcome outcome = item.check.outcome();
     if (this->rules.missing == left_out::second_round && item.check.appended()) {
-      verdict =
-          item.check.charged() <= this->budget() ? budget_verdict::fits : budget_verdict::exceeds;
+      outcome =
+          item.check.charged() <= this->budget() ? budget_outcome::fits : budget_outcome::exceeds;
     }
-    item.decided = verdict != budget_verdict::undecided;
-    item.admitted = verdict == budget_verdict::fits;
+    item.decided = outcome != budget_outcome::undecided;
+    item.admitted = outcome == budget_outcome::fits;
   }
 
-  program_answer answer_of(const world& at, std::size_t index, const front& item) const {
-    program_answer answer;
+  program_response answer_of(const world& at, std::size_t index, const front& item) const {
+    program_response answer;
     answer.disk = disk(static_cast<int>(index));
     answer.stale =
         !at.disks[index].accepts(item.set.epoch) && this->rules.missing != left_out::fence;
@@ -222,7 +222,7 @@
       return;
     }
     world next = at;
-    const program_answer before = this->answer_of(next, index, item);
+    const program_response before = this->answer_of(next, index, item);
     if (before.stale) {
       this->restart(next, number, index);
       this->offer(next);
@@ -244,7 +244,7 @@
       return;
     }
     world next = at;
-    const program_answer answer = this->answer_of(next, index, item);
+    const program_response answer = this->answer_of(next, index, item);
     if (answer.stale) {
       this->restart(next, number, index);
       this->offer(next);
@@ -267,7 +267,7 @@
       world next = at;
       next.suspected = true;
       if (this->rules.replace == replacement::lost) {
-        next.disks[lost] = ledger_copy();
+        next.disks[lost] = ledger_replica();
       }
       next.steps += " loseC";
       this->offer(next);
--- a/libs/turn_ledger/test/turn_ledger_test.cc
+++ b/libs/turn_ledger/test/turn_ledger_test.cc
@@ -1,8 +1,8 @@
 // Tables over one disk's copy, chains, majorities and changes of the set.
 #include <catch2/catch.hpp>
 
-#include "hawthornlane/turn_ledger/ledger_copy.h"
-#include "hawthornlane/turn_ledger/rounds.h"
+#include "hawthornlane/turn_ledger/ledger_replica.h"
+#include "hawthornlane/turn_ledger/quorum_checks.h"
 #include "hawthornlane/turn_ledger/set_change.h"
 
 using namespace hawthornlane;
@@ -21,7 +21,7 @@
 ledger_record turn(const std::string& program, const std::string& id, const std::string& previous,
                    std::int64_t expires = 1000) {
   ledger_record item = record(program, id, reservation_phase::settled, 12, expires);
-  item.turn = kept_turn{request_id(id), std::nullopt, "in-" + id, "out-" + id + "\n"};
+  item.turn = stored_turn{request_id(id), std::nullopt, "in-" + id, "out-" + id + "\n"};
   if (!previous.empty()) {
     item.turn->previous = request_id(previous);
   }
@@ -30,8 +30,8 @@
 
 disk_id disk(const std::string& name) { return disk_id(name); }
 
-chain_answer chain(const std::string& from, bool known, std::vector<kept_turn> turns = {}) {
-  chain_answer answer;
+chain_response chain(const std::string& from, bool known, std::vector<stored_turn> turns = {}) {
+  chain_response answer;
   answer.disk = disk(from);
   answer.known = known;
   answer.turns = std::move(turns);
@@ -50,7 +50,7 @@
           {withdrawn, open, 0},
           {open, open, 100},
       }));
-  ledger_copy copy;
+  ledger_replica copy;
   copy.apply(record("p", "r", first, 30));
   copy.apply(record("p", "r", second, 30));
   REQUIRE(copy.reservations_of(program_id("p")).size() == 1);
@@ -58,29 +58,29 @@
 }
 
 TEST_CASE("a record that changes nothing needs no write") {
-  ledger_copy copy;
+  ledger_replica copy;
   CHECK(copy.apply(turn("p", "t1", "")));
   CHECK_FALSE(copy.apply(turn("p", "t1", "")));
   CHECK_FALSE(copy.apply(record("p", "t1", reservation_phase::open)));
 }
 
 TEST_CASE("a chain comes whole and oldest first, or not at all") {
-  ledger_copy copy;
+  ledger_replica copy;
   copy.apply(turn("p", "t1", ""));
   copy.apply(turn("p", "t2", "t1"));
   copy.apply(turn("q", "t3", "t2"));
   copy.apply(turn("p", "t5", "t4"));
-  const chain_answer whole = copy.chain_of(request_id("t3"));
+  const chain_response whole = copy.chain_of(request_id("t3"));
   REQUIRE(whole.turns.size() == 3);
   CHECK(whole.turns.front().id == request_id("t1"));
-  const chain_answer gap = copy.chain_of(request_id("t5"));
+  const chain_response gap = copy.chain_of(request_id("t5"));
   CHECK(gap.known);
   CHECK(gap.turns.empty());
   CHECK_FALSE(copy.chain_of(request_id("t9")).known);
 }
 
 TEST_CASE("a turn lives as long as a program that goes on from it") {
-  ledger_copy copy;
+  ledger_replica copy;
   copy.apply(turn("p", "t1", "", 1000));
   copy.apply(turn("q", "t2", "t1", 5000));
   copy.expire(wall_ms(2000));
@@ -92,14 +92,14 @@
 }
 
 TEST_CASE("pages bring every record once") {
-  ledger_copy copy;
+  ledger_replica copy;
   for (int program = 0; program < 7; ++program) {
     for (int id = 0; id < 5; ++id) {
       copy.apply(turn("p" + std::to_string(program),
                       "t" + std::to_string(program) + "-" + std::to_string(id), ""));
     }
   }
-  ledger_copy target;
+  ledger_replica target;
   copy_request from;
   int pages = 0;
   while (true) {
@@ -121,26 +121,26 @@
   const ledger_set set{set_epoch(1), {disk("A"), disk("B"), disk("C")}, {}};
   chain_check check(set);
   check.on_answer(chain("A", false));
-  CHECK(check.verdict() == chain_verdict::undecided);
+  CHECK(check.outcome() == chain_outcome::undecided);
   SECTION("a second disk does not know it either") {
     check.on_answer(chain("B", false));
-    CHECK(check.verdict() == chain_verdict::absent);
+    CHECK(check.outcome() == chain_outcome::absent);
   }
   SECTION("a second disk holds it") {
-    check.on_answer(chain("B", true, {kept_turn{request_id("t"), std::nullopt, "i", "o"}}));
-    CHECK(check.verdict() == chain_verdict::whole);
+    check.on_answer(chain("B", true, {stored_turn{request_id("t"), std::nullopt, "i", "o"}}));
+    CHECK(check.outcome() == chain_outcome::whole);
   }
   SECTION("a second disk knows of it without its whole chain") {
     check.on_answer(chain("B", true));
-    CHECK(check.verdict() == chain_verdict::undecided);
+    CHECK(check.outcome() == chain_outcome::undecided);
     check.on_failed(disk("C"));
-    CHECK(check.hopeless());
+    CHECK(check.cannot_succeed());
   }
   SECTION("the others fail") {
     check.on_failed(disk("B"));
     check.on_failed(disk("C"));
-    CHECK(check.verdict() == chain_verdict::undecided);
-    CHECK(check.hopeless());
+    CHECK(check.outcome() == chain_outcome::undecided);
+    CHECK(check.cannot_succeed());
   }
 }
 
@@ -266,6 +266,6 @@
   view.disks = disks_from("ABC?", set_epoch(7));
   view.self = disk("B");
   CHECK(decide_set_change(view).step == set_step::nothing);
-  view.passed_over = 1;
+  view.skipped_candidates = 1;
   CHECK(decide_set_change(view).step == set_step::propose);
 }
--- a/scenarios/configuration_spread_test.cc
+++ b/scenarios/configuration_spread_test.cc
@@ -113,7 +113,7 @@
     const std::string text = text_of(version, bytes);
     this->fleet.offer_configuration(*configuration_of_text(text), text, "store");
     this->read_at = discovery::scheduler_now();
-    this->gossip.tell_all();
+    this->gossip.broadcast_state();
   }
 
   [[nodiscard]] bool has(config_version version) const {
@@ -134,16 +134,16 @@
       digest.configuration =
           this->fleet.table() ? this->fleet.table()->version() : config_version(0);
       digest.backends_changed_at = this->fleet.backends_changed_at();
-      digest.hosts_at = this->fleet.hosts_changed_at();
+      digest.hosts_revision = this->fleet.hosts_changed_at();
       if (this->read_at) {
-        digest.checked_by = this->self.name;
-        digest.checked_ago = discovery::scheduler_now() - *this->read_at;
+        digest.store_read_by = this->self.name;
+        digest.store_read_age = discovery::scheduler_now() - *this->read_at;
       }
       return digest;
     };
     hooks.decode_configuration = configuration_of_text;
     hooks.ledger = [] { return std::optional(ledger_set{set_epoch(1), {}, {}}); };
-    hooks.take_ledger = [](const ledger_set&, const host_id&) {};
+    hooks.apply_ledger_set = [](const ledger_set&, const host_id&) {};
     return hooks;
   }
 
@@ -153,7 +153,7 @@
   }
 
   std::optional<timestamp> read_at;
-  check_schedule checks;
+  store_read_schedule checks;
 
 public:
   peer_gossip gossip;
--- a/scenarios/soak.cc
+++ b/scenarios/soak.cc
@@ -31,7 +31,7 @@
   soak_host& host = this->hosts[at];
   host.id = {host_id("host-" + std::to_string(at)), incarnation(this->next_start++)};
   host.core.emplace(the_shard, host.id, ownership_times{}, this->parameters.rules);
-  host.core->learn(this->map, this->now);
+  host.core->observe_assignment(this->map, this->now);
 }
 
 bool world::acts(const soak_host& host) const {
@@ -78,7 +78,7 @@
       flight.host = at;
       flight.from = this->hosts[at].id;
       flight.call = order->call;
-      flight.under = order->intent.run_under;
+      flight.under = order->intent.call_ticket;
       flight.repeatable = order->intent.repeatable;
       const duration wait = std::max(duration(0), order->not_before - this->now);
       this->put(std::move(flight), static_cast<std::uint64_t>(wait / std::chrono::milliseconds(1)));
@@ -206,7 +206,7 @@
       continue;
     }
     if (!this->platform_down && this->chance(100)) {
-      this->carry_out(at, host.core->learn(this->map, this->now));
+      this->carry_out(at, host.core->observe_assignment(this->map, this->now));
     }
     this->carry_out(at, host.core->tick(this->now));
     this->mend_replicas(at);
@@ -284,7 +284,7 @@
       replicas.push_back(other.id);
     }
   }
-  this->carry_out(at, host.core->learn(this->map, this->now));
+  this->carry_out(at, host.core->observe_assignment(this->map, this->now));
   this->carry_out(at, host.core->claim(std::move(replicas), this->random(), this->now));
 }
 
