--- a/libs/membership/include/hawthornlane/membership/membership_core.h
+++ b/libs/membership/include/hawthornlane/membership/membership_core.h
@@ -17,14 +17,14 @@
 struct membership_times {
   duration period = std::chrono::milliseconds(500);
   /// Time without an answer after which other hosts are asked to probe the target.
-  duration direct_wait = std::chrono::milliseconds(200);
+  duration direct_timeout = std::chrono::milliseconds(200);
   /// Time after which a suspected host counts as gone.
   duration suspicion = std::chrono::seconds(3);
   std::uint32_t indirect_probes = 2;
   /// Most updates on one message; limits its size.
   std::uint32_t updates_per_message = 6;
   /// How many times an update is sent per doubling of the number of hosts.
-  std::uint32_t repeats = 3;
+  std::uint32_t retransmit_multiplier = 3;
 };
 
 /// Send a probe message.
@@ -60,7 +60,7 @@
   membership_actions receive(const probe_message& message, timestamp now);
   /// Adds a host from the platform's list if it is unknown. The list lags behind, so it does not
   /// change a host that is known already.
-  membership_actions listed(const member& seen, timestamp now);
+  membership_actions listed(const member& reported, timestamp now);
   /// Announces the planned stop of this host.
   void leave();
 
@@ -77,24 +77,25 @@
   }
 
 private:
-  struct waiting_probe {
+  struct pending_probe {
     host_incarnation target;
     timestamp sent;
-    bool asked_others = false;
+    bool sent_ping_requests = false;
     /// Reply address of the host that requested this probe; absent for this host's own probes.
-    std::optional<std::string> on_behalf_of;
-    std::uint64_t their_sequence = 0;
+    std::optional<std::string> requester_address;
+    std::uint64_t requester_sequence = 0;
   };
 
-  probe_message make(probe_message::kind what, std::uint64_t sequence);
+  probe_message make_message(probe_message::kind what, std::uint64_t sequence);
   void attach_updates(probe_message& message);
-  void merge(const member& seen, timestamp now, membership_actions& out);
-  void adopt(const member& seen, timestamp now, membership_actions& out);
-  void refute(const member& seen);
+  void merge(const member& reported, timestamp now, membership_actions& out);
+  void set_member(const member& reported, timestamp now, membership_actions& out);
+  void refute(const member& reported);
   void suspect(const host_incarnation& host, timestamp now, membership_actions& out);
-  void end_suspicions(timestamp now, membership_actions& out);
-  void check_waiting(timestamp now, membership_actions& out);
-  void ask_others(std::uint64_t sequence, const waiting_probe& item, membership_actions& out);
+  void expire_suspicions(timestamp now, membership_actions& out);
+  void check_pending_probes(timestamp now, membership_actions& out);
+  void send_ping_requests(std::uint64_t sequence, const pending_probe& item,
+                          membership_actions& out);
   const member* next_target(std::uint64_t random);
 
   member own;
@@ -102,9 +103,9 @@
   std::map<host_id, member> known;
   std::map<host_id, timestamp> suspected_since;
   /// How many more times the current state of each host is sent.
-  std::map<host_id, std::uint32_t> to_spread;
-  std::map<std::uint64_t, waiting_probe> waiting;
-  std::vector<host_id> round;
+  std::map<host_id, std::uint32_t> remaining_sends;
+  std::map<std::uint64_t, pending_probe> pending_probes;
+  std::vector<host_id> probe_order;
   std::uint64_t next_sequence = 1;
   std::uint64_t documents_digest = 0;
   bool documents_current = false;
--- a/libs/membership/src/membership_core.cc
+++ b/libs/membership/src/membership_core.cc
@@ -24,7 +24,7 @@
 membership_core::membership_core(member self, membership_times probing)
     : own(std::move(self)), times(probing) {
   this->known[this->own.id.host] = this->own;
-  this->to_spread[this->own.id.host] = this->times.repeats;
+  this->remaining_sends[this->own.id.host] = this->times.retransmit_multiplier;
 }
 
 const member* membership_core::find(const host_id& host) const {
@@ -49,7 +49,7 @@
   return hosts;
 }
 
-probe_message membership_core::make(probe_message::kind what, std::uint64_t sequence) {
+probe_message membership_core::make_message(probe_message::kind what, std::uint64_t sequence) {
   probe_message message;
   message.what = what;
   message.from = this->own.id;
@@ -63,7 +63,7 @@
 
 void membership_core::attach_updates(probe_message& message) {
   message.updates.push_back(this->own);
-  for (auto at = this->to_spread.begin(); at != this->to_spread.end();) {
+  for (auto at = this->remaining_sends.begin(); at != this->remaining_sends.end();) {
     if (message.updates.size() >= this->times.updates_per_message) {
       break;
     }
@@ -72,26 +72,26 @@
       message.updates.push_back(found->second);
     }
     at->second -= 1;
-    at = at->second == 0 ? this->to_spread.erase(at) : std::next(at);
+    at = at->second == 0 ? this->remaining_sends.erase(at) : std::next(at);
   }
 }
 
 const member* membership_core::next_target(std::uint64_t random) {
   while (true) {
-    if (this->round.empty()) {
+    if (this->probe_order.empty()) {
       for (const auto& [host, item] : this->known) {
         if (host != this->own.id.host && item.state != member_state::gone) {
-          this->round.push_back(host);
+          this->probe_order.push_back(host);
         }
       }
-      if (this->round.empty()) {
+      if (this->probe_order.empty()) {
         return nullptr;
       }
-      std::mt19937_64 order(random);
-      std::shuffle(this->round.begin(), this->round.end(), order);
+      std::mt19937_64 generator(random);
+      std::shuffle(this->probe_order.begin(), this->probe_order.end(), generator);
     }
-    const host_id host = this->round.back();
-    this->round.pop_back();
+    const host_id host = this->probe_order.back();
+    this->probe_order.pop_back();
     const member* target = this->find(host);
     if (target != nullptr && target->state != member_state::gone) {
       return target;
@@ -101,42 +101,42 @@
 
 membership_actions membership_core::tick(timestamp now, std::uint64_t random) {
   membership_actions out;
-  this->check_waiting(now, out);
-  this->end_suspicions(now, out);
+  this->check_pending_probes(now, out);
+  this->expire_suspicions(now, out);
   if (const member* target = this->next_target(random)) {
     const std::uint64_t sequence = this->next_sequence++;
     const std::string address = target->peer_address;
-    this->waiting[sequence] = {target->id, now, false, std::nullopt, 0};
-    out.probes.push_back({address, this->make(probe_message::kind::ping, sequence)});
+    this->pending_probes[sequence] = {target->id, now, false, std::nullopt, 0};
+    out.probes.push_back({address, this->make_message(probe_message::kind::ping, sequence)});
   }
   return out;
 }
 
-void membership_core::check_waiting(timestamp now, membership_actions& out) {
-  std::vector<host_incarnation> silent;
-  for (auto at = this->waiting.begin(); at != this->waiting.end();) {
-    waiting_probe& item = at->second;
+void membership_core::check_pending_probes(timestamp now, membership_actions& out) {
+  std::vector<host_incarnation> unanswered;
+  for (auto at = this->pending_probes.begin(); at != this->pending_probes.end();) {
+    pending_probe& item = at->second;
     const duration age = now - item.sent;
-    if (age >= this->times.direct_wait && !item.asked_others && !item.on_behalf_of) {
-      item.asked_others = true;
-      this->ask_others(at->first, item, out);
+    if (age >= this->times.direct_timeout && !item.sent_ping_requests && !item.requester_address) {
+      item.sent_ping_requests = true;
+      this->send_ping_requests(at->first, item, out);
     }
     if (age < this->times.period * 2) {
       ++at;
       continue;
     }
-    if (!item.on_behalf_of) {
-      silent.push_back(item.target);
+    if (!item.requester_address) {
+      unanswered.push_back(item.target);
     }
-    at = this->waiting.erase(at);
+    at = this->pending_probes.erase(at);
   }
-  for (const host_incarnation& host : silent) {
+  for (const host_incarnation& host : unanswered) {
     this->suspect(host, now, out);
   }
 }
 
-void membership_core::ask_others(std::uint64_t sequence, const waiting_probe& item,
-                                 membership_actions& out) {
+void membership_core::send_ping_requests(std::uint64_t sequence, const pending_probe& item,
+                                         membership_actions& out) {
   std::uint32_t asked = 0;
   for (const auto& [host, helper] : this->known) {
     const bool helps = host != this->own.id.host && host != item.target.host &&
@@ -144,7 +144,7 @@
     if (!helps || asked == this->times.indirect_probes) {
       continue;
     }
-    probe_message request = this->make(probe_message::kind::ping_request, sequence);
+    probe_message request = this->make_message(probe_message::kind::ping_request, sequence);
     request.target = item.target;
     out.probes.push_back({helper.peer_address, std::move(request)});
     ++asked;
@@ -160,10 +160,10 @@
   }
   member changed = found->second;
   changed.state = member_state::suspected;
-  this->adopt(changed, now, out);
+  this->set_member(changed, now, out);
 }
 
-void membership_core::end_suspicions(timestamp now, membership_actions& out) {
+void membership_core::expire_suspicions(timestamp now, membership_actions& out) {
   std::vector<member> ended;
   for (const auto& [host, since] : this->suspected_since) {
     if (now - since >= this->times.suspicion) {
@@ -172,96 +172,98 @@
   }
   for (member& item : ended) {
     item.state = member_state::gone;
-    this->adopt(item, now, out);
+    this->set_member(item, now, out);
   }
 }
 
-void membership_core::refute(const member& seen) {
+void membership_core::refute(const member& reported) {
   // Another host reports a state of this host that differs from its own: a higher version
   // overrides it.
-  if (seen.id == this->own.id && seen.state != this->own.state &&
-      seen.version >= this->own.version) {
-    this->own.version = seen.version + 1;
+  if (reported.id == this->own.id && reported.state != this->own.state &&
+      reported.version >= this->own.version) {
+    this->own.version = reported.version + 1;
     this->known[this->own.id.host] = this->own;
-    this->to_spread[this->own.id.host] = this->times.repeats;
+    this->remaining_sends[this->own.id.host] = this->times.retransmit_multiplier;
   }
 }
 
-void membership_core::merge(const member& seen, timestamp now, membership_actions& out) {
-  if (seen.id.host == this->own.id.host) {
-    this->refute(seen);
+void membership_core::merge(const member& reported, timestamp now, membership_actions& out) {
+  if (reported.id.host == this->own.id.host) {
+    this->refute(reported);
     return;
   }
-  const auto found = this->known.find(seen.id.host);
-  if (found != this->known.end() && (found->second == seen || !is_newer(seen, found->second))) {
+  const auto found = this->known.find(reported.id.host);
+  if (found != this->known.end() &&
+      (found->second == reported || !is_newer(reported, found->second))) {
     return;
   }
-  if (found == this->known.end() && seen.state == member_state::gone) {
+  if (found == this->known.end() && reported.state == member_state::gone) {
     return;
   }
-  this->adopt(seen, now, out);
+  this->set_member(reported, now, out);
 }
 
-void membership_core::adopt(const member& seen, timestamp now, membership_actions& out) {
-  const auto found = this->known.find(seen.id.host);
+void membership_core::set_member(const member& reported, timestamp now, membership_actions& out) {
+  const auto found = this->known.find(reported.id.host);
   std::optional<member_state> before;
   if (found != this->known.end()) {
     before = found->second.state;
   }
-  this->known[seen.id.host] = seen;
-  if (seen.state == member_state::suspected) {
-    this->suspected_since.emplace(seen.id.host, now);
+  this->known[reported.id.host] = reported;
+  if (reported.state == member_state::suspected) {
+    this->suspected_since.emplace(reported.id.host, now);
   } else {
-    this->suspected_since.erase(seen.id.host);
+    this->suspected_since.erase(reported.id.host);
   }
   const auto doublings = static_cast<std::uint32_t>(std::bit_width(this->known.size()));
-  this->to_spread[seen.id.host] = this->times.repeats * doublings;
-  out.changes.push_back({seen, before});
+  this->remaining_sends[reported.id.host] = this->times.retransmit_multiplier * doublings;
+  out.changes.push_back({reported, before});
 }
 
-membership_actions membership_core::listed(const member& seen, timestamp now) {
+membership_actions membership_core::listed(const member& reported, timestamp now) {
   membership_actions out;
-  if (!this->known.contains(seen.id.host) && seen.id.host != this->own.id.host &&
-      seen.state != member_state::gone) {
-    this->adopt(seen, now, out);
+  if (!this->known.contains(reported.id.host) && reported.id.host != this->own.id.host &&
+      reported.state != member_state::gone) {
+    this->set_member(reported, now, out);
   }
   return out;
 }
 
 membership_actions membership_core::receive(const probe_message& message, timestamp now) {
   membership_actions out;
-  for (const member& seen : message.updates) {
+  for (const member& reported : message.updates) {
     // The sender's entry for itself is always included, so a new incarnation is known at once.
-    this->merge(seen, now, out);
+    this->merge(reported, now, out);
   }
   const std::uint64_t sequence = message.sequence;
   if (message.what == probe_message::kind::ping) {
     out.probes.push_back(
-        {message.reply_to, this->make(probe_message::kind::acknowledge, sequence)});
+        {message.reply_to, this->make_message(probe_message::kind::acknowledge, sequence)});
     return out;
   }
   if (message.what == probe_message::kind::ping_request && message.target) {
     const member* target = this->find(message.target->host);
     if (target != nullptr) {
       const std::uint64_t own_sequence = this->next_sequence++;
-      this->waiting[own_sequence] = {target->id, now, true, message.reply_to, sequence};
+      this->pending_probes[own_sequence] = {target->id, now, true, message.reply_to, sequence};
       out.probes.push_back(
-          {target->peer_address, this->make(probe_message::kind::ping, own_sequence)});
+          {target->peer_address, this->make_message(probe_message::kind::ping, own_sequence)});
     }
     return out;
   }
   if (message.what != probe_message::kind::acknowledge) {
     return out;
   }
-  const auto found = this->waiting.find(sequence);
-  if (found == this->waiting.end()) {
+  const auto found = this->pending_probes.find(sequence);
+  if (found == this->pending_probes.end()) {
     return out;
   }
-  if (found->second.on_behalf_of) {
-    out.probes.push_back({*found->second.on_behalf_of, this->make(probe_message::kind::acknowledge,
-                                                                  found->second.their_sequence)});
+  if (found->second.requester_address) {
+    out.probes.push_back(
+        {*found->second.requester_address,
+         this->make_message(probe_message::kind::acknowledge, found->second.requester_sequence)});
   }
-  this->waiting.erase(found);
+  this->pending_probes.erase(found);
   return out;
 }
 
@@ -269,7 +271,8 @@
   this->own.state = member_state::leaving;
   this->own.version += 1;
   this->known[this->own.id.host] = this->own;
-  this->to_spread[this->own.id.host] = this->times.repeats * this->times.updates_per_message;
+  this->remaining_sends[this->own.id.host] =
+      this->times.retransmit_multiplier * this->times.updates_per_message;
 }
 
 }  // namespace hawthornlane
--- a/libs/membership/test/membership_core_test.cc
+++ b/libs/membership/test/membership_core_test.cc
@@ -18,9 +18,9 @@
 }
 
 /// Hosts that exchange probes. A stopped host neither sends nor answers.
-class world {
+class cluster {
 public:
-  explicit world(std::size_t count, double loss) : drop(loss) {
+  explicit cluster(std::size_t count, double loss) : loss_rate(loss) {
     for (std::size_t at = 0; at < count; ++at) {
       this->cores.emplace_back(member_of(at), membership_times{});
       this->stopped.push_back(false);
@@ -57,21 +57,22 @@
 
 private:
   void carry_out(const membership_actions& todo) {
-    std::deque<send_probe> under_way(todo.probes.begin(), todo.probes.end());
-    while (!under_way.empty()) {
-      const send_probe probe = under_way.front();
-      under_way.pop_front();
+    std::deque<send_probe> in_flight(todo.probes.begin(), todo.probes.end());
+    while (!in_flight.empty()) {
+      const send_probe probe = in_flight.front();
+      in_flight.pop_front();
       const std::size_t to = std::stoul(probe.address);
-      const bool lost = std::uniform_real_distribution<double>(0, 1)(this->random) < this->drop;
+      const bool lost =
+          std::uniform_real_distribution<double>(0, 1)(this->random) < this->loss_rate;
       if (this->stopped[to] || lost) {
         continue;
       }
       const membership_actions answers = this->cores[to].receive(probe.message, this->now);
-      under_way.insert(under_way.end(), answers.probes.begin(), answers.probes.end());
+      in_flight.insert(in_flight.end(), answers.probes.begin(), answers.probes.end());
     }
   }
 
-  double drop;
+  double loss_rate;
   timestamp now{};
   std::mt19937_64 random{7};
 };
@@ -81,7 +82,7 @@
 // At first each host knows only itself and the first host; the rest is spread by gossip.
 TEST_CASE("every host learns about every other host") {
   const auto count = GENERATE(std::size_t{3}, std::size_t{9}, std::size_t{40});
-  world hosts(count, 0);
+  cluster hosts(count, 0);
   hosts.run(60);
   for (std::size_t at = 0; at < count; ++at) {
     INFO("host " << at << " of " << count);
@@ -90,7 +91,7 @@
 }
 
 TEST_CASE("a host that stops answering is gone in the view of all others within seconds") {
-  world hosts(9, 0);
+  cluster hosts(9, 0);
   hosts.run(40);
   hosts.stopped[4] = true;
   hosts.run(30);
@@ -99,7 +100,7 @@
 
 // One message in ten is lost. Probes through other hosts and refutation prevent a false removal.
 TEST_CASE("lost messages alone do not make hosts disappear") {
-  world hosts(9, 0.1);
+  cluster hosts(9, 0.1);
   hosts.run(400);
   for (std::size_t at = 0; at < 9; ++at) {
     INFO("host " << at);
@@ -109,7 +110,7 @@
 
 // The pause is shorter than the suspicion timeout.
 TEST_CASE("a host that was paused for a short time refutes the suspicion against it") {
-  world hosts(5, 0);
+  cluster hosts(5, 0);
   hosts.run(30);
   hosts.stopped[2] = true;
   hosts.run(4);
@@ -119,7 +120,7 @@
 }
 
 TEST_CASE("a planned stop is announced by the host itself") {
-  world hosts(5, 0);
+  cluster hosts(5, 0);
   hosts.run(30);
   hosts.cores[3].leave();
   hosts.run(20);
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -112,7 +112,7 @@
   [[nodiscard]] const assignment& known_assignment() const { return this->known; }
   [[nodiscard]] bool proposal_open() const { return this->proposed.has_value(); }
   [[nodiscard]] epoch sealed_epoch() const { return this->sealed; }
-  [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->held; }
+  [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->own_log; }
   [[nodiscard]] const program_state* find_program(const program_id& program) const;
   [[nodiscard]] bool complete() const;
   /// Number of calls that are logged or dispatched and not yet answered.
@@ -128,9 +128,10 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->own_shard, this->self, this->current_role, this->known, this->proposed,
-            this->sealed, this->held, this->early, this->former, this->former_missing,
-            this->gathered, this->inherited_unknown, this->peers, this->calls, this->late,
-            this->nonces, this->hold_until, this->unsent);
+            this->sealed, this->own_log, this->buffered_appends, this->former,
+            this->unsealed_former_replicas, this->collected_logs, this->inherited_unknown_below,
+            this->peers, this->calls, this->late_calls, this->nonces, this->send_not_before,
+            this->unacknowledged_records);
   }
 
 private:
@@ -140,8 +141,8 @@
     bool sealed = false;
     bool installed = false;
     record_index acknowledged;
-    timestamp heard;
-    timestamp sent;
+    timestamp last_reply;
+    timestamp last_sent;
     /// Time since which it has lacked a record.
     timestamp behind_since;
     /// It has lacked a record for longer than `replica_silence`; results do not wait for it.
@@ -161,14 +162,15 @@
     std::optional<intent_logged> intent;
     std::optional<call_answer> answer;
     /// The former owner that forwarded the result and gets the answer in place of a caller.
-    std::optional<host_incarnation> brought_by;
+    std::optional<host_incarnation> forwarded_by;
     timestamp since;
     /// While confirming: the probe number that a replica has to return.
     std::uint64_t probe = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(this->program, this->stage, this->index, this->intent, this->brought_by, this->probe);
+      archive(this->program, this->stage, this->index, this->intent, this->forwarded_by,
+              this->probe);
     }
   };
 
@@ -177,7 +179,7 @@
     call_id call;
     turn_finished result;
     timestamp since;
-    timestamp sent;
+    timestamp last_sent;
 
     template <class Archive>
     void serialize(Archive& archive) {
@@ -200,20 +202,20 @@
   void start_sealing(const assignment& won, timestamp now, actions& out);
   bool all_former_sealed() const;
   void start_serving(timestamp now, actions& out);
-  void merge_gathered();
-  void absorb_late(const log_snapshot& log, const host_incarnation& from, timestamp now,
-                   actions& out);
+  void merge_collected_logs();
+  void merge_late_log(const log_snapshot& log, const host_incarnation& from, timestamp now,
+                      actions& out);
   void end_call_of_former_owner(call_id call, const open_call& item, timestamp now, actions& out);
   void depose(const assignment& entry, timestamp now, actions& out);
-  void settle_proposal(const assignment& entry, timestamp now, actions& out);
-  void follow_up(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
+  void resolve_proposal(const assignment& entry, timestamp now, actions& out);
+  void send_missing(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   void request_seal(const host_incarnation& to, timestamp now, actions& out);
   void confirm_calls(std::uint64_t probe, timestamp now, actions& out);
   void checkpoint(timestamp now, actions& out);
   void install(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   bool append(const log_record& record, timestamp now, actions& out);
   void update_full();
-  bool counts(const host_incarnation& replica) const;
+  bool is_counted(const host_incarnation& replica) const;
   std::uint32_t acknowledgements(record_index index) const;
   bool all_acknowledged(record_index index) const;
   bool reachable_acknowledged(record_index index) const;
@@ -223,8 +225,8 @@
   void dispatch(call_id call, open_call& item, timestamp now, actions& out);
   void give_up_intents(timestamp now, actions& out);
   void give_up_late_results(timestamp now, actions& out);
-  void note_silent_replicas(timestamp now, actions& out);
-  call_answer answer_with(const program_state& program, std::uint64_t random);
+  void mark_silent_replicas(timestamp now, actions& out);
+  call_answer make_answer(const program_state& program, std::uint64_t random);
   ticket current_ticket(const program_state& program, std::uint64_t random);
   std::optional<call_answer> check_history(const program_state& program,
                                            const call_request& request) const;
@@ -248,33 +250,34 @@
   /// The highest epoch to which this host was sealed. Invariant: never decreases; no record of a
   /// lower epoch is appended here.
   epoch sealed;
-  std::optional<log_snapshot> held;
-  /// Appends of the current epoch that arrived before an earlier one; at most `most_early`.
-  std::map<record_index, append_request> early;
+  std::optional<log_snapshot> own_log;
+  /// Appends of the current epoch that arrived before an earlier one; at most
+  /// `max_buffered_appends`.
+  std::map<record_index, append_request> buffered_appends;
 
   // Takeover: the map entry of the former owner and the logs of its replicas.
   assignment former;
   /// Replicas of `former` that are not sealed yet.
-  std::set<host_incarnation> former_missing;
-  std::vector<log_snapshot> gathered;
+  std::set<host_incarnation> unsealed_former_replicas;
+  std::vector<log_snapshot> collected_logs;
   timestamp sealing_since;
   /// `unknown_below` in the log of the former owner's epoch; absent when no log of that epoch was
   /// found.
-  std::optional<epoch> inherited_unknown;
+  std::optional<epoch> inherited_unknown_below;
 
   // Serving.
   std::map<host_incarnation, peer_progress> peers;
   std::map<call_id, open_call> calls;
-  std::map<ticket, late_call> late;
+  std::map<ticket, late_call> late_calls;
   /// Nonce of the only valid ticket of each program. Invariant: changed before this host answers
   /// `not_run`.
   std::map<program_id, std::uint64_t> nonces;
   /// Programs with a call that the former owner may still be sending, and until when.
-  std::map<program_id, timestamp> hold_until;
+  std::map<program_id, timestamp> send_not_before;
   std::uint64_t last_probe = 0;
   /// Newest records, for replicas that lack them. The first is at position `last` - size + 1; at
-  /// most `longest_unsent`.
-  std::deque<log_record> unsent;
+  /// most `max_unacknowledged_records`.
+  std::deque<log_record> unacknowledged_records;
   bool degraded = false;
 };
 
--- a/libs/ownership/src/log_order.h
+++ b/libs/ownership/src/log_order.h
@@ -8,7 +8,8 @@
 
 namespace hawthornlane {
 
-inline bool names(const std::vector<host_incarnation>& hosts, const host_incarnation& host) {
+inline bool contains_host(const std::vector<host_incarnation>& hosts,
+                          const host_incarnation& host) {
   return std::find(hosts.begin(), hosts.end(), host) != hosts.end();
 }
 
--- a/libs/ownership/src/placement.cc
+++ b/libs/ownership/src/placement.cc
@@ -116,8 +116,8 @@
   }
   const auto [fewest, most] = std::minmax_element(hosts.begin(), hosts.end(), fewer);
   const std::size_t excess = count_of(most->id) - count_of(fewest->id);
-  constexpr std::size_t worth_a_move = 2;
-  if (most->id != self || excess < worth_a_move) {
+  constexpr std::size_t min_excess = 2;
+  if (most->id != self || excess < min_excess) {
     return std::nullopt;
   }
   return shard_move{fewest->id, excess / 2};
--- a/libs/ownership/src/shard_core.cc
+++ b/libs/ownership/src/shard_core.cc
@@ -17,7 +17,7 @@
 actions shard_core::observe_assignment(const assignment& entry, timestamp now) {
   actions out;
   if (this->proposed) {
-    this->settle_proposal(entry, now, out);
+    this->resolve_proposal(entry, now, out);
   }
   if (entry.at < this->known.at) {
     return out;
@@ -58,13 +58,13 @@
   bool removes = false;
   bool stays = false;
   for (const host_incarnation& replica : this->known.replicas) {
-    if (!names(replicas, replica)) {
+    if (!contains_host(replicas, replica)) {
       removes = true;
       continue;
     }
     const auto peer = this->peers.find(replica);
     stays = stays || (peer != this->peers.end() && peer->second.installed &&
-                      peer->second.acknowledged == this->held->last);
+                      peer->second.acknowledged == this->own_log->last);
   }
   if (removes && !stays && this->rules.remove_only_when_others_hold_all) {
     return out;
@@ -88,14 +88,14 @@
       }
       return {};
     case proposal_outcome::unknown:
-      // The write may have been applied or not: the host reads the entry back and calls `learn`,
-      // or writes the same proposal again.
+      // The write may have been applied or not: the host reads the entry back and calls
+      // `observe_assignment`, or writes the same proposal again.
       return {};
   }
   return {};
 }
 
-void shard_core::settle_proposal(const assignment& entry, timestamp now, actions& out) {
+void shard_core::resolve_proposal(const assignment& entry, timestamp now, actions& out) {
   const assignment mine = *this->proposed;
   if (entry == mine) {
     this->proposed.reset();
@@ -108,11 +108,11 @@
       peer_progress& peer = this->peers[replica];
       if (!peer.sealed) {
         out.push_back(send_message{replica, seal_request{this->known.at}});
-        peer.sent = now;
+        peer.last_sent = now;
       }
     }
     std::erase_if(this->peers,
-                  [&mine](const auto& item) { return !names(mine.replicas, item.first); });
+                  [&mine](const auto& item) { return !contains_host(mine.replicas, item.first); });
     this->advance_calls(now, out);
     return;
   }
@@ -128,7 +128,7 @@
 
 actions shard_core::hand_over(const host_incarnation& successor) {
   actions out;
-  if (this->serving() && names(this->known.replicas, successor)) {
+  if (this->serving() && contains_host(this->known.replicas, successor)) {
     out.push_back(send_message{successor, hand_over_request{this->known.at}});
   }
   return out;
@@ -138,14 +138,15 @@
   // Without the former owner, or without the only replica that is not sealed, the other side of a
   // network partition sends no further calls, so its share of the budgets is free again.
   // What that replica acknowledged before remains unknown.
-  if (!this->serving() || !this->held || (this->former_missing.empty())) {
+  if (!this->serving() || !this->own_log || (this->unsealed_former_replicas.empty())) {
     return;
   }
-  const bool only_missing = this->former_missing.size() == 1 && this->former_missing.contains(host);
-  if (host != this->former.owner && !only_missing) {
+  const bool is_only_unsealed =
+      this->unsealed_former_replicas.size() == 1 && this->unsealed_former_replicas.contains(host);
+  if (host != this->former.owner && !is_only_unsealed) {
     return;
   }
-  for (auto& [id, program] : this->held->state.programs) {
+  for (auto& [id, program] : this->own_log->state.programs) {
     program.withheld = token_count(0);
   }
 }
@@ -172,10 +173,10 @@
 }  // namespace
 
 std::string shard_core::broken_invariant() const {
-  if (!this->held) {
+  if (!this->own_log) {
     return {};
   }
-  for (const auto& [id, program] : this->held->state.programs) {
+  for (const auto& [id, program] : this->own_log->state.programs) {
     std::string broken = broken_program(program, 0);
     if (!broken.empty()) {
       return broken;
@@ -185,10 +186,10 @@
 }
 
 std::string shard_core::broken_invariant_in_newest_turns() const {
-  if (!this->held) {
+  if (!this->own_log) {
     return {};
   }
-  for (const auto& [id, program] : this->held->state.programs) {
+  for (const auto& [id, program] : this->own_log->state.programs) {
     std::string broken =
         broken_program(program, program.turns.empty() ? 0 : program.turns.size() - 1);
     if (!broken.empty()) {
--- a/libs/ownership/src/shard_core_calls.cc
+++ b/libs/ownership/src/shard_core_calls.cc
@@ -7,15 +7,15 @@
 namespace hawthornlane {
 
 const program_state* shard_core::find_program(const program_id& program) const {
-  if (!this->held) {
+  if (!this->own_log) {
     return nullptr;
   }
-  const auto found = this->held->state.programs.find(program);
-  return found == this->held->state.programs.end() ? nullptr : &found->second;
+  const auto found = this->own_log->state.programs.find(program);
+  return found == this->own_log->state.programs.end() ? nullptr : &found->second;
 }
 
 bool shard_core::complete() const {
-  return this->held && this->held->state.unknown_below <= epoch(0);
+  return this->own_log && this->own_log->state.unknown_below <= epoch(0);
 }
 
 ticket shard_core::current_ticket(const program_state& program, std::uint64_t random) {
@@ -23,14 +23,14 @@
   return ticket{this->own_shard, this->known.at, program.next_turn(), at->second};
 }
 
-call_answer shard_core::answer_with(const program_state& program, std::uint64_t random) {
+call_answer shard_core::make_answer(const program_state& program, std::uint64_t random) {
   call_answer answer;
   if (!program.open_intent && !program.closed) {
     answer.next = this->current_ticket(program, random);
   }
   answer.digest = program.digest();
   answer.budget_left = program.tokens_left();
-  answer.copies = this->held ? this->acknowledgements(this->held->last) + 1 : 0;
+  answer.copies = this->own_log ? this->acknowledgements(this->own_log->last) + 1 : 0;
   return answer;
 }
 
@@ -46,8 +46,8 @@
   open_call item;
   item.program = program.program;
   item.stage = call_stage::logging_result;
-  item.index = this->held->last;
-  item.answer = this->answer_with(this->held->state.programs.at(program.program), random);
+  item.index = this->own_log->last;
+  item.answer = this->make_answer(this->own_log->state.programs.at(program.program), random);
   item.since = now;
   this->calls.emplace(call, std::move(item));
   this->advance_calls(now, out);
@@ -76,8 +76,8 @@
   open_call item;
   item.program = program;
   item.stage = call_stage::logging_result;
-  item.index = this->held->last;
-  item.answer = this->answer_with(*state, 0);
+  item.index = this->own_log->last;
+  item.answer = this->make_answer(*state, 0);
   item.since = now;
   this->calls.emplace(call, std::move(item));
   this->advance_calls(now, out);
@@ -92,7 +92,7 @@
   }
   this->append(program_removed{program}, now, out);
   this->nonces.erase(program);
-  this->hold_until.erase(program);
+  this->send_not_before.erase(program);
   return out;
 }
 
@@ -120,15 +120,15 @@
 std::optional<call_answer> shard_core::check_ticket(const program_state& program,
                                                     const call_request& request,
                                                     std::uint64_t random) {
-  const ticket& asked = request.presented;
+  const ticket& presented_ticket = request.presented;
   call_answer refusal;
-  if (asked.issued_in > this->known.at) {
+  if (presented_ticket.issued_in > this->known.at) {
     refusal.error = error_kind::not_owner;
     return refusal;
   }
-  const bool own_epoch = asked.issued_in == this->known.at;
-  if (!own_epoch && asked.issued_in < this->held->state.unknown_below) {
-    refusal = this->answer_with(program, random);
+  const bool own_epoch = presented_ticket.issued_in == this->known.at;
+  if (!own_epoch && presented_ticket.issued_in < this->own_log->state.unknown_below) {
+    refusal = this->make_answer(program, random);
     refusal.error = error_kind::may_have_run;
     refusal.detail = "the log of the ticket's epoch is incomplete";
     return refusal;
@@ -140,12 +140,12 @@
     refusal.digest = program.digest();
     return refusal;
   }
-  const bool is_current = own_epoch ? asked == this->current_ticket(program, random)
+  const bool is_current = own_epoch ? presented_ticket == this->current_ticket(program, random)
                                     : !this->rules.ticket_bound_to_epoch;
-  if (is_current && asked.turn == program.next_turn()) {
+  if (is_current && presented_ticket.turn == program.next_turn()) {
     return std::nullopt;
   }
-  refusal = this->answer_with(program, random);
+  refusal = this->make_answer(program, random);
   refusal.error = error_kind::not_run;
   refusal.detail = "the ticket is no longer valid";
   return refusal;
@@ -185,7 +185,7 @@
     return refusal;
   }
   if (const finished_turn* turn = program->find_finished(request.presented)) {
-    call_answer kept = this->answer_with(*program, random);
+    call_answer kept = this->make_answer(*program, random);
     if (turn->request_digest != request.request_digest) {
       kept.error = error_kind::wrong_ticket;
       kept.detail = "the ticket was used for another request";
@@ -200,7 +200,7 @@
     return refusal;
   }
   if (program->find_abandoned(request.presented) != nullptr) {
-    refusal = this->answer_with(*program, random);
+    refusal = this->make_answer(*program, random);
     refusal.error = error_kind::may_have_run;
     return refusal;
   }
@@ -228,7 +228,7 @@
   if (this->rules.refusal_ends_ticket && !program->open_intent) {
     this->nonces[request.program] = random;
   }
-  call_answer refusal = this->answer_with(*program, random);
+  call_answer refusal = this->make_answer(*program, random);
   refusal.error = kind;
   refusal.detail = std::move(detail);
   return refusal;
@@ -251,7 +251,7 @@
   this->append(intent, now, out);
   open_call item;
   item.program = request.program;
-  item.index = this->held->last;
+  item.index = this->own_log->last;
   item.intent = intent;
   item.since = now;
   this->calls.emplace(request.call, std::move(item));
@@ -283,8 +283,9 @@
   item.since = now;
   item.probe = ++this->last_probe;
   for (const auto& [host, peer] : this->peers) {
-    out.push_back(send_message{host, append_request{this->known.at, this->held->last,
-                                                    this->held->full, std::nullopt, item.probe}});
+    out.push_back(
+        send_message{host, append_request{this->known.at, this->own_log->last, this->own_log->full,
+                                          std::nullopt, item.probe}});
   }
   return false;
 }
@@ -305,7 +306,7 @@
       answer.error = error_kind::may_have_run;
       out.push_back(answer_call{result.call, answer});
     } else {
-      this->late.emplace(intent.call_ticket, late_call{result.call, record, now, now});
+      this->late_calls.emplace(intent.call_ticket, late_call{result.call, record, now, now});
       out.push_back(send_message{this->known.owner, late_result{record}});
     }
     this->calls.erase(found);
@@ -323,8 +324,8 @@
   } else {
     this->append(record, now, out);
   }
-  const program_state& program = this->held->state.programs.at(item.program);
-  const call_answer closing = this->answer_with(program, random);
+  const program_state& program = this->own_log->state.programs.at(item.program);
+  const call_answer closing = this->make_answer(program, random);
   answer.next = closing.next;
   answer.digest = closing.digest;
   answer.budget_left = closing.budget_left;
@@ -332,7 +333,7 @@
     answer.turn = program.turns.back();
   }
   item.stage = call_stage::logging_result;
-  item.index = this->held->last;
+  item.index = this->own_log->last;
   item.answer = std::move(answer);
   item.since = now;
   this->advance_calls(now, out);
--- a/libs/ownership/src/shard_core_log.cc
+++ b/libs/ownership/src/shard_core_log.cc
@@ -9,9 +9,9 @@
 namespace {
 
 /// A replica that lacks more records than this is sent the whole state.
-constexpr std::size_t longest_unsent = 512;
+constexpr std::size_t max_unacknowledged_records = 512;
 /// Most appends that a replica buffers because an earlier one has not arrived.
-constexpr std::size_t most_early = 64;
+constexpr std::size_t max_buffered_appends = 64;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
       successor.owner = from;
       this->depose(successor, now, out);
     }
-    reply.log = this->held;
+    reply.log = this->own_log;
   }
   out.push_back(send_message{from, reply});
   return out;
@@ -47,35 +47,36 @@
   reply.at = message.log.at;
   reply.accepted = message.log.at == this->sealed;
   if (reply.accepted) {
-    const bool newer = !this->held || is_longer(message.log, *this->held);
+    const bool newer = !this->own_log || is_longer(message.log, *this->own_log);
     if (newer) {
-      this->held = message.log;
-      this->early.clear();
+      this->own_log = message.log;
+      this->buffered_appends.clear();
     }
-    reply.last = this->held->last;
+    reply.last = this->own_log->last;
   }
   reply.highest = this->sealed;
   return {send_message{from, reply}};
 }
 
 void shard_core::append_as_replica(const append_request& message) {
-  if (!message.record || message.index <= this->held->last) {
+  if (!message.record || message.index <= this->own_log->last) {
     return;
   }
-  if (this->early.size() < most_early) {
-    this->early.emplace(message.index, message);
+  if (this->buffered_appends.size() < max_buffered_appends) {
+    this->buffered_appends.emplace(message.index, message);
   }
-  for (auto at = this->early.begin(); at != this->early.end(); at = this->early.erase(at)) {
+  for (auto at = this->buffered_appends.begin(); at != this->buffered_appends.end();
+       at = this->buffered_appends.erase(at)) {
     const append_request& next = at->second;
-    if (next.index > this->held->last.next()) {
+    if (next.index > this->own_log->last.next()) {
       break;
     }
-    if (next.at != this->held->at || next.index <= this->held->last) {
+    if (next.at != this->own_log->at || next.index <= this->own_log->last) {
       continue;
     }
-    this->held->full = std::max(this->held->full, next.full);
-    if (apply(this->held->state, *next.record, next.index, this->held->full)) {
-      this->held->last = next.index;
+    this->own_log->full = std::max(this->own_log->full, next.full);
+    if (apply(this->own_log->state, *next.record, next.index, this->own_log->full)) {
+      this->own_log->last = next.index;
     }
   }
 }
@@ -85,11 +86,11 @@
   append_reply reply;
   reply.at = message.at;
   reply.probe = message.probe;
-  const bool follows_log = this->held && this->held->at == message.at;
+  const bool follows_log = this->own_log && this->own_log->at == message.at;
   reply.accepted = follows_log && (message.at == this->sealed || !this->rules.replicas_fence);
   if (reply.accepted) {
     this->append_as_replica(message);
-    reply.last = this->held->last;
+    reply.last = this->own_log->last;
   }
   reply.highest = this->sealed;
   return {send_message{from, reply}};
@@ -97,18 +98,18 @@
 
 // --- appending at the owner -------------------------------------------------
 
-bool shard_core::counts(const host_incarnation& replica) const {
-  if (!names(this->known.replicas, replica)) {
+bool shard_core::is_counted(const host_incarnation& replica) const {
+  if (!contains_host(this->known.replicas, replica)) {
     return false;
   }
   const bool undecided = this->proposed && this->rules.count_only_common_replicas;
-  return !undecided || names(this->proposed->replicas, replica);
+  return !undecided || contains_host(this->proposed->replicas, replica);
 }
 
 std::uint32_t shard_core::acknowledgements(record_index index) const {
   std::uint32_t count = 0;
   for (const auto& [host, peer] : this->peers) {
-    if (peer.installed && peer.acknowledged >= index && this->counts(host)) {
+    if (peer.installed && peer.acknowledged >= index && this->is_counted(host)) {
       ++count;
     }
   }
@@ -124,7 +125,7 @@
   const bool current = std::all_of(this->known.replicas.begin(), this->known.replicas.end(), holds);
   const bool next = !this->proposed || std::all_of(this->proposed->replicas.begin(),
                                                    this->proposed->replicas.end(), holds);
-  return current && next && !this->known.replicas.empty() && this->former_missing.empty();
+  return current && next && !this->known.replicas.empty() && this->unsealed_former_replicas.empty();
 }
 
 bool shard_core::reachable_acknowledged(record_index index) const {
@@ -143,12 +144,12 @@
 }
 
 std::size_t shard_core::in_sync_replicas() const {
-  return this->serving() ? this->acknowledgements(this->held->last) : 0;
+  return this->serving() ? this->acknowledgements(this->own_log->last) : 0;
 }
 
 void shard_core::update_full() {
-  record_index full = this->held->last;
-  if (!this->former_missing.empty()) {
+  record_index full = this->own_log->last;
+  if (!this->unsealed_former_replicas.empty()) {
     return;
   }
   for (const host_incarnation& replica : this->known.replicas) {
@@ -156,28 +157,28 @@
     const bool holds = peer != this->peers.end() && peer->second.installed;
     full = std::min(full, holds ? peer->second.acknowledged : record_index(0));
   }
-  this->held->full = std::max(this->held->full, full);
-  const std::uint64_t lacking = this->held->last.get() - full.get();
-  while (this->unsent.size() > lacking) {
-    this->unsent.pop_front();
+  this->own_log->full = std::max(this->own_log->full, full);
+  const std::uint64_t missing_records = this->own_log->last.get() - full.get();
+  while (this->unacknowledged_records.size() > missing_records) {
+    this->unacknowledged_records.pop_front();
   }
 }
 
 void shard_core::install(const host_incarnation& to, peer_progress& peer, timestamp now,
                          actions& out) {
-  peer.sent = now;
-  out.push_back(send_message{to, install_request{*this->held}});
+  peer.last_sent = now;
+  out.push_back(send_message{to, install_request{*this->own_log}});
 }
 
 bool shard_core::append(const log_record& record, timestamp now, actions& out) {
-  const record_index index = this->held->last.next();
-  if (!apply(this->held->state, record, index, this->held->full)) {
+  const record_index index = this->own_log->last.next();
+  if (!apply(this->own_log->state, record, index, this->own_log->full)) {
     return false;
   }
-  this->held->last = index;
-  this->unsent.push_back(record);
-  if (this->unsent.size() > longest_unsent) {
-    this->unsent.pop_front();
+  this->own_log->last = index;
+  this->unacknowledged_records.push_back(record);
+  if (this->unacknowledged_records.size() > max_unacknowledged_records) {
+    this->unacknowledged_records.pop_front();
   }
   for (auto& [host, peer] : this->peers) {
     if (!peer.installed) {
@@ -186,35 +187,35 @@
     if (peer.acknowledged.next() == index) {
       peer.behind_since = now;
     }
-    peer.sent = now;
+    peer.last_sent = now;
     out.push_back(
-        send_message{host, append_request{this->known.at, index, this->held->full, record, 0}});
+        send_message{host, append_request{this->known.at, index, this->own_log->full, record, 0}});
   }
   return true;
 }
 
-void shard_core::follow_up(const host_incarnation& to, peer_progress& peer, timestamp now,
-                           actions& out) {
+void shard_core::send_missing(const host_incarnation& to, peer_progress& peer, timestamp now,
+                              actions& out) {
   if (!peer.sealed) {
     this->request_seal(to, now, out);
     return;
   }
-  const std::uint64_t lacking = this->held->last.get() - peer.acknowledged.get();
-  if (!peer.installed || lacking > this->unsent.size()) {
+  const std::uint64_t missing_records = this->own_log->last.get() - peer.acknowledged.get();
+  if (!peer.installed || missing_records > this->unacknowledged_records.size()) {
     this->install(to, peer, now, out);
     return;
   }
-  peer.sent = now;
-  if (lacking == 0) {
-    out.push_back(send_message{
-        to, append_request{this->known.at, this->held->last, this->held->full, std::nullopt, 0}});
+  peer.last_sent = now;
+  if (missing_records == 0) {
+    out.push_back(send_message{to, append_request{this->known.at, this->own_log->last,
+                                                  this->own_log->full, std::nullopt, 0}});
     return;
   }
   std::uint64_t index = peer.acknowledged.get();
-  for (auto at = this->unsent.end() - static_cast<std::ptrdiff_t>(lacking);
-       at != this->unsent.end(); ++at) {
+  for (auto at = this->unacknowledged_records.end() - static_cast<std::ptrdiff_t>(missing_records);
+       at != this->unacknowledged_records.end(); ++at) {
     out.push_back(send_message{
-        to, append_request{this->known.at, record_index(++index), this->held->full, *at, 0}});
+        to, append_request{this->known.at, record_index(++index), this->own_log->full, *at, 0}});
   }
 }
 
@@ -229,7 +230,7 @@
     return out;
   }
   peer_progress& peer = found->second;
-  peer.heard = now;
+  peer.last_reply = now;
   peer.silent = false;
   peer.installed = peer.installed || message.last > record_index(0);
   const bool behind = message.last < peer.acknowledged;
@@ -239,10 +240,10 @@
   }
   this->update_full();
   this->advance_calls(now, out);
-  const bool gap = peer.acknowledged < this->held->last && !behind &&
-                   now - peer.sent >= this->times.resend_after;
+  const bool gap = peer.acknowledged < this->own_log->last && !behind &&
+                   now - peer.last_sent >= this->times.resend_after;
   if (gap) {
-    this->follow_up(from, peer, now, out);
+    this->send_missing(from, peer, now, out);
   }
   return out;
 }
@@ -261,17 +262,17 @@
   if (!this->rules.halve_budget_when_split) {
     return true;
   }
-  const std::int64_t at_full = program.left_at_full().get();
+  const std::int64_t at_full = program.tokens_left_at_full().get();
   return program.tokens_left().get() >= at_full - at_full / 2;
 }
 
 void shard_core::dispatch(call_id call, open_call& item, timestamp now, actions& out) {
   item.stage = call_stage::dispatched;
   item.since = now;
-  const auto held_back = this->hold_until.find(item.program);
+  const auto earliest_send = this->send_not_before.find(item.program);
   dispatch_call order{call, *item.intent, now, now + this->times.dispatch_gap};
-  if (held_back != this->hold_until.end()) {
-    order.not_before = std::max(now, held_back->second);
+  if (earliest_send != this->send_not_before.end()) {
+    order.not_before = std::max(now, earliest_send->second);
     order.send_by = order.not_before + this->times.dispatch_gap;
     item.since = order.not_before;
   }
@@ -280,11 +281,11 @@
 
 bool shard_core::advance_call(call_id call, open_call& item, timestamp now, actions& out) {
   if (item.stage == call_stage::logging_intent) {
-    const program_state& program = this->held->state.programs.at(item.program);
+    const program_state& program = this->own_log->state.programs.at(item.program);
     const bool one = this->acknowledgements(item.index) > 0 || !this->rules.intent_before_dispatch;
-    const bool go =
+    const bool can_dispatch =
         this->all_acknowledged(item.index) || (one && this->within_split_budget(program));
-    if (go) {
+    if (can_dispatch) {
       this->dispatch(call, item, now, out);
     }
     return false;
@@ -293,12 +294,12 @@
     return false;
   }
   const std::uint32_t copies = this->acknowledgements(item.index) + 1;
-  if (item.brought_by) {
+  if (item.forwarded_by) {
     late_result_reply reply{item.program, item.intent->call_ticket, true, copies, {}, 0, {}};
     reply.next = item.answer->next;
     reply.digest = item.answer->digest;
     reply.budget_left = item.answer->budget_left;
-    out.push_back(send_message{*item.brought_by, std::move(reply)});
+    out.push_back(send_message{*item.forwarded_by, std::move(reply)});
     return true;
   }
   item.answer->copies = copies;
@@ -335,19 +336,20 @@
   item.stage = call_stage::logging_result;
   item.intent = intent_logged{};
   item.intent->call_ticket = result.call_ticket;
-  item.brought_by = from;
+  item.forwarded_by = from;
   item.since = now;
   if (known_turn == nullptr) {
     // The result takes this turn, so the new ticket that was issued for the turn must not run.
     this->nonces.erase(result.program);
     this->append(result, now, out);
   }
-  item.index = this->held->last;
+  item.index = this->own_log->last;
   // A message carries no random number. The nonce is derived from the ticket and the epoch, and
   // differs from each nonce that was issued for the turn.
-  const std::uint64_t fresh = chain_digest(result.call_ticket.nonce, to_string(result.call_ticket),
-                                           std::to_string(this->known.at.get()));
-  item.answer = this->answer_with(this->held->state.programs.at(result.program), fresh);
+  const std::uint64_t new_nonce =
+      chain_digest(result.call_ticket.nonce, to_string(result.call_ticket),
+                   std::to_string(this->known.at.get()));
+  item.answer = this->make_answer(this->own_log->state.programs.at(result.program), new_nonce);
   // Calls without a waiting caller have ids from the largest number downwards, so that they do
   // not collide with ids of callers' calls.
   std::uint64_t key = ~std::uint64_t{0};
@@ -362,8 +364,8 @@
 actions shard_core::on(const host_incarnation& /*from*/, const late_result_reply& message,
                        timestamp /*now*/) {
   actions out;
-  const auto found = this->late.find(message.call_ticket);
-  if (found == this->late.end()) {
+  const auto found = this->late_calls.find(message.call_ticket);
+  if (found == this->late_calls.end()) {
     return out;
   }
   const turn_finished& result = found->second.result;
@@ -383,7 +385,7 @@
     answer.error = error_kind::ran_not_kept;
   }
   out.push_back(answer_call{found->second.call, std::move(answer)});
-  this->late.erase(found);
+  this->late_calls.erase(found);
   return out;
 }
 
@@ -420,7 +422,7 @@
 }
 
 void shard_core::give_up_late_results(timestamp now, actions& out) {
-  for (auto at = this->late.begin(); at != this->late.end();) {
+  for (auto at = this->late_calls.begin(); at != this->late_calls.end();) {
     late_call& item = at->second;
     if (now - item.since > this->times.late_result_wait) {
       call_answer answer;
@@ -430,30 +432,31 @@
       turn.answer = item.result.answer;
       answer.turn = std::move(turn);
       out.push_back(answer_call{item.call, std::move(answer)});
-      at = this->late.erase(at);
+      at = this->late_calls.erase(at);
       continue;
     }
-    if (now - item.sent >= this->times.resend_after) {
-      item.sent = now;
+    if (now - item.last_sent >= this->times.resend_after) {
+      item.last_sent = now;
       out.push_back(send_message{this->known.owner, late_result{item.result}});
     }
     ++at;
   }
 }
 
-void shard_core::note_silent_replicas(timestamp now, actions& out) {
-  bool lacking = false;
+void shard_core::mark_silent_replicas(timestamp now, actions& out) {
+  bool missing_records = false;
   for (const host_incarnation& replica : this->known.replicas) {
     peer_progress& peer = this->peers[replica];
-    const bool behind = !peer.installed || peer.acknowledged < this->held->last;
-    const duration silence = now - std::max(peer.behind_since, peer.heard);
+    const bool behind = !peer.installed || peer.acknowledged < this->own_log->last;
+    const duration silence = now - std::max(peer.behind_since, peer.last_reply);
     peer.silent = peer.silent || (behind && silence > this->times.replica_silence);
-    lacking = lacking || peer.silent;
+    missing_records = missing_records || peer.silent;
   }
-  if (lacking != this->degraded) {
-    this->degraded = lacking;
+  if (missing_records != this->degraded) {
+    this->degraded = missing_records;
     out.push_back(role_changed{
-        lacking ? role_changed::change::degraded : role_changed::change::restored, this->known.at});
+        missing_records ? role_changed::change::degraded : role_changed::change::restored,
+        this->known.at});
   }
 }
 
@@ -467,7 +470,7 @@
     }
     for (const host_incarnation& host : this->all_peers()) {
       const peer_progress& peer = this->peers[host];
-      if (!peer.sealed && now - peer.sent >= this->times.resend_after) {
+      if (!peer.sealed && now - peer.last_sent >= this->times.resend_after) {
         this->request_seal(host, now, out);
       }
     }
@@ -478,14 +481,14 @@
   }
   for (const host_incarnation& host : this->all_peers()) {
     peer_progress& peer = this->peers[host];
-    const bool waiting = !peer.sealed || !peer.installed || peer.acknowledged < this->held->last;
+    const bool waiting = !peer.sealed || !peer.installed || peer.acknowledged < this->own_log->last;
     const bool needs = waiting || !this->calls.empty();
-    if (needs && now - peer.sent >= this->times.resend_after) {
-      this->follow_up(host, peer, now, out);
+    if (needs && now - peer.last_sent >= this->times.resend_after) {
+      this->send_missing(host, peer, now, out);
     }
   }
   this->give_up_intents(now, out);
-  this->note_silent_replicas(now, out);
+  this->mark_silent_replicas(now, out);
   this->advance_calls(now, out);
   return out;
 }
--- a/libs/ownership/src/shard_core_takeover.cc
+++ b/libs/ownership/src/shard_core_takeover.cc
@@ -9,7 +9,7 @@
 namespace hawthornlane {
 
 void shard_core::request_seal(const host_incarnation& to, timestamp now, actions& out) {
-  this->peers[to].sent = now;
+  this->peers[to].last_sent = now;
   out.push_back(send_message{to, seal_request{this->known.at}});
 }
 
@@ -18,21 +18,21 @@
   this->known = won;
   this->current_role = role_kind::sealing;
   this->peers.clear();
-  this->gathered.clear();
+  this->collected_logs.clear();
   this->nonces.clear();
-  this->hold_until.clear();
-  this->unsent.clear();
-  this->inherited_unknown.reset();
+  this->send_not_before.clear();
+  this->unacknowledged_records.clear();
+  this->inherited_unknown_below.reset();
   if (won.at < this->sealed) {
     // A later owner has already sealed this host.
     this->current_role = role_kind::follower;
     return;
   }
   this->sealed = won.at;
-  this->former_missing = {this->former.replicas.begin(), this->former.replicas.end()};
-  this->former_missing.erase(this->self);
-  if (this->held) {
-    this->gathered.push_back(*this->held);
+  this->unsealed_former_replicas = {this->former.replicas.begin(), this->former.replicas.end()};
+  this->unsealed_former_replicas.erase(this->self);
+  if (this->own_log) {
+    this->collected_logs.push_back(*this->own_log);
   }
   for (const host_incarnation& peer : this->all_peers()) {
     this->request_seal(peer, now, out);
@@ -45,19 +45,20 @@
 
 std::vector<host_incarnation> shard_core::all_peers() const {
   std::vector<host_incarnation> hosts = this->known.replicas;
-  for (const host_incarnation& missing : this->former_missing) {
-    if (!names(hosts, missing)) {
+  for (const host_incarnation& missing : this->unsealed_former_replicas) {
+    if (!contains_host(hosts, missing)) {
       hosts.push_back(missing);
     }
   }
   const bool had_owner = this->former.at > epoch(0) && this->former.owner != this->self;
-  if (had_owner && this->current_role == role_kind::sealing && !names(hosts, this->former.owner)) {
+  if (had_owner && this->current_role == role_kind::sealing &&
+      !contains_host(hosts, this->former.owner)) {
     hosts.push_back(this->former.owner);
   }
   return hosts;
 }
 
-bool shard_core::all_former_sealed() const { return this->former_missing.empty(); }
+bool shard_core::all_former_sealed() const { return this->unsealed_former_replicas.empty(); }
 
 actions shard_core::on(const host_incarnation& from, const seal_reply& message, timestamp now) {
   actions out;
@@ -69,15 +70,15 @@
     return out;
   }
   peer_progress& peer = this->peers[from];
-  peer.heard = now;
+  peer.last_reply = now;
   if (peer.sealed) {
     return out;
   }
   peer.sealed = true;
   if (this->current_role == role_kind::sealing) {
-    this->former_missing.erase(from);
+    this->unsealed_former_replicas.erase(from);
     if (message.log) {
-      this->gathered.push_back(*message.log);
+      this->collected_logs.push_back(*message.log);
     }
     if (this->all_former_sealed()) {
       this->start_serving(now, out);
@@ -85,10 +86,10 @@
     return out;
   }
   if (message.log && message.log->at < this->known.at) {
-    this->absorb_late(*message.log, from, now, out);
+    this->merge_late_log(*message.log, from, now, out);
   }
-  this->former_missing.erase(from);
-  if (names(this->known.replicas, from)) {
+  this->unsealed_former_replicas.erase(from);
+  if (contains_host(this->known.replicas, from)) {
     this->install(from, peer, now, out);
   } else {
     this->peers.erase(from);
@@ -96,45 +97,47 @@
   return out;
 }
 
-void shard_core::merge_gathered() {
+void shard_core::merge_collected_logs() {
   log_snapshot merged;
-  for (const log_snapshot& log : this->gathered) {
+  for (const log_snapshot& log : this->collected_logs) {
     if (is_longer(log, merged)) {
       merged = log;
     }
   }
-  for (const log_snapshot& log : this->gathered) {
+  for (const log_snapshot& log : this->collected_logs) {
     if (log.at != merged.at) {
-      absorb(merged.state, log.state);
+      merge_state(merged.state, log.state);
     }
   }
   if (merged.at == this->former.at) {
-    this->inherited_unknown = merged.state.unknown_below;
+    this->inherited_unknown_below = merged.state.unknown_below;
   }
   merged.at = this->known.at;
   merged.last = record_index(1);
   merged.full = record_index(0);
-  this->held = std::move(merged);
-  this->gathered.clear();
+  this->own_log = std::move(merged);
+  this->collected_logs.clear();
 }
 
 void shard_core::start_serving(timestamp now, actions& out) {
-  this->merge_gathered();
+  this->merge_collected_logs();
   const bool first_owner = this->former.at == epoch(0);
   const bool all_sealed = this->all_former_sealed() || !this->rules.seal_all_before_not_run;
-  const bool inherits = this->inherited_unknown.has_value() || !this->rules.inherit_incompleteness;
-  shard_state& state = this->held->state;
+  const bool inherits =
+      this->inherited_unknown_below.has_value() || !this->rules.inherit_incompleteness;
+  shard_state& state = this->own_log->state;
   if (first_owner) {
     state.unknown_below = epoch(0);
   } else if (all_sealed && inherits) {
-    state.unknown_below = this->rules.inherit_incompleteness ? *this->inherited_unknown : epoch(0);
+    state.unknown_below =
+        this->rules.inherit_incompleteness ? *this->inherited_unknown_below : epoch(0);
   } else {
     state.unknown_below = this->known.at;
   }
   const bool split_possible = !first_owner && !this->all_former_sealed();
   for (auto& [id, program] : state.programs) {
     if (program.open_intent) {
-      this->hold_until[id] = now + this->times.dispatch_gap;
+      this->send_not_before[id] = now + this->times.dispatch_gap;
       if (this->rules.charge_open_intents) {
         program.abandon_open_intent();
       } else {
@@ -145,12 +148,13 @@
     if (split_possible && this->rules.halve_budget_when_split) {
       program.withhold_for_split();
     }
-    program.left_since.clear();
-    program.mark_left(this->held->last, this->held->full);
+    program.tokens_left_marks.clear();
+    program.mark_tokens_left(this->own_log->last, this->own_log->full);
   }
   this->current_role = role_kind::serving;
   std::erase_if(this->peers, [this](const auto& item) {
-    return !names(this->known.replicas, item.first) && !this->former_missing.contains(item.first);
+    return !contains_host(this->known.replicas, item.first) &&
+           !this->unsealed_former_replicas.contains(item.first);
   });
   for (const host_incarnation& replica : this->known.replicas) {
     peer_progress& peer = this->peers[replica];
@@ -172,26 +176,27 @@
   return out;
 }
 
-void shard_core::absorb_late(const log_snapshot& log, const host_incarnation& from, timestamp now,
-                             actions& out) {
+void shard_core::merge_late_log(const log_snapshot& log, const host_incarnation& from,
+                                timestamp now, actions& out) {
   if (log.at == this->former.at) {
-    this->inherited_unknown = log.state.unknown_below;
+    this->inherited_unknown_below = log.state.unknown_below;
   }
-  shard_state& state = this->held->state;
-  absorb(state, log.state);
+  shard_state& state = this->own_log->state;
+  merge_state(state, log.state);
   for (auto& [id, program] : state.programs) {
     const auto theirs = log.state.programs.find(id);
     if (theirs != log.state.programs.end() && theirs->second.open_intent) {
-      this->hold_until[id] = now + this->times.dispatch_gap;
+      this->send_not_before[id] = now + this->times.dispatch_gap;
     }
   }
-  const bool last_missing = this->former_missing.size() == 1 && this->former_missing.contains(from);
-  if (last_missing) {
+  const bool is_last_unsealed =
+      this->unsealed_former_replicas.size() == 1 && this->unsealed_former_replicas.contains(from);
+  if (is_last_unsealed) {
     for (auto& [id, program] : state.programs) {
       program.withheld = token_count(0);
     }
-    if (this->inherited_unknown) {
-      state.unknown_below = *this->inherited_unknown;
+    if (this->inherited_unknown_below) {
+      state.unknown_below = *this->inherited_unknown_below;
       out.push_back(role_changed{role_changed::change::completed, this->known.at});
     }
   }
@@ -199,13 +204,13 @@
 }
 
 void shard_core::checkpoint(timestamp now, actions& out) {
-  this->held->last = this->held->last.next();
-  this->unsent.clear();
-  for (auto& [id, program] : this->held->state.programs) {
-    program.mark_left(this->held->last, this->held->full);
+  this->own_log->last = this->own_log->last.next();
+  this->unacknowledged_records.clear();
+  for (auto& [id, program] : this->own_log->state.programs) {
+    program.mark_tokens_left(this->own_log->last, this->own_log->full);
   }
   for (auto& [host, peer] : this->peers) {
-    if (peer.sealed && names(this->known.replicas, host)) {
+    if (peer.sealed && contains_host(this->known.replicas, host)) {
       this->install(host, peer, now, out);
     }
   }
@@ -218,13 +223,13 @@
     const finished_turn& turn = *item.answer->turn;
     turn_finished record{item.program, turn.call_ticket, turn.request,
                          turn.answer,  turn.used,        turn.failed};
-    this->late.emplace(turn.call_ticket, late_call{call, record, now, now});
+    this->late_calls.emplace(turn.call_ticket, late_call{call, record, now, now});
     out.push_back(send_message{this->known.owner, late_result{std::move(record)}});
     return;
   }
   call_answer answer;
   answer.error = has_result ? item.answer->error : error_kind::not_owner;
-  if (item.brought_by) {
+  if (item.forwarded_by) {
     return;
   }
   out.push_back(answer_call{call, std::move(answer)});
@@ -246,8 +251,8 @@
   }
   this->peers.clear();
   this->nonces.clear();
-  this->unsent.clear();
-  this->former_missing.clear();
+  this->unacknowledged_records.clear();
+  this->unsealed_former_replicas.clear();
   if (was_serving) {
     out.push_back(role_changed{role_changed::change::deposed, entry.at});
   }
--- a/libs/ownership/test/ownership_search_test.cc
+++ b/libs/ownership/test/ownership_search_test.cc
@@ -104,7 +104,7 @@
        row{"two takeovers", &two_takeovers}, row{"a set change", &set_change},
        row{"a set change with late answers", &late_set_change},
        row{"a split budget", &split_budget}}));
-  const search::finding found = search::search(bounds(), ownership_rules{});
+  const search::search_result found = search::search(bounds(), ownership_rules{});
   INFO(name << ": " << found.violation << "\n" << joined(found.trace));
   CAPTURE(found.states);
   std::printf("%-34s %9zu states\n", name.c_str(), found.states);
@@ -118,22 +118,25 @@
   keep_freed_memory();
   using rule = bool ownership_rules::*;
   using row = std::tuple<std::string, rule, search::bounds (*)()>;
-  const auto [name, taken_out, bounds] = GENERATE(table<std::string, rule, search::bounds (*)()>(
-      {row{"a ticket runs only in its own epoch", &ownership_rules::ticket_bound_to_epoch,
-           &more_sends},
-       row{"not_run needs all replicas sealed", &ownership_rules::seal_all_before_not_run,
-           &more_sends},
-       row{"incompleteness is inherited", &ownership_rules::inherit_incompleteness, &two_takeovers},
-       row{"removal needs the others to hold all",
-           &ownership_rules::remove_only_when_others_hold_all, &set_change},
-       row{"only common replicas count", &ownership_rules::count_only_common_replicas,
-           &late_set_change_two_sends},
-       row{"replicas fence", &ownership_rules::replicas_fence, &more_sends},
-       row{"intent before dispatch", &ownership_rules::intent_before_dispatch, &more_sends},
-       row{"a refusal ends its ticket", &ownership_rules::refusal_ends_ticket, &more_sends},
-       row{"open intents are charged", &ownership_rules::charge_open_intents, &split_budget},
-       row{"a split budget is halved", &ownership_rules::halve_budget_when_split, &split_budget}}));
-  const search::finding found = search::search(bounds(), without(taken_out));
+  const auto [name, disabled_rule, bounds] =
+      GENERATE(table<std::string, rule, search::bounds (*)()>(
+          {row{"a ticket runs only in its own epoch", &ownership_rules::ticket_bound_to_epoch,
+               &more_sends},
+           row{"not_run needs all replicas sealed", &ownership_rules::seal_all_before_not_run,
+               &more_sends},
+           row{"incompleteness is inherited", &ownership_rules::inherit_incompleteness,
+               &two_takeovers},
+           row{"removal needs the others to hold all",
+               &ownership_rules::remove_only_when_others_hold_all, &set_change},
+           row{"only common replicas count", &ownership_rules::count_only_common_replicas,
+               &late_set_change_two_sends},
+           row{"replicas fence", &ownership_rules::replicas_fence, &more_sends},
+           row{"intent before dispatch", &ownership_rules::intent_before_dispatch, &more_sends},
+           row{"a refusal ends its ticket", &ownership_rules::refusal_ends_ticket, &more_sends},
+           row{"open intents are charged", &ownership_rules::charge_open_intents, &split_budget},
+           row{"a split budget is halved", &ownership_rules::halve_budget_when_split,
+               &split_budget}}));
+  const search::search_result found = search::search(bounds(), without(disabled_rule));
   INFO(name << "; states " << found.states);
   std::printf("%-38s %7zu states, %zu steps: %s\n", name.c_str(), found.states, found.trace.size(),
               found.violation.c_str());
--- a/libs/ownership/test/search.h
+++ b/libs/ownership/test/search.h
@@ -11,7 +11,7 @@
 namespace hawthornlane::search {
 
 /// Result of a search.
-struct finding {
+struct search_result {
   std::size_t states = 0;
   bool exhausted = false;
   std::string violation;
@@ -94,16 +94,16 @@
 }
 
 /// Visits the reachable states, breadth first, until a violation is found, all states are visited
-/// or `most_states` are seen. The verdict and the length of the trace do not depend on the timing
+/// or `max_states` are seen. The verdict and the length of the trace do not depend on the timing
 /// of the threads.
-inline finding search(const bounds& limits, const ownership_rules& rules) {
+inline search_result search(const bounds& limits, const ownership_rules& rules) {
   constexpr std::size_t thread_count = 8;
   const explorer moves(limits, rules);
   seen_states seen;
   std::vector<model> frontier{moves.initial()};
   seen.add(hash_of(frontier.front()), 0, "");
-  finding found;
-  while (!frontier.empty() && seen.size() < limits.most_states) {
+  search_result found;
+  while (!frontier.empty() && seen.size() < limits.max_states) {
     std::vector<level_part> parts(thread_count);
     {
       std::vector<std::jthread> threads;
--- a/libs/ownership/test/search_model.h
+++ b/libs/ownership/test/search_model.h
@@ -31,8 +31,8 @@
   void add_claims(const model& state, std::vector<step>& out) const;
   void add_host_steps(const model& state, std::vector<step>& out) const;
   void add_requests(const model& state, std::vector<step>& out) const;
-  bool is_prompt(const in_flight& item) const;
-  void deliver_prompt(model& state, const in_flight& item) const;
+  bool is_delivered_immediately(const in_flight& item) const;
+  void deliver_immediately(model& state, const in_flight& item) const;
   bool has_no_effect(const model& state, const in_flight& item) const;
   void normalise(model& state) const;
   void add(std::vector<step>& out, std::string name, model after) const;
@@ -46,9 +46,9 @@
 inline void explorer::put(model& state, in_flight item) const {
   item.key = bytes_of(item);
   const auto at =
-      std::lower_bound(state.bag.begin(), state.bag.end(), item,
+      std::lower_bound(state.pending.begin(), state.pending.end(), item,
                        [](const in_flight& a, const in_flight& b) { return a.key < b.key; });
-  state.bag.insert(at, std::move(item));
+  state.pending.insert(at, std::move(item));
 }
 
 inline void explorer::note_answer(model& state, const call_answer& answer,
@@ -68,8 +68,8 @@
       message.from = host;
       message.to = index_of(send->to);
       message.message = send->message;
-      if (this->is_prompt(message)) {
-        this->deliver_prompt(state, message);
+      if (this->is_delivered_immediately(message)) {
+        this->deliver_immediately(state, message);
       } else {
         this->put(state, std::move(message));
       }
@@ -139,14 +139,14 @@
 
 /// Whether a message is delivered immediately. Answers to seals and installs are, since a late
 /// answer equals a late request. Answers to appends are delayed on their own with `late_answers`.
-inline bool explorer::is_prompt(const in_flight& item) const {
+inline bool explorer::is_delivered_immediately(const in_flight& item) const {
   const auto* reply = std::get_if<append_reply>(&*item.message);
   const bool to_install = reply != nullptr && reply->last <= record_index(1);
   const bool answers_append = reply != nullptr && !this->limits.late_answers;
   return to_install || answers_append || std::holds_alternative<seal_reply>(*item.message);
 }
 
-inline void explorer::deliver_prompt(model& state, const in_flight& item) const {
+inline void explorer::deliver_immediately(model& state, const in_flight& item) const {
   if (state.alive[item.to]) {
     this->carry_out(state, item.to,
                     state.hosts[item.to].receive(host_at(item.from), *item.message, this->now));
@@ -228,7 +228,8 @@
 }
 
 inline void explorer::normalise(model& state) const {
-  std::erase_if(state.bag, [&](const in_flight& item) { return this->has_no_effect(state, item); });
+  std::erase_if(state.pending,
+                [&](const in_flight& item) { return this->has_no_effect(state, item); });
   for (const auto& [presented, times] : state.executed) {
     if (times > 1 && !this->limits.repeatable) {
       state.violation = "ticket dispatched " + std::to_string(times) + " times";
@@ -267,19 +268,19 @@
 }
 
 inline void explorer::add_deliveries(const model& state, std::vector<step>& out) const {
-  for (std::size_t at = 0; at < state.bag.size(); ++at) {
-    if (at > 0 && state.bag[at].key == state.bag[at - 1].key) {
+  for (std::size_t at = 0; at < state.pending.size(); ++at) {
+    if (at > 0 && state.pending[at].key == state.pending[at - 1].key) {
       continue;
     }
     model after = state;
-    const in_flight item = after.bag[at];
-    after.bag.erase(after.bag.begin() + static_cast<std::ptrdiff_t>(at));
+    const in_flight item = after.pending[at];
+    after.pending.erase(after.pending.begin() + static_cast<std::ptrdiff_t>(at));
     this->deliver(after, item);
     this->add(out, name_of(item), std::move(after));
     if (state.faults_left > 0 && item.what == in_flight::kind::map_write &&
         !this->limits.late_answers) {
       model unanswered = state;
-      unanswered.bag.erase(unanswered.bag.begin() + static_cast<std::ptrdiff_t>(at));
+      unanswered.pending.erase(unanswered.pending.begin() + static_cast<std::ptrdiff_t>(at));
       --unanswered.faults_left;
       this->deliver_map_write(unanswered, item, true);
       this->add(out, "lose answer to " + name_of(item), std::move(unanswered));
@@ -288,7 +289,7 @@
         item.what == in_flight::kind::message || item.what == in_flight::kind::map_answer;
     if (state.faults_left > 0 && can_be_lost) {
       model lost = state;
-      lost.bag.erase(lost.bag.begin() + static_cast<std::ptrdiff_t>(at));
+      lost.pending.erase(lost.pending.begin() + static_cast<std::ptrdiff_t>(at));
       --lost.faults_left;
       this->add(out, "lose " + name_of(item), std::move(lost));
     }
@@ -316,8 +317,8 @@
   }
   for (std::size_t host = 0; host < host_count; ++host) {
     const shard_core& core = state.hosts[host];
-    const bool may = state.alive[host] && core.role() == shard_core::role_kind::follower;
-    if (!may) {
+    const bool can_claim = state.alive[host] && core.role() == shard_core::role_kind::follower;
+    if (!can_claim) {
       continue;
     }
     std::vector<host_incarnation> others = state.map_entry.replicas;
@@ -348,9 +349,9 @@
     }
     // A follower does nothing when it reads the map, and a claim reads it first.
     const bool acts = core.role() != shard_core::role_kind::follower;
-    const bool news =
+    const bool map_changed =
         acts && (core.known_assignment().at < state.map_entry.at || core.proposal_open());
-    if (news) {
+    if (map_changed) {
       model after = state;
       this->carry_out(after, host,
                       after.hosts[host].observe_assignment(state.map_entry, this->now));
@@ -423,21 +424,21 @@
   for (std::size_t host = 0; host < host_count; ++host) {
     state.hosts.emplace_back(the_shard, host_at(host), ownership_times{}, this->rules);
   }
-  const auto settle = [&] {
-    while (!state.bag.empty()) {
-      const in_flight item = state.bag.front();
-      state.bag.erase(state.bag.begin());
+  const auto deliver_all = [&] {
+    while (!state.pending.empty()) {
+      const in_flight item = state.pending.front();
+      state.pending.erase(state.pending.begin());
       this->deliver(state, item);
     }
   };
   this->carry_out(state, 0, state.hosts[0].claim({host_at(1), host_at(2)}, 1, this->now));
-  settle();
+  deliver_all();
   program_opened opened;
   opened.program = this->program();
   opened.account = client_account("one");
   opened.limits = {this->limits.budget, 100, 100, 1000};
   this->carry_out(state, 0, state.hosts[0].open_program(call_id(0), opened, 5, this->now));
-  settle();
+  deliver_all();
   for (std::size_t host = 1; host < host_count; ++host) {
     state.hosts[host].observe_assignment(state.map_entry, this->now);
   }
--- a/libs/ownership/test/search_state.h
+++ b/libs/ownership/test/search_state.h
@@ -51,7 +51,7 @@
   bool late_answers = false;
   /// Whether a new owner includes the former one in its replicas.
   bool claim_keeps_owner = true;
-  std::size_t most_states = 4'000'000;
+  std::size_t max_states = 4'000'000;
 };
 
 /// Something in flight: a message, a map write or its answer, an order to send a call, a call's
@@ -67,7 +67,7 @@
   proposal_outcome outcome = proposal_outcome::applied;
   call_id call;
   ticket presented;
-  /// Serialised form; determines the order of `model::bag` and the state's hash.
+  /// Serialised form; determines the order of `model::pending` and the state's hash.
   std::string key;
 
   template <class Archive>
@@ -90,7 +90,7 @@
   std::vector<shard_core> hosts;
   std::array<bool, host_count> alive{true, true, true};
   assignment map_entry;
-  std::vector<in_flight> bag;
+  std::vector<in_flight> pending;
   int sends_left = 0;
   int faults_left = 0;
   int takeovers_left = 0;
@@ -106,7 +106,7 @@
     for (const shard_core& host : this->hosts) {
       archive(const_cast<shard_core&>(host));
     }
-    for (const in_flight& item : this->bag) {
+    for (const in_flight& item : this->pending) {
       archive(item.key);
     }
     archive(this->alive[0], this->alive[1], this->alive[2], this->map_entry, this->sends_left,
--- a/libs/ownership/test/shard_core_test.cc
+++ b/libs/ownership/test/shard_core_test.cc
@@ -18,9 +18,9 @@
 const program_id program = make_program_id(shard_id(1), 1);
 
 /// Three hosts whose messages are delivered immediately, unless a host is cut off.
-class trio {
+class three_hosts {
 public:
-  trio() {
+  three_hosts() {
     for (std::size_t at = 0; at < 3; ++at) {
       this->cores.emplace_back(shard_id(1), host(at));
     }
@@ -52,14 +52,14 @@
   }
 
   call_request request(std::uint64_t call, const ticket& presented) const {
-    call_request ask;
-    ask.call = call_id(call);
-    ask.program = program;
-    ask.account = client_account("north");
-    ask.presented = presented;
-    ask.reserved = token_count(100);
-    ask.repeatable = false;
-    return ask;
+    call_request new_request;
+    new_request.call = call_id(call);
+    new_request.program = program;
+    new_request.account = client_account("north");
+    new_request.presented = presented;
+    new_request.reserved = token_count(100);
+    new_request.repeatable = false;
+    return new_request;
   }
 
   void begin(std::size_t at, std::uint64_t call, const ticket& presented) {
@@ -125,7 +125,7 @@
 }  // namespace
 
 TEST_CASE("a call is dispatched once a replica holds its intent, and all hosts store its result") {
-  trio hosts;
+  three_hosts hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   REQUIRE(hosts.dispatched.size() == 1);
   CHECK(hosts.cores[1].find_program(program)->open_intent.has_value());
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("a repeated ticket gets the stored answer and dispatches nothing") {
-  trio hosts;
+  three_hosts hosts;
   const ticket first = hosts.first_ticket();
   hosts.begin(0, 2, first);
   hosts.finish(0, 2);
@@ -150,7 +150,7 @@
 // An owner without a replica can't know whether it is still the owner. It must not dispatch, and
 // the ticket stays valid.
 TEST_CASE("an owner that reaches no replica dispatches nothing and leaves the ticket valid") {
-  trio hosts;
+  three_hosts hosts;
   hosts.cut_off = {1, 2};
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.pass(std::chrono::seconds(3));
@@ -166,14 +166,14 @@
 // owner answers not_run, may_have_run or the stored answer, and dispatches nothing.
 TEST_CASE("after the loss of the owner, the next one answers correctly for its tickets") {
   enum class killed : std::uint8_t { before_intent, after_intent, after_result };
-  struct truth {
+  struct expectation {
     killed when;
-    std::optional<error_kind> told;
+    std::optional<error_kind> expected_error;
   };
-  const auto row = GENERATE(values<truth>({{killed::before_intent, error_kind::not_run},
-                                           {killed::after_intent, error_kind::may_have_run},
-                                           {killed::after_result, std::nullopt}}));
-  trio hosts;
+  const auto row = GENERATE(values<expectation>({{killed::before_intent, error_kind::not_run},
+                                                 {killed::after_intent, error_kind::may_have_run},
+                                                 {killed::after_result, std::nullopt}}));
+  three_hosts hosts;
   const ticket first = hosts.first_ticket();
   if (row.when != killed::before_intent) {
     hosts.begin(0, 2, first);
@@ -188,7 +188,7 @@
   const std::size_t before = hosts.dispatched.size();
   hosts.begin(1, 3, first);
   CHECK(hosts.dispatched.size() == before);
-  CHECK(hosts.answers.at(call_id(3)).error == row.told);
+  CHECK(hosts.answers.at(call_id(3)).error == row.expected_error);
   // The program continues with the new ticket.
   hosts.begin(1, 4, *hosts.answers.at(call_id(3)).next);
   CHECK(hosts.dispatched.size() == before + 1);
@@ -196,7 +196,7 @@
 
 // A takeover happens while a call runs. Its result reaches the former owner only.
 TEST_CASE("a former owner's late result is stored by the new one, which issues the next ticket") {
-  trio hosts;
+  three_hosts hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.claim(1, {host(2), host(0)});
   REQUIRE_FALSE(hosts.cores[0].serving());
@@ -210,7 +210,7 @@
 }
 
 TEST_CASE("an owner that was paused during a takeover does not send afterwards") {
-  trio hosts;
+  three_hosts hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.claim(1, {host(2), host(0)});
   actions out;
@@ -219,7 +219,7 @@
 
 // The pause is longer than the time that a new owner waits for sends of the former one.
 TEST_CASE("an owner that was paused before a send asks the replicas for a new confirmation") {
-  trio hosts;
+  three_hosts hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.now += std::chrono::seconds(2);
   actions out;
@@ -231,7 +231,7 @@
 }
 
 TEST_CASE("a claim whose answer was lost is recognised when the map is read back") {
-  trio hosts;
+  three_hosts hosts;
   hosts.lose_map_answer = true;
   hosts.claim(1, {host(2), host(0)});
   CHECK_FALSE(hosts.cores[1].serving());
@@ -241,7 +241,7 @@
 }
 
 TEST_CASE("of two hosts that claim at the same time, one wins and the other stays a follower") {
-  trio hosts;
+  three_hosts hosts;
   hosts.cut_off = {0};
   hosts.cores[2].observe_assignment(hosts.map, hosts.now);
   const actions late = hosts.cores[2].claim({host(1)}, 7, hosts.now);
@@ -254,7 +254,7 @@
 // One replica is missing at the takeover, so the log may be incomplete and the answer for an old
 // ticket is may_have_run.
 TEST_CASE("a shard taken over without a replica becomes complete when that replica returns") {
-  trio hosts;
+  three_hosts hosts;
   const ticket first = hosts.first_ticket();
   hosts.cut_off = {0, 2};
   hosts.claim(1, {host(2), host(0)});
@@ -269,7 +269,7 @@
 }
 
 TEST_CASE("a replica is not removed while no other replica holds the newest record") {
-  trio hosts;
+  three_hosts hosts;
   hosts.cut_off = {2};
   hosts.begin(0, 2, hosts.first_ticket());
   REQUIRE(hosts.dispatched.size() == 1);
@@ -278,7 +278,7 @@
 }
 
 TEST_CASE("a hand-over passes on the shard with its whole log") {
-  trio hosts;
+  three_hosts hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.finish(0, 2);
   hosts.cores[2].observe_assignment(hosts.map, hosts.now);
@@ -290,30 +290,30 @@
 }
 
 TEST_CASE("a ticket of another account reveals nothing and dispatches nothing") {
-  trio hosts;
-  call_request ask = hosts.request(2, hosts.first_ticket());
-  ask.account = client_account("south");
-  hosts.carry_out(0, hosts.cores[0].begin_call(ask, 1, hosts.now));
+  three_hosts hosts;
+  call_request new_request = hosts.request(2, hosts.first_ticket());
+  new_request.account = client_account("south");
+  hosts.carry_out(0, hosts.cores[0].begin_call(new_request, 1, hosts.now));
   CHECK(hosts.dispatched.empty());
   CHECK(hosts.answers.at(call_id(2)).error == error_kind::program_unknown);
   CHECK_FALSE(hosts.answers.at(call_id(2)).next.has_value());
 }
 
 TEST_CASE("a call is refused when the caller's digest of the history differs") {
-  trio hosts;
+  three_hosts hosts;
   hosts.begin(0, 2, hosts.first_ticket());
   hosts.finish(0, 2);
-  call_request ask = hosts.request(3, *hosts.answers.at(call_id(2)).next);
-  ask.known_digest = 4711;
-  hosts.carry_out(0, hosts.cores[0].begin_call(ask, 1, hosts.now));
+  call_request new_request = hosts.request(3, *hosts.answers.at(call_id(2)).next);
+  new_request.known_digest = 4711;
+  hosts.carry_out(0, hosts.cores[0].begin_call(new_request, 1, hosts.now));
   CHECK(hosts.answers.at(call_id(3)).error == error_kind::history_incomplete);
 }
 
 TEST_CASE("a call above the budget is refused with the tokens left and a new ticket") {
-  trio hosts;
-  call_request ask = hosts.request(2, hosts.first_ticket());
-  ask.reserved = token_count(1001);
-  hosts.carry_out(0, hosts.cores[0].begin_call(ask, 1, hosts.now));
+  three_hosts hosts;
+  call_request new_request = hosts.request(2, hosts.first_ticket());
+  new_request.reserved = token_count(1001);
+  hosts.carry_out(0, hosts.cores[0].begin_call(new_request, 1, hosts.now));
   CHECK(hosts.answers.at(call_id(2)).error == error_kind::budget_exhausted);
   CHECK(hosts.answers.at(call_id(2)).budget_left == token_count(1000));
   CHECK(hosts.answers.at(call_id(2)).next.has_value());
--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -29,12 +29,12 @@
   }
 };
 
-/// Tokens left in the budget after the record at `index`; see `program_state::left_since`.
-struct left_mark {
+/// Tokens left in the budget after the record at `index`; see `program_state::tokens_left_marks`.
+struct tokens_left_mark {
   record_index index;
   token_count tokens_left{0};
 
-  friend bool operator==(const left_mark&, const left_mark&) = default;
+  friend bool operator==(const tokens_left_mark&, const tokens_left_mark&) = default;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->index, this->tokens_left);
@@ -44,15 +44,15 @@
 /// The state of one program. A value type; replicas hold equal copies.
 struct program_state {
   program_opened opened;
-  /// Invariant: `turns[i].run_under.turn` is i + 1 and the digests chain.
+  /// Invariant: `turns[i].call_ticket.turn` is i + 1 and the digests chain.
   std::vector<finished_turn> turns;
   /// The logged call without a result, at most one. Invariant: its turn is `next_turn()`.
   std::optional<intent_logged> open_intent;
   /// Calls that may have run without a stored answer; each is charged in full.
   std::vector<intent_logged> abandoned;
   /// Calls that the other side of a network partition stored and this history does not contain.
-  std::vector<finished_turn> side_answers;
-  /// Tokens of finished calls, abandoned calls and `side_answers`. Invariant: never above the
+  std::vector<finished_turn> diverged_turns;
+  /// Tokens of finished calls, abandoned calls and `diverged_turns`. Invariant: never above the
   /// limit.
   token_count charged{0};
   /// Tokens that the other side of a network partition may still spend; see
@@ -61,7 +61,7 @@
   std::uint32_t tool_calls = 0;
   bool closed = false;
   /// Tokens left after each record, from the last record that all replicas held on, oldest first.
-  std::vector<left_mark> left_since;
+  std::vector<tokens_left_mark> tokens_left_marks;
 
   /// The turn of the next ticket.
   [[nodiscard]] turn_number next_turn() const;
@@ -72,12 +72,12 @@
   /// Tokens that can still be reserved; the open reservation is already subtracted.
   [[nodiscard]] token_count tokens_left() const;
   /// Tokens left at the last record known to be held by every replica.
-  [[nodiscard]] token_count left_at_full() const;
+  [[nodiscard]] token_count tokens_left_at_full() const;
   /// The fewest tokens left at any record from that record on.
-  [[nodiscard]] token_count least_left_since_full() const;
+  [[nodiscard]] token_count least_tokens_left_since_full() const;
 
-  [[nodiscard]] const finished_turn* find_finished(const ticket& asked) const;
-  [[nodiscard]] const intent_logged* find_abandoned(const ticket& asked) const;
+  [[nodiscard]] const finished_turn* find_finished(const ticket& searched_ticket) const;
+  [[nodiscard]] const intent_logged* find_abandoned(const ticket& searched_ticket) const;
 
   /// Sets `withheld` so that both sides of a network partition together stay within the budget.
   void withhold_for_split();
@@ -85,7 +85,7 @@
   void abandon_open_intent();
   /// Stores the tokens left after the record at `index`, and drops the marks before the last one
   /// at or below `full`.
-  void mark_left(record_index index, record_index full);
+  void mark_tokens_left(record_index index, record_index full);
 
   friend bool operator==(const program_state& a, const program_state& b) {
     return a.turns == b.turns && a.open_intent == b.open_intent && a.abandoned == b.abandoned &&
@@ -93,8 +93,8 @@
   }
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->opened, this->turns, this->open_intent, this->abandoned, this->side_answers,
-            this->charged, this->withheld, this->tool_calls, this->closed, this->left_since);
+    archive(this->opened, this->turns, this->open_intent, this->abandoned, this->diverged_turns,
+            this->charged, this->withheld, this->tool_calls, this->closed, this->tokens_left_marks);
   }
 };
 
--- a/libs/program/include/hawthornlane/program/shard_state.h
+++ b/libs/program/include/hawthornlane/program/shard_state.h
@@ -28,7 +28,8 @@
 bool apply(shard_state& state, const log_record& record, record_index index, record_index full);
 
 /// Merges `other`, from the log of a replica that was sealed at an older epoch, into `base`. Where
-/// histories diverge, that of `base` remains; the other calls go to `side_answers` and are charged.
-void absorb(shard_state& base, const shard_state& other);
+/// histories diverge, that of `base` remains; the calls of `other` go to `diverged_turns` and are
+/// charged.
+void merge_state(shard_state& base, const shard_state& other);
 
 }  // namespace hawthornlane
--- a/libs/program/src/program_state.cc
+++ b/libs/program/src/program_state.cc
@@ -35,35 +35,36 @@
   return this->opened.limits.tokens - this->charged - this->withheld - reserved;
 }
 
-token_count program_state::left_at_full() const {
-  return this->left_since.empty() ? this->tokens_left() : this->left_since.front().tokens_left;
+token_count program_state::tokens_left_at_full() const {
+  return this->tokens_left_marks.empty() ? this->tokens_left()
+                                         : this->tokens_left_marks.front().tokens_left;
 }
 
-token_count program_state::least_left_since_full() const {
+token_count program_state::least_tokens_left_since_full() const {
   token_count least = this->tokens_left();
-  for (const left_mark& mark : this->left_since) {
+  for (const tokens_left_mark& mark : this->tokens_left_marks) {
     least = std::min(least, mark.tokens_left);
   }
   return least;
 }
 
-const finished_turn* program_state::find_finished(const ticket& asked) const {
+const finished_turn* program_state::find_finished(const ticket& searched_ticket) const {
   for (const finished_turn& turn : this->turns) {
-    if (turn.call_ticket == asked) {
+    if (turn.call_ticket == searched_ticket) {
       return &turn;
     }
   }
-  for (const finished_turn& turn : this->side_answers) {
-    if (turn.call_ticket == asked) {
+  for (const finished_turn& turn : this->diverged_turns) {
+    if (turn.call_ticket == searched_ticket) {
       return &turn;
     }
   }
   return nullptr;
 }
 
-const intent_logged* program_state::find_abandoned(const ticket& asked) const {
+const intent_logged* program_state::find_abandoned(const ticket& searched_ticket) const {
   for (const intent_logged& intent : this->abandoned) {
-    if (intent.call_ticket == asked) {
+    if (intent.call_ticket == searched_ticket) {
       return &intent;
     }
   }
@@ -74,7 +75,8 @@
   // The other side of a network partition stops at half of the tokens left at the last record that
   // all replicas held. That record has one of the marks, so half of the lowest mark is safe for
   // this side.
-  const token_count allowance = half(std::max(token_count(0), this->least_left_since_full()));
+  const token_count allowance =
+      half(std::max(token_count(0), this->least_tokens_left_since_full()));
   this->withheld = token_count(0);
   this->withheld = std::max(token_count(0), this->tokens_left() - allowance);
 }
@@ -88,17 +90,18 @@
   this->open_intent.reset();
 }
 
-void program_state::mark_left(record_index index, record_index full) {
-  this->left_since.push_back({index, this->tokens_left()});
+void program_state::mark_tokens_left(record_index index, record_index full) {
+  this->tokens_left_marks.push_back({index, this->tokens_left()});
   std::size_t keep_from = 0;
-  for (std::size_t at = 1; at < this->left_since.size(); ++at) {
-    if (this->left_since[at].index > full) {
+  for (std::size_t at = 1; at < this->tokens_left_marks.size(); ++at) {
+    if (this->tokens_left_marks[at].index > full) {
       break;
     }
     keep_from = at;
   }
-  this->left_since.erase(this->left_since.begin(),
-                         this->left_since.begin() + static_cast<std::ptrdiff_t>(keep_from));
+  this->tokens_left_marks.erase(
+      this->tokens_left_marks.begin(),
+      this->tokens_left_marks.begin() + static_cast<std::ptrdiff_t>(keep_from));
 }
 
 std::uint64_t text_digest(const std::string& text) { return XXH3_64bits(text.data(), text.size()); }
--- a/libs/program/src/shard_state.cc
+++ b/libs/program/src/shard_state.cc
@@ -7,13 +7,13 @@
 namespace hawthornlane {
 namespace {
 
-bool apply_one(shard_state& state, const program_opened& record) {
-  program_state fresh;
-  fresh.opened = record;
-  return state.programs.emplace(record.program, std::move(fresh)).second;
+bool apply_record(shard_state& state, const program_opened& record) {
+  program_state new_program;
+  new_program.opened = record;
+  return state.programs.emplace(record.program, std::move(new_program)).second;
 }
 
-bool apply_one(program_state& program, const intent_logged& record) {
+bool apply_record(program_state& program, const intent_logged& record) {
   if (program.open_intent || program.closed || record.call_ticket.turn != program.next_turn() ||
       record.reserved > program.tokens_left()) {
     return false;
@@ -23,7 +23,7 @@
 }
 
 /// Removes the abandoned call with that ticket, if there is one, and takes back its charge.
-std::optional<intent_logged> take_abandoned(program_state& program, const ticket& call_ticket) {
+std::optional<intent_logged> remove_abandoned(program_state& program, const ticket& call_ticket) {
   const auto found = std::find_if(
       program.abandoned.begin(), program.abandoned.end(),
       [&call_ticket](const intent_logged& intent) { return intent.call_ticket == call_ticket; });
@@ -50,7 +50,7 @@
   program.turns.push_back(std::move(turn));
 }
 
-bool apply_one(program_state& program, const turn_finished& record) {
+bool apply_record(program_state& program, const turn_finished& record) {
   if (record.call_ticket.turn != program.next_turn()) {
     return false;
   }
@@ -64,7 +64,7 @@
     return true;
   }
   // A late result of a call that a new owner had abandoned.
-  const std::optional<intent_logged> intent = take_abandoned(program, record.call_ticket);
+  const std::optional<intent_logged> intent = remove_abandoned(program, record.call_ticket);
   if (!intent) {
     return false;
   }
@@ -72,7 +72,7 @@
   return true;
 }
 
-bool apply_one(program_state& program, const intent_voided& record) {
+bool apply_record(program_state& program, const intent_voided& record) {
   if (!program.open_intent || program.open_intent->call_ticket != record.call_ticket) {
     return false;
   }
@@ -80,7 +80,7 @@
   return true;
 }
 
-bool apply_one(program_state& program, const intent_abandoned& record) {
+bool apply_record(program_state& program, const intent_abandoned& record) {
   if (!program.open_intent || program.open_intent->call_ticket != record.call_ticket) {
     return false;
   }
@@ -88,22 +88,22 @@
   return true;
 }
 
-bool apply_one(program_state& program, const program_closed& /*record*/) {
+bool apply_record(program_state& program, const program_closed& /*record*/) {
   program.abandon_open_intent();
   program.closed = true;
   return true;
 }
 
-bool apply_one(shard_state& state, const program_removed& record) {
+bool apply_record(shard_state& state, const program_removed& record) {
   return state.programs.erase(record.program) > 0;
 }
 
-void charge_side_answer(program_state& base, const finished_turn& turn) {
+void charge_diverged_turn(program_state& base, const finished_turn& turn) {
   if (base.find_finished(turn.call_ticket) != nullptr) {
     return;
   }
-  take_abandoned(base, turn.call_ticket);
-  base.side_answers.push_back(turn);
+  remove_abandoned(base, turn.call_ticket);
+  base.diverged_turns.push_back(turn);
   base.charged = base.charged + turn.used;
 }
 
@@ -129,24 +129,24 @@
 }
 
 /// Whether the history of `base` is a prefix of that of `other` and no call is open in `base`.
-bool may_extend(const program_state& base, const program_state& other) {
+bool can_extend(const program_state& base, const program_state& other) {
   return !base.open_intent && is_prefix(base.turns, other.turns);
 }
 
-void absorb_program(program_state& base, const program_state& other) {
-  const bool extend = may_extend(base, other);
+void merge_program(program_state& base, const program_state& other) {
+  const bool extend = can_extend(base, other);
   for (std::size_t at = 0; at < other.turns.size(); ++at) {
     const finished_turn& turn = other.turns[at];
     if (!extend || at < base.turns.size()) {
-      charge_side_answer(base, turn);
+      charge_diverged_turn(base, turn);
       continue;
     }
-    take_abandoned(base, turn.call_ticket);
+    remove_abandoned(base, turn.call_ticket);
     base.turns.push_back(turn);
     base.charged = base.charged + turn.used;
   }
-  for (const finished_turn& turn : other.side_answers) {
-    charge_side_answer(base, turn);
+  for (const finished_turn& turn : other.diverged_turns) {
+    charge_diverged_turn(base, turn);
   }
   for (const intent_logged& intent : other.abandoned) {
     charge_abandoned(base, intent);
@@ -165,12 +165,12 @@
 
 bool apply(shard_state& state, const log_record& record, record_index index, record_index full) {
   if (const auto* opened = std::get_if<program_opened>(&record)) {
-    if (!apply_one(state, *opened)) {
+    if (!apply_record(state, *opened)) {
       return false;
     }
   }
   if (const auto* forgotten = std::get_if<program_removed>(&record)) {
-    return apply_one(state, *forgotten);
+    return apply_record(state, *forgotten);
   }
   const auto found = state.programs.find(program_of(record));
   if (found == state.programs.end()) {
@@ -184,22 +184,22 @@
                       std::is_same_v<kind, program_removed>) {
           return true;
         } else {
-          return apply_one(program, item);
+          return apply_record(program, item);
         }
       },
       record);
   if (!applied) {
     return false;
   }
-  program.mark_left(index, full);
+  program.mark_tokens_left(index, full);
   return true;
 }
 
-void absorb(shard_state& base, const shard_state& other) {
+void merge_state(shard_state& base, const shard_state& other) {
   for (const auto& [id, program] : other.programs) {
     const auto [at, added] = base.programs.emplace(id, program);
     if (!added) {
-      absorb_program(at->second, program);
+      merge_program(at->second, program);
       continue;
     }
     at->second.abandon_open_intent();
--- a/libs/program/test/program_state_test.cc
+++ b/libs/program/test/program_state_test.cc
@@ -22,16 +22,16 @@
   return state;
 }
 
-intent_logged intent(const ticket& under, std::int64_t reserved) {
+intent_logged intent(const ticket& for_ticket, std::int64_t reserved) {
   intent_logged record;
   record.program = program;
-  record.call_ticket = under;
+  record.call_ticket = for_ticket;
   record.reserved = token_count(reserved);
   return record;
 }
 
-turn_finished result(const ticket& under, std::int64_t used) {
-  return {program, under, "question", "answer", token_count(used), false};
+turn_finished result(const ticket& for_ticket, std::int64_t used) {
+  return {program, for_ticket, "question", "answer", token_count(used), false};
 }
 
 }  // namespace
@@ -113,7 +113,7 @@
   REQUIRE(apply(theirs, intent(old_ticket, 30), record_index(3), record_index(2)));
   REQUIRE(apply(theirs, result(old_ticket, 20), record_index(4), record_index(2)));
   SECTION("turns that only the other side has extend the history") {
-    absorb(ours, theirs);
+    merge_state(ours, theirs);
     CHECK(ours.programs.at(program).turns.size() == 1);
     CHECK(ours.programs.at(program).charged == token_count(20));
   }
@@ -122,12 +122,12 @@
     REQUIRE(apply(ours, intent(new_ticket, 30), record_index(3), record_index(2)));
     REQUIRE(apply(ours, result(new_ticket, 10), record_index(4), record_index(2)));
     const std::uint64_t digest = ours.programs.at(program).digest();
-    absorb(ours, theirs);
+    merge_state(ours, theirs);
     const program_state& merged = ours.programs.at(program);
     CHECK(merged.digest() == digest);
     CHECK(merged.charged == token_count(30));
     CHECK(merged.find_finished(old_ticket) != nullptr);
-    absorb(ours, theirs);
+    merge_state(ours, theirs);
     CHECK(ours.programs.at(program).charged == token_count(30));
   }
 }
--- a/libs/turn_log/include/hawthornlane/turn_log/turn_log.h
+++ b/libs/turn_log/include/hawthornlane/turn_log/turn_log.h
@@ -39,15 +39,16 @@
 
   /// Called on the log's thread once per group of appends, with the number of the last record of
   /// the group. `good` is false when the disk failed; from then on nothing is acknowledged.
-  using group_done = std::function<void(std::uint64_t up_to, bool good)>;
+  using durable_callback = std::function<void(std::uint64_t up_to, bool good)>;
 
   /// Opens the log in `folder` and passes each valid record to `on_record`; the view is valid
-  /// during the call only. The files are read in pieces. Returns null and sets `reason` when the
+  /// during the call only. The files are read in chunks. Returns null and sets `reason` when the
   /// folder or a segment cannot be read. A segment is longer than `segment_bytes` only if it
   /// holds a single longer record.
   static std::unique_ptr<turn_log> open(const std::string& folder,
                                         const std::function<void(std::string_view)>& on_record,
-                                        group_done on_durable, log_recovery& found, failure& reason,
+                                        durable_callback on_durable, log_recovery& found,
+                                        failure& reason,
                                         std::uint64_t segment_bytes = usual_segment_bytes);
   virtual ~turn_log() = default;
   turn_log(const turn_log&) = delete;
--- a/libs/turn_log/src/turn_log.cc
+++ b/libs/turn_log/src/turn_log.cc
@@ -23,11 +23,11 @@
 
 constexpr std::string_view prefix = "turns-";
 constexpr std::string_view suffix = ".log";
-constexpr std::size_t record_head_size = 8;
-constexpr std::size_t largest_record = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t record_header_size = 8;
+constexpr std::size_t max_record_size = std::size_t{16} * 1024 * 1024;
 /// Bytes per read when a log is opened: little of a host's memory, and enough that system calls
 /// cost little.
-constexpr std::size_t piece_size = std::size_t{1024} * 1024;
+constexpr std::size_t read_chunk_size = std::size_t{1024} * 1024;
 constexpr mode_t file_mode = 0644;
 
 std::string errno_text() { return std::strerror(errno); }
@@ -48,17 +48,17 @@
   return fmt::format("{}/{}{:08}{}", folder, prefix, number, suffix);
 }
 
-std::string framed(std::string_view record) {
+std::string frame_record(std::string_view record) {
   const auto length = static_cast<std::uint32_t>(record.size());
-  const std::uint32_t sum = XXH32(record.data(), record.size(), length);
-  std::string bytes(record_head_size, '\0');
+  const std::uint32_t checksum = XXH32(record.data(), record.size(), length);
+  std::string bytes(record_header_size, '\0');
   std::memcpy(bytes.data(), &length, sizeof length);
-  std::memcpy(bytes.data() + sizeof length, &sum, sizeof sum);
+  std::memcpy(bytes.data() + sizeof length, &checksum, sizeof checksum);
   bytes += record;
   return bytes;
 }
 
-bool write_whole(int file, std::string_view bytes) {
+bool write_all(int file, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t wrote = ::write(file, bytes.data(), bytes.size());
     if (wrote < 0 && errno == EINTR) {
@@ -84,15 +84,16 @@
 
 class segmented_log final : public turn_log {
 public:
-  segmented_log(std::string in, std::uint64_t next, std::map<std::uint64_t, std::uint64_t> found,
-                std::uint64_t bytes, std::uint64_t most, group_done told)
-      : folder(std::move(in)),
-        segment_bytes(most),
+  segmented_log(std::string folder_path, std::uint64_t next,
+                std::map<std::uint64_t, std::uint64_t> found, std::uint64_t bytes,
+                std::uint64_t limit, durable_callback callback)
+      : folder(std::move(folder_path)),
+        segment_bytes(limit),
         newest(next),
         total(bytes),
         segment(next),
         sizes(std::move(found)),
-        on_durable(std::move(told)),
+        on_durable(std::move(callback)),
         writer([this] { this->run(); }) {}
   segmented_log(const segmented_log&) = delete;
   segmented_log& operator=(const segmented_log&) = delete;
@@ -109,14 +110,14 @@
   }
 
   std::uint64_t append(std::string record) override {
-    const std::string bytes = framed(record);
+    const std::string bytes = frame_record(record);
     std::uint64_t number = 0;
     {
       const std::lock_guard lock(this->mutex);
       if (this->newest_size + bytes.size() > this->segment_bytes) {
         this->begin_segment();
       }
-      this->waiting += bytes;
+      this->queued += bytes;
       this->newest_size += bytes.size();
       number = ++this->appended;
     }
@@ -149,11 +150,11 @@
   }
 
 private:
-  struct job {
+  struct write_batch {
     std::string bytes;
     std::uint64_t up_to = 0;
     /// Offsets in `bytes` at which a new segment begins.
-    std::vector<std::size_t> cuts;
+    std::vector<std::size_t> segment_offsets;
     /// Segments below this number are removed after `bytes` is synced. 0: none.
     std::uint64_t remove_below = 0;
     bool stop = false;
@@ -164,21 +165,20 @@
     if (this->newest_size == 0) {
       return;
     }
-    this->cuts.push_back(this->waiting.size());
+    this->segment_offsets.push_back(this->queued.size());
     ++this->newest;
     this->newest_size = 0;
   }
 
-  job next_job() {
+  write_batch next_batch() {
     std::unique_lock lock(this->mutex);
-    this->wakeup.wait(lock, [this] {
-      return !this->waiting.empty() || this->stopping || this->remove_below > 0;
-    });
-    job taken;
-    taken.bytes = std::move(this->waiting);
-    this->waiting.clear();
+    this->wakeup.wait(
+        lock, [this] { return !this->queued.empty() || this->stopping || this->remove_below > 0; });
+    write_batch taken;
+    taken.bytes = std::move(this->queued);
+    this->queued.clear();
     taken.up_to = this->appended;
-    taken.cuts = std::exchange(this->cuts, {});
+    taken.segment_offsets = std::exchange(this->segment_offsets, {});
     taken.remove_below = this->remove_below;
     taken.stop = this->stopping;
     return taken;
@@ -186,7 +186,7 @@
 
   void run() {
     while (true) {
-      const job one = this->next_job();
+      const write_batch one = this->next_batch();
       this->write(one);
       if (!one.bytes.empty()) {
         this->on_durable(one.up_to, this->is_good);
@@ -202,13 +202,13 @@
   }
 
   /// Syncs each segment before the next one begins, so that only the last one can be torn.
-  void write(const job& one) {
+  void write(const write_batch& one) {
     const std::string_view bytes = one.bytes;
     std::size_t from = 0;
-    for (const std::size_t cut : one.cuts) {
-      this->write_group(bytes.substr(from, cut - from));
+    for (const std::size_t offset : one.segment_offsets) {
+      this->write_group(bytes.substr(from, offset - from));
       this->close_segment();
-      from = cut;
+      from = offset;
     }
     this->write_group(bytes.substr(from));
   }
@@ -230,8 +230,7 @@
       this->file = ::open(segment_path(this->folder, this->segment).c_str(),
                           O_WRONLY | O_CREAT | O_APPEND, file_mode);
     }
-    this->is_good =
-        this->file >= 0 && write_whole(this->file, bytes) && ::fdatasync(this->file) == 0;
+    this->is_good = this->file >= 0 && write_all(this->file, bytes) && ::fdatasync(this->file) == 0;
     if (!this->is_good) {
       return;
     }
@@ -277,9 +276,9 @@
   mutable std::mutex mutex;
   std::condition_variable wakeup;
   /// Guarded by `mutex`, like the next seven members: frames to be written.
-  std::string waiting;
-  /// Offsets in `waiting` at which a new segment begins, ascending.
-  std::vector<std::size_t> cuts;
+  std::string queued;
+  /// Offsets in `queued` at which a new segment begins, ascending.
+  std::vector<std::size_t> segment_offsets;
   std::uint64_t appended = 0;
   /// Number of the segment of the next append, and its size in bytes including queued records.
   std::uint64_t newest;
@@ -289,13 +288,13 @@
   std::uint64_t remove_below = 0;
   bool stopping = false;
   /// Used by the writer thread only, like the next four members. Number of the segment that it
-  /// writes: `newest` less the number of `cuts` that it has not reached.
+  /// writes: `newest` less the number of `segment_offsets` that it has not reached.
   std::uint64_t segment;
   /// Size of each segment, bytes; `total` is their sum.
   std::map<std::uint64_t, std::uint64_t> sizes;
   int file = -1;
   bool is_good = true;
-  group_done on_durable;
+  durable_callback on_durable;
   std::thread writer;
 };
 
@@ -322,8 +321,8 @@
   }
 }
 
-/// Reads the valid records of one segment. It buffers at most `piece_size` bytes, or one record if
-/// that is longer.
+/// Reads the valid records of one segment. It buffers at most `read_chunk_size` bytes, or one
+/// record if that is longer.
 class segment_reader {
 public:
   explicit segment_reader(const std::string& path) : file(::open(path.c_str(), O_RDONLY)) {}
@@ -338,24 +337,24 @@
   /// Passes each valid record to `on_record`. Returns false and leaves `errno` set when the file
   /// cannot be read; the records passed on before are valid.
   bool replay(const std::function<void(std::string_view)>& on_record) {
-    if (!this->measure()) {
+    if (!this->read_file_size()) {
       return false;
     }
     while (const auto record = this->next_record()) {
       on_record(*record);
-      ++this->handed_on;
-      this->whole_bytes += record_head_size + record->size();
+      ++this->record_count;
+      this->valid_bytes += record_header_size + record->size();
     }
     return !this->failed;
   }
 
-  [[nodiscard]] std::size_t records() const { return this->handed_on; }
+  [[nodiscard]] std::size_t records() const { return this->record_count; }
   [[nodiscard]] std::uint64_t size() const { return this->file_size; }
   /// Bytes after the last valid record.
-  [[nodiscard]] std::uint64_t torn_bytes() const { return this->file_size - this->whole_bytes; }
+  [[nodiscard]] std::uint64_t torn_bytes() const { return this->file_size - this->valid_bytes; }
 
 private:
-  bool measure() {
+  bool read_file_size() {
     const off_t end = this->file < 0 ? -1 : ::lseek(this->file, 0, SEEK_END);
     if (end < 0 || ::lseek(this->file, 0, SEEK_SET) != 0) {
       return false;
@@ -368,70 +367,71 @@
   /// The next record; nothing at the end of the file or at the first torn or changed record. The
   /// view is valid until the next call.
   std::optional<std::string_view> next_record() {
-    if (!this->hold(record_head_size)) {
+    if (!this->fill_buffer(record_header_size)) {
       return std::nullopt;
     }
     std::uint32_t length = 0;
-    std::uint32_t sum = 0;
-    std::memcpy(&length, this->held.data() + this->at, sizeof length);
-    std::memcpy(&sum, this->held.data() + this->at + sizeof length, sizeof sum);
+    std::uint32_t checksum = 0;
+    std::memcpy(&length, this->buffer.data() + this->at, sizeof length);
+    std::memcpy(&checksum, this->buffer.data() + this->at + sizeof length, sizeof checksum);
     const bool fits =
-        length > 0 && length <= largest_record && this->hold(record_head_size + length);
+        length > 0 && length <= max_record_size && this->fill_buffer(record_header_size + length);
     if (!fits) {
       return std::nullopt;
     }
-    const auto record = std::string_view(this->held).substr(this->at + record_head_size, length);
-    if (XXH32(record.data(), record.size(), length) != sum) {
+    const auto record =
+        std::string_view(this->buffer).substr(this->at + record_header_size, length);
+    if (XXH32(record.data(), record.size(), length) != checksum) {
       return std::nullopt;
     }
-    this->at += record_head_size + length;
+    this->at += record_header_size + length;
     return record;
   }
 
-  /// Reads until `held` has `count` bytes from `at` on; false when the file has fewer.
-  bool hold(std::size_t count) {
-    const std::size_t rest = this->held.size() - this->at;
-    if (rest >= count) {
+  /// Reads until `buffer` has `count` bytes from `at` on; false when the file has fewer.
+  bool fill_buffer(std::size_t count) {
+    const std::size_t available = this->buffer.size() - this->at;
+    if (available >= count) {
       return true;
     }
     // Checked before any memory is allocated, since `count` may come from a corrupt length.
-    if (this->unread < count - rest) {
+    if (this->unread < count - available) {
       return false;
     }
-    this->held.erase(0, this->at);
+    this->buffer.erase(0, this->at);
     this->at = 0;
-    while (this->held.size() < count) {
-      if (!this->read_up_to(std::max(count, piece_size))) {
+    while (this->buffer.size() < count) {
+      if (!this->read_up_to(std::max(count, read_chunk_size))) {
         return false;
       }
     }
     return true;
   }
 
-  /// Reads once, up to `most` bytes in `held`; false when nothing was read.
-  bool read_up_to(std::size_t most) {
-    const std::size_t before = this->held.size();
-    this->held.resize(most);
+  /// Reads once, up to `limit` bytes in `buffer`; false when nothing was read.
+  bool read_up_to(std::size_t limit) {
+    const std::size_t before = this->buffer.size();
+    this->buffer.resize(limit);
     ssize_t got = 0;
     do {
-      got = ::read(this->file, this->held.data() + before, most - before);
+      got = ::read(this->file, this->buffer.data() + before, limit - before);
     } while (got < 0 && errno == EINTR);
     this->failed = got < 0;
     const auto added = static_cast<std::size_t>(std::max<ssize_t>(got, 0));
-    this->held.resize(before + added);
+    this->buffer.resize(before + added);
     this->unread -= std::min<std::uint64_t>(added, this->unread);
     return added > 0;
   }
 
   int file;
-  /// Invariant: `held` from `at` on follows the last record that was passed on, and `unread` is
-  /// the number of bytes in the file after `held`.
-  std::string held;
+  /// Invariant: `buffer` from `at` on follows the last record that was passed on, and `unread` is
+  /// the number of bytes in the file after `buffer`.
+  std::string buffer;
   std::size_t at = 0;
   std::uint64_t unread = 0;
   std::uint64_t file_size = 0;
-  std::uint64_t whole_bytes = 0;
-  std::size_t handed_on = 0;
+  std::uint64_t valid_bytes = 0;
+  std::size_t record_count = 0;
   bool failed = false;
 };
 
@@ -450,7 +450,7 @@
 
 std::unique_ptr<turn_log> turn_log::open(const std::string& folder,
                                          const std::function<void(std::string_view)>& on_record,
-                                         group_done on_durable, log_recovery& found,
+                                         durable_callback on_durable, log_recovery& found,
                                          failure& reason, std::uint64_t segment_bytes) {
   std::map<std::uint64_t, std::uint64_t> sizes;
   std::uint64_t total = 0;
@@ -481,7 +481,7 @@
 
 bool write_small_file(const std::string& path, std::string_view text, failure& reason) {
   const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC, file_mode);
-  const bool good = file >= 0 && write_whole(file, text) && ::fsync(file) == 0;
+  const bool good = file >= 0 && write_all(file, text) && ::fsync(file) == 0;
   if (!good) {
     reason = {error_kind::internal, path + ": " + errno_text()};
   }
--- a/libs/turn_log/test/live_log.h
+++ b/libs/turn_log/test/test_log.h
@@ -19,7 +19,7 @@
 #include "hawthornlane/turn_log/turn_log.h"
 #include "scratch_folder.h"
 
-namespace hawthornlane::live_logs {
+namespace hawthornlane::log_testing {
 
 using test_support::scratch_folder;
 
@@ -33,9 +33,9 @@
 }
 
 /// Waits until a record is durable.
-class durability {
+class durability_waiter {
 public:
-  void note(std::uint64_t up_to, bool good) {
+  void report(std::uint64_t up_to, bool good) {
     const std::lock_guard lock(this->mutex);
     this->reached = up_to;
     this->is_good = good;
@@ -65,12 +65,12 @@
 }
 
 inline void write(const scratch_folder& folder, const std::vector<std::string>& records) {
-  durability done;
+  durability_waiter done;
   log_recovery found;
   failure reason;
   const auto log = turn_log::open(
       folder.name(), [](std::string_view) {},
-      [&done](std::uint64_t up_to, bool good) { done.note(up_to, good); }, found, reason);
+      [&done](std::uint64_t up_to, bool good) { done.report(up_to, good); }, found, reason);
   REQUIRE(log);
   std::uint64_t last = 0;
   for (const std::string& record : records) {
@@ -89,14 +89,14 @@
 }
 
 /// An open log with a call that waits until its records are durable.
-class live_log {
+class test_log {
 public:
-  explicit live_log(const scratch_folder& folder,
+  explicit test_log(const scratch_folder& folder,
                     std::uint64_t segment_bytes = turn_log::usual_segment_bytes) {
     failure reason;
     this->log = turn_log::open(
         folder.name(), [](std::string_view) {},
-        [this](std::uint64_t up_to, bool good) { this->done.note(up_to, good); }, this->found,
+        [this](std::uint64_t up_to, bool good) { this->done.report(up_to, good); }, this->found,
         reason, segment_bytes);
     REQUIRE(this->log);
   }
@@ -110,7 +110,7 @@
   turn_log& get() { return *this->log; }
 
 private:
-  durability done;
+  durability_waiter done;
   log_recovery found;
   std::uint64_t last = 0;
   /// Declared last, so that it is destroyed first: its thread uses `done`.
@@ -126,27 +126,28 @@
   power_loss(std::mt19937& source, std::map<std::string, std::uintmax_t> safe)
       : random(source), synced(std::move(safe)) {}
 
-  void strike(const scratch_folder& folder) {
+  void simulate(const scratch_folder& folder) {
     const auto kind = static_cast<tail_loss>(this->random() % 4);
-    std::uintmax_t left = kind == tail_loss::gone ? 0 : this->random() % (this->tail(folder) + 1);
-    bool is_over = false;
+    std::uintmax_t remaining =
+        kind == tail_loss::gone ? 0 : this->random() % (this->unsynced_size(folder) + 1);
+    bool is_past_end = false;
     for (const auto& segment : segments_in(folder)) {
       const std::uintmax_t kept = this->synced[segment.filename().string()];
-      const std::uintmax_t loose = std::filesystem::file_size(segment) - kept;
-      if (is_over && loose > 0) {
+      const std::uintmax_t unsynced = std::filesystem::file_size(segment) - kept;
+      if (is_past_end && unsynced > 0) {
         std::filesystem::remove(segment);
         continue;
       }
-      is_over = loose > left;
-      if (is_over) {
-        this->spoil(segment, kept + left, kind);
+      is_past_end = unsynced > remaining;
+      if (is_past_end) {
+        this->corrupt(segment, kept + remaining, kind);
       }
-      left -= std::min(left, loose);
+      remaining -= std::min(remaining, unsynced);
     }
   }
 
 private:
-  std::uintmax_t tail(const scratch_folder& folder) {
+  std::uintmax_t unsynced_size(const scratch_folder& folder) {
     std::uintmax_t bytes = 0;
     for (const auto& [name, size] : sizes_in(folder)) {
       bytes += size - this->synced[name];
@@ -154,7 +155,7 @@
     return bytes;
   }
 
-  void spoil(const std::filesystem::path& segment, std::uintmax_t from, tail_loss kind) {
+  void corrupt(const std::filesystem::path& segment, std::uintmax_t from, tail_loss kind) {
     const std::uintmax_t size = std::filesystem::file_size(segment);
     std::filesystem::resize_file(segment, from);
     if (kind == tail_loss::zeroes) {
@@ -176,7 +177,7 @@
 
 constexpr std::size_t mebibyte = std::size_t{1} << 20U;
 /// Bytes of length and checksum before each record.
-constexpr std::size_t head_size = 8;
+constexpr std::size_t record_header_size = 8;
 
 inline std::string text_of(const std::filesystem::path& path) {
   std::ifstream file(path, std::ios::binary);
@@ -201,4 +202,4 @@
   return record;
 }
 
-}  // namespace hawthornlane::live_logs
+}  // namespace hawthornlane::log_testing
--- a/libs/turn_log/test/turn_log_test.cc
+++ b/libs/turn_log/test/turn_log_test.cc
@@ -14,11 +14,11 @@
 #include <random>
 #include <thread>
 
-#include "live_log.h"
 #include "scratch_folder.h"
+#include "test_log.h"
 
 using namespace hawthornlane;
-using namespace hawthornlane::live_logs;
+using namespace hawthornlane::log_testing;
 using test_support::scratch_folder;
 
 TEST_CASE("records are read back in order after several openings") {
@@ -62,13 +62,13 @@
 TEST_CASE("old segments are removed after their live records were appended again") {
   const scratch_folder folder("turn-log");
   write(folder, {"dead", "alive"});
-  durability done;
+  durability_waiter done;
   log_recovery found;
   failure reason;
   {
     const auto log = turn_log::open(
         folder.name(), [](std::string_view) {},
-        [&done](std::uint64_t up_to, bool good) { done.note(up_to, good); }, found, reason);
+        [&done](std::uint64_t up_to, bool good) { done.report(up_to, good); }, found, reason);
     REQUIRE(log);
     log->append("dead too");
     const std::uint64_t keep = log->start_segment();
@@ -91,11 +91,11 @@
 // A reader that loads whole segments would need memory of the size of the log at start.
 TEST_CASE("reading a long segment needs little memory") {
   constexpr std::size_t copies = 80;
-  constexpr std::size_t records_a_copy = 16;
-  constexpr std::size_t most_growth = 8 * mebibyte;
+  constexpr std::size_t records_per_copy = 16;
+  constexpr std::size_t max_growth = 8 * mebibyte;
   const scratch_folder folder("turn-log");
   write(folder,
-        std::vector<std::string>(records_a_copy, record_of(mebibyte / records_a_copy, 'r')));
+        std::vector<std::string>(records_per_copy, record_of(mebibyte / records_per_copy, 'r')));
   const auto segment = segments_in(folder).front();
   const std::string text = text_of(segment);
   {
@@ -114,17 +114,17 @@
       folder.name(), [&](std::string_view) { most = std::max(most, resident_bytes()); },
       [](std::uint64_t, bool) {}, found, reason);
   REQUIRE(log);
-  CHECK(found.records == copies * records_a_copy);
+  CHECK(found.records == copies * records_per_copy);
   CHECK(found.torn_bytes == 0);
-  CHECK(most - before < most_growth);
+  CHECK(most - before < max_growth);
 }
 
-// The reader reads the file in pieces of 1 MiB; a record header or a record may cross a border.
-TEST_CASE("records that cross a border between pieces of the file are read back") {
-  for (std::size_t before = 0; before <= head_size + 2; ++before) {
+// The reader reads the file in chunks of 1 MiB; a record header or a record may cross a border.
+TEST_CASE("records that cross a border between chunks of the file are read back") {
+  for (std::size_t before = 0; before <= record_header_size + 2; ++before) {
     INFO("second record begins " << before << " bytes before the border");
     const scratch_folder folder("turn-log");
-    const std::vector<std::string> records{record_of(mebibyte - head_size - before, 'a'),
+    const std::vector<std::string> records{record_of(mebibyte - record_header_size - before, 'a'),
                                            record_of(700, 'b'), record_of(3 * mebibyte + 5, 'c'),
                                            record_of(1, 'd'), record_of(mebibyte - 1, 'e')};
     write(folder, records);
@@ -142,8 +142,8 @@
   CHECK(read_all(folder, found) == records);
 }
 
-TEST_CASE("a segment cut near a border between pieces loses only the torn record") {
-  const std::string first = record_of(mebibyte - head_size - 4, 'a');
+TEST_CASE("a segment cut near a border between chunks loses only the torn record") {
+  const std::string first = record_of(mebibyte - record_header_size - 4, 'a');
   const std::string second = record_of(2 * mebibyte + 20, 'b');
   for (const std::size_t border : {mebibyte, 2 * mebibyte, 3 * mebibyte}) {
     for (std::size_t size = border - 10; size <= border + 10; ++size) {
@@ -153,8 +153,8 @@
       std::filesystem::resize_file(segments_in(folder).front(), size);
       log_recovery found;
       const std::vector<std::string> records = read_all(folder, found);
-      const std::size_t first_end = head_size + first.size();
-      const std::size_t second_end = first_end + head_size + second.size();
+      const std::size_t first_end = record_header_size + first.size();
+      const std::size_t second_end = first_end + record_header_size + second.size();
       std::size_t whole = 0;
       std::vector<std::string> expected;
       if (size >= first_end) {
@@ -171,18 +171,19 @@
   }
 }
 
-TEST_CASE("a changed byte in any piece of a segment drops that record and the rest") {
-  // Two of three records cross a border between pieces.
+TEST_CASE("a changed byte in any chunk of a segment drops that record and the rest") {
+  // Two of three records cross a border between chunks.
   constexpr std::size_t record_size = 2 * mebibyte / 3;
   const std::vector<std::string> records(6, record_of(record_size, 'r'));
   for (std::size_t bad = 0; bad < records.size(); ++bad) {
-    for (const std::size_t place : {std::size_t{0}, std::size_t{3}, std::size_t{5}, head_size,
-                                    head_size + record_size / 2, head_size + record_size - 1}) {
+    for (const std::size_t place :
+         {std::size_t{0}, std::size_t{3}, std::size_t{5}, record_header_size,
+          record_header_size + record_size / 2, record_header_size + record_size - 1}) {
       INFO("byte " << place << " of record " << bad);
       const scratch_folder folder("turn-log");
       write(folder, records);
       const auto segment = segments_in(folder).front();
-      const auto start = bad * (head_size + record_size);
+      const auto start = bad * (record_header_size + record_size);
       std::fstream file(segment, std::ios::in | std::ios::out | std::ios::binary);
       file.seekg(static_cast<std::streamoff>(start + place));
       const int byte = file.get();
@@ -195,7 +196,7 @@
       expected.emplace_back("later");
       log_recovery found;
       CHECK(read_all(folder, found) == expected);
-      CHECK(found.torn_bytes == (records.size() - bad) * (head_size + record_size));
+      CHECK(found.torn_bytes == (records.size() - bad) * (record_header_size + record_size));
     }
   }
 }
@@ -218,12 +219,12 @@
                                          record_of(1, 'c'),  record_of(500, 'd'),
                                          record_of(92, 'e'), record_of(92, 'f')};
   {
-    live_log log(folder, segment_bytes);
+    test_log log(folder, segment_bytes);
     for (const std::string& record : records) {
       log.append(record);
     }
     log.sync();
-    CHECK(log.get().size() == 30 + 54 + 1 + 500 + 92 + 92 + 6 * head_size);
+    CHECK(log.get().size() == 30 + 54 + 1 + 500 + 92 + 92 + 6 * record_header_size);
   }
   std::vector<std::uintmax_t> sizes;
   for (const auto& [name, size] : sizes_in(folder)) {
@@ -245,7 +246,7 @@
       const scratch_folder folder("turn-log");
       const std::vector<std::string> alive(7, record_of(60, 'l'));
       {
-        live_log log(folder, segment_bytes);
+        test_log log(folder, segment_bytes);
         for (int number = 0; number < dead; ++number) {
           log.append(record_of(60, 'd'));
         }
@@ -262,7 +263,7 @@
         while (log.get().removing()) {
           std::this_thread::yield();
         }
-        CHECK(log.get().size() == alive.size() * (60 + head_size));
+        CHECK(log.get().size() == alive.size() * (60 + record_header_size));
       }
       log_recovery found;
       CHECK(read_all(folder, found) == alive);
@@ -275,7 +276,7 @@
 TEST_CASE("no segment is removed before an older one") {
   constexpr std::uint64_t segment_bytes = 100;
   const scratch_folder folder("turn-log");
-  live_log log(folder, segment_bytes);
+  test_log log(folder, segment_bytes);
   for (int number = 0; number < 4; ++number) {
     log.append(record_of(60, 'd'));
   }
@@ -318,7 +319,7 @@
       std::size_t synced = written.size();
       std::map<std::string, std::uintmax_t> safe = sizes_in(folder);
       {
-        live_log log(folder, segment_bytes);
+        test_log log(folder, segment_bytes);
         const auto append_some = [&](std::size_t count) {
           for (std::size_t number = 0; number < count; ++number) {
             written.push_back(record_of(size(), static_cast<char>(random())));
@@ -333,7 +334,7 @@
         }
         append_some(random() % 12);
       }
-      power_loss(random, safe).strike(folder);
+      power_loss(random, safe).simulate(folder);
       log_recovery found;
       const std::vector<std::string> back = read_all(folder, found);
       REQUIRE(back.size() >= synced);
