--- a/libs/ownership/src/shard_core.cc
+++ b/libs/ownership/src/shard_core.cc
@@ -96,28 +96,29 @@
 }
 
 void shard_core::resolve_proposal(const assignment& entry, timestamp now, actions& out) {
-  const assignment mine = *this->proposed;
-  if (entry == mine) {
+  const assignment own_proposal = *this->proposed;
+  if (entry == own_proposal) {
     this->proposed.reset();
     if (this->current_role == role_kind::claiming) {
-      this->start_sealing(mine, now, out);
+      this->start_sealing(own_proposal, now, out);
       return;
     }
-    this->known = mine;
-    for (const host_incarnation& replica : mine.replicas) {
+    this->known = own_proposal;
+    for (const host_incarnation& replica : own_proposal.replicas) {
       peer_progress& peer = this->peers[replica];
       if (!peer.sealed) {
         out.push_back(send_message{replica, seal_request{this->known.at}});
         peer.last_sent = now;
       }
     }
-    std::erase_if(this->peers,
-                  [&mine](const auto& item) { return !contains_host(mine.replicas, item.first); });
+    std::erase_if(this->peers, [&own_proposal](const auto& item) {
+      return !contains_host(own_proposal.replicas, item.first);
+    });
     this->advance_calls(now, out);
     return;
   }
-  const bool decided_against = entry.at >= mine.at && entry.nonce != this->known.nonce;
-  if (!decided_against) {
+  const bool superseded = entry.at >= own_proposal.at && entry.nonce != this->known.nonce;
+  if (!superseded) {
     return;
   }
   this->proposed.reset();
--- a/libs/ownership/src/shard_core_takeover.cc
+++ b/libs/ownership/src/shard_core_takeover.cc
@@ -62,8 +62,8 @@
 
 actions shard_core::on(const host_incarnation& from, const seal_reply& message, timestamp now) {
   actions out;
-  const bool mine = this->current_role == role_kind::sealing || this->serving();
-  if (!mine || message.at != this->known.at) {
+  const bool active = this->current_role == role_kind::sealing || this->serving();
+  if (!active || message.at != this->known.at) {
     return out;
   }
   if (!message.granted) {
--- a/libs/ownership/test/ownership_search_test.cc
+++ b/libs/ownership/test/ownership_search_test.cc
@@ -82,7 +82,7 @@
   limits.takeovers = 1;
   limits.set_changes = 0;
   limits.budget = token_count(15);
-  limits.follow_fresh_tickets = true;
+  limits.follow_new_tickets = true;
   return limits;
 }
 
--- a/libs/ownership/test/search_model.h
+++ b/libs/ownership/test/search_model.h
@@ -56,7 +56,7 @@
   if (answer.error == error_kind::not_run || answer.error == error_kind::budget_exhausted) {
     state.refused.insert(presented);
   }
-  if (this->limits.follow_fresh_tickets && answer.next) {
+  if (this->limits.follow_new_tickets && answer.next) {
     state.current = *answer.next;
   }
 }
@@ -110,7 +110,7 @@
   request.presented = item.presented;
   request.repeatable = this->limits.repeatable;
   request.reserved = this->limits.reserved;
-  const std::uint64_t random = fresh_number(item.to, state);
+  const std::uint64_t random = stand_in_random(item.to, state);
   if (const auto answer = host.check_call(request, random)) {
     this->note_answer(state, *answer, item.presented);
     return;
@@ -191,7 +191,7 @@
       result.answer = "a";
       result.used = this->limits.reserved;
       this->carry_out(state, item.to,
-                      host.finish_call(result, fresh_number(item.to, state) + 40, this->now));
+                      host.finish_call(result, stand_in_random(item.to, state) + 40, this->now));
       break;
     }
     case in_flight::kind::request:
@@ -330,7 +330,7 @@
     --after.takeovers_left;
     after.hosts[host].observe_assignment(state.map_entry, this->now);
     this->carry_out(after, host,
-                    after.hosts[host].claim(others, fresh_number(host, state) + 80, this->now));
+                    after.hosts[host].claim(others, stand_in_random(host, state) + 80, this->now));
     this->add(out, "claim " + host_at(host).host.get(), std::move(after));
   }
 }
@@ -367,7 +367,7 @@
       --after.set_changes_left;
       this->carry_out(
           after, host,
-          after.hosts[host].change_replicas(rest, fresh_number(host, state) + 120, this->now));
+          after.hosts[host].change_replicas(rest, stand_in_random(host, state) + 120, this->now));
       this->add(out, "remove " + removed.host.get() + " by " + name, std::move(after));
     }
   }
@@ -398,7 +398,7 @@
     asked.account = client_account("one");
     asked.presented = state.current;
     asked.reserved = this->limits.reserved;
-    const std::uint64_t random = fresh_number(host, refused);
+    const std::uint64_t random = stand_in_random(host, refused);
     shard_core& core = refused.hosts[host];
     const auto earlier = core.check_call(asked, random);
     const call_answer answer =
--- a/libs/ownership/test/search_state.h
+++ b/libs/ownership/test/search_state.h
@@ -43,7 +43,7 @@
   token_count budget{100};
   token_count reserved{10};
   /// Whether the caller continues with each new ticket that it gets.
-  bool follow_fresh_tickets = false;
+  bool follow_new_tickets = false;
   /// Whether dispatched calls end and their results are logged.
   bool with_results = false;
   /// Whether answers of replicas and of the map can be delayed. If not, they arrive with the
@@ -123,7 +123,7 @@
 
 /// Replaces a random number. It differs only where two random numbers have to differ, so that
 /// orders of steps which lead to the same state lead to equal numbers.
-inline std::uint64_t fresh_number(std::size_t host, const model& state) {
+inline std::uint64_t stand_in_random(std::size_t host, const model& state) {
   constexpr std::uint64_t per_host = 1000;
   return per_host * (host + 1) + static_cast<std::uint64_t>(10 * state.takeovers_left) +
          static_cast<std::uint64_t>(state.sends_left);
--- a/libs/turn_log/test/turn_log_test.cc
+++ b/libs/turn_log/test/turn_log_test.cc
@@ -109,14 +109,14 @@
   log_recovery found;
   failure reason;
   const std::size_t before = resident_bytes();
-  std::size_t most = before;
+  std::size_t peak = before;
   const auto log = turn_log::open(
-      folder.name(), [&](std::string_view) { most = std::max(most, resident_bytes()); },
+      folder.name(), [&](std::string_view) { peak = std::max(peak, resident_bytes()); },
       [](std::uint64_t, bool) {}, found, reason);
   REQUIRE(log);
   CHECK(found.records == copies * records_per_copy);
   CHECK(found.torn_bytes == 0);
-  CHECK(most - before < max_growth);
+  CHECK(peak - before < max_growth);
 }
 
 // The reader reads the file in chunks of 1 MiB; a record header or a record may cross a border.
