--- a/libs/ownership/src/log_order.h
+++ b/libs/ownership/src/log_order.h
@@ -1,4 +1,4 @@
-// Small comparisons that the parts of the shard core share.
+// Helpers that the source files of the shard core share.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,12 @@
 
 namespace hawthornlane {
 
-inline bool names(const std::vector<host_incarnation>& hosts, const host_incarnation& host) {
+inline bool contains_host(const std::vector<host_incarnation>& hosts,
+                          const host_incarnation& host) {
   return std::find(hosts.begin(), hosts.end(), host) != hosts.end();
 }
 
-/// Whether `a` was written by a later owner, or further on by the same one.
+/// Whether `a` is of a later epoch, or of the same epoch with more records.
 inline bool is_longer(const log_snapshot& a, const log_snapshot& b) {
   return a.at != b.at ? a.at > b.at : a.last > b.last;
 }
--- a/libs/ownership/src/shard_core.cc
+++ b/libs/ownership/src/shard_core.cc
@@ -1,5 +1,5 @@
-// The shard core's dealings with the shard map, and its invariants; its programs and calls are
-// in shard_core_calls.cc, the log protocol in shard_core_log.cc.
+// Shard core: the shard map and the invariants. Programs and calls are in shard_core_calls.cc, the
+// log protocol in shard_core_log.cc, the takeover in shard_core_takeover.cc.
 #include "hawthornlane/ownership/shard_core.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 actions shard_core::observe_assignment(const assignment& entry, timestamp now) {
   actions out;
   if (this->proposed) {
-    this->settle_proposal(entry, now, out);
+    this->resolve_proposal(entry, now, out);
   }
   if (entry.at < this->known.at) {
     return out;
@@ -58,13 +58,13 @@
   bool removes = false;
   bool stays = false;
   for (const host_incarnation& replica : this->known.replicas) {
-    if (!names(replicas, replica)) {
+    if (!contains_host(replicas, replica)) {
       removes = true;
       continue;
     }
     const auto peer = this->peers.find(replica);
     stays = stays || (peer != this->peers.end() && peer->second.installed &&
-                      peer->second.acknowledged == this->held->last);
+                      peer->second.acknowledged == this->own_log->last);
   }
   if (removes && !stays && this->rules.remove_only_when_others_hold_all) {
     return out;
@@ -88,36 +88,37 @@
       }
       return {};
     case proposal_outcome::unknown:
-      // Neither won nor lost: the host reads the entry back and calls `learn`,
-      // or writes the same proposal again.
+      // The write may have been applied or not: the host reads the entry back and calls
+      // `observe_assignment`, or writes the same proposal again.
       return {};
   }
   return {};
 }
 
-void shard_core::settle_proposal(const assignment& entry, timestamp now, actions& out) {
-  const assignment mine = *this->proposed;
-  if (entry == mine) {
+void shard_core::resolve_proposal(const assignment& entry, timestamp now, actions& out) {
+  const assignment own_proposal = *this->proposed;
+  if (entry == own_proposal) {
     this->proposed.reset();
     if (this->current_role == role_kind::claiming) {
-      this->start_sealing(mine, now, out);
+      this->start_sealing(own_proposal, now, out);
       return;
     }
-    this->known = mine;
-    for (const host_incarnation& replica : mine.replicas) {
+    this->known = own_proposal;
+    for (const host_incarnation& replica : own_proposal.replicas) {
       peer_progress& peer = this->peers[replica];
       if (!peer.sealed) {
         out.push_back(send_message{replica, seal_request{this->known.at}});
-        peer.sent = now;
+        peer.last_sent = now;
       }
     }
-    std::erase_if(this->peers,
-                  [&mine](const auto& item) { return !names(mine.replicas, item.first); });
+    std::erase_if(this->peers, [&own_proposal](const auto& item) {
+      return !contains_host(own_proposal.replicas, item.first);
+    });
     this->advance_calls(now, out);
     return;
   }
-  const bool decided_against = entry.at >= mine.at && entry.nonce != this->known.nonce;
-  if (!decided_against) {
+  const bool superseded = entry.at >= own_proposal.at && entry.nonce != this->known.nonce;
+  if (!superseded) {
     return;
   }
   this->proposed.reset();
@@ -128,30 +129,32 @@
 
 actions shard_core::hand_over(const host_incarnation& successor) {
   actions out;
-  if (this->serving() && names(this->known.replicas, successor)) {
+  if (this->serving() && contains_host(this->known.replicas, successor)) {
     out.push_back(send_message{successor, hand_over_request{this->known.at}});
   }
   return out;
 }
 
 void shard_core::host_gone(const host_incarnation& host) {
-  // A replica that is gone can acknowledge nothing more, so the other side of a
-  // split cannot go on; what it may have acknowledged before stays unknown.
-  if (!this->serving() || !this->held || (this->former_missing.empty())) {
+  // Without the former owner, or without the only replica that is not sealed, the other side of a
+  // network partition sends no further calls, so its share of the budgets is free again.
+  // What that replica acknowledged before remains unknown.
+  if (!this->serving() || !this->own_log || (this->unsealed_former_replicas.empty())) {
     return;
   }
-  const bool only_missing = this->former_missing.size() == 1 && this->former_missing.contains(host);
-  if (host != this->former.owner && !only_missing) {
+  const bool is_only_unsealed =
+      this->unsealed_former_replicas.size() == 1 && this->unsealed_former_replicas.contains(host);
+  if (host != this->former.owner && !is_only_unsealed) {
     return;
   }
-  for (auto& [id, program] : this->held->state.programs) {
+  for (auto& [id, program] : this->own_log->state.programs) {
     program.withheld = token_count(0);
   }
 }
 
 namespace {
 
-/// Checks a program's turns from position `first` on, and its open intent.
+/// Checks a program's turns from index `first` on, and its open intent. Empty if they are valid.
 std::string broken_program(const program_state& program, std::size_t first) {
   const std::string& id = program.opened.program.get();
   std::uint64_t digest = first == 0 ? 0 : program.turns[first - 1].digest;
@@ -159,7 +162,7 @@
     const finished_turn& item = program.turns[at];
     digest = chain_digest(digest, item.request, item.answer);
     if (item.digest != digest || item.call_ticket.turn.get() != at + 1) {
-      return "history of " + id + " does not chain at turn " + std::to_string(at + 1);
+      return "history of " + id + ": wrong digest or ticket at turn " + std::to_string(at + 1);
     }
   }
   if (program.open_intent && program.open_intent->call_ticket.turn != program.next_turn()) {
@@ -171,10 +174,10 @@
 }  // namespace
 
 std::string shard_core::broken_invariant() const {
-  if (!this->held) {
+  if (!this->own_log) {
     return {};
   }
-  for (const auto& [id, program] : this->held->state.programs) {
+  for (const auto& [id, program] : this->own_log->state.programs) {
     std::string broken = broken_program(program, 0);
     if (!broken.empty()) {
       return broken;
@@ -184,10 +187,10 @@
 }
 
 std::string shard_core::broken_invariant_in_newest_turns() const {
-  if (!this->held) {
+  if (!this->own_log) {
     return {};
   }
-  for (const auto& [id, program] : this->held->state.programs) {
+  for (const auto& [id, program] : this->own_log->state.programs) {
     std::string broken =
         broken_program(program, program.turns.empty() ? 0 : program.turns.size() - 1);
     if (!broken.empty()) {
--- a/libs/ownership/test/ownership_search_test.cc
+++ b/libs/ownership/test/ownership_search_test.cc
@@ -1,5 +1,5 @@
-// Exhaustive search over the real cores: every order of a small world, and the
-// counterexample that each missing rule brings.
+// Exhaustive search over the real shard cores: all orders of messages and faults within small
+// bounds, and a counterexample for each safety rule that is turned off.
 #include <malloc.h>
 
 #include <catch2/catch.hpp>
@@ -18,8 +18,8 @@
   return text;
 }
 
-/// The search makes and drops many small states; giving their memory back to the
-/// system each time would cost more than the search.
+/// The search allocates and frees many small states. Returning their memory to the system each
+/// time would cost more than the search.
 void keep_freed_memory() {
   constexpr int keep = 1 << 30;
   mallopt(M_TRIM_THRESHOLD, keep);
@@ -66,14 +66,15 @@
   return limits;
 }
 
-/// Wider than the exhausted one: enough for a counterexample to be found.
+/// Larger than `late_set_change`, which is searched exhaustively, so that it contains a
+/// counterexample.
 search::bounds late_set_change_two_sends() {
   search::bounds limits = late_set_change();
   limits.sends = 2;
   return limits;
 }
 
-/// The caller goes on with each fresh ticket; only one call fits into the budget.
+/// The caller continues with each new ticket; only one call fits into the budget.
 search::bounds split_budget() {
   search::bounds limits;
   limits.sends = 3;
@@ -81,7 +82,7 @@
   limits.takeovers = 1;
   limits.set_changes = 0;
   limits.budget = token_count(15);
-  limits.follow_fresh_tickets = true;
+  limits.follow_new_tickets = true;
   return limits;
 }
 
@@ -93,7 +94,9 @@
 
 }  // namespace
 
-TEST_CASE("no order of messages and faults breaks a promise") {
+// Each row explores all states within its bounds: calls, takeovers, losses of messages and hosts,
+// and changes of the replica set, in every order.
+TEST_CASE("no order of messages and faults violates a guarantee") {
   keep_freed_memory();
   using row = std::tuple<std::string, search::bounds (*)()>;
   const auto [name, bounds] = GENERATE(table<std::string, search::bounds (*)()>(
@@ -101,7 +104,7 @@
        row{"two takeovers", &two_takeovers}, row{"a set change", &set_change},
        row{"a set change with late answers", &late_set_change},
        row{"a split budget", &split_budget}}));
-  const search::finding found = search::search(bounds(), ownership_rules{});
+  const search::search_result found = search::search(bounds(), ownership_rules{});
   INFO(name << ": " << found.violation << "\n" << joined(found.trace));
   CAPTURE(found.states);
   std::printf("%-34s %9zu states\n", name.c_str(), found.states);
@@ -109,26 +112,31 @@
   CHECK(found.exhausted);
 }
 
-TEST_CASE("without any one rule the search finds a counterexample of a few steps") {
+// Guards against a safety rule without effect, and against a model in which its violation cannot
+// occur.
+TEST_CASE("the search finds a short counterexample for each safety rule that is turned off") {
   keep_freed_memory();
   using rule = bool ownership_rules::*;
   using row = std::tuple<std::string, rule, search::bounds (*)()>;
-  const auto [name, taken_out, bounds] = GENERATE(table<std::string, rule, search::bounds (*)()>(
-      {row{"a ticket runs only in its own epoch", &ownership_rules::ticket_bound_to_epoch,
-           &more_sends},
-       row{"not_run needs all replicas sealed", &ownership_rules::seal_all_before_not_run,
-           &more_sends},
-       row{"incompleteness is inherited", &ownership_rules::inherit_incompleteness, &two_takeovers},
-       row{"removal needs the others to hold all",
-           &ownership_rules::remove_only_when_others_hold_all, &set_change},
-       row{"only common replicas count", &ownership_rules::count_only_common_replicas,
-           &late_set_change_two_sends},
-       row{"replicas fence", &ownership_rules::replicas_fence, &more_sends},
-       row{"intent before dispatch", &ownership_rules::intent_before_dispatch, &more_sends},
-       row{"a refusal ends its ticket", &ownership_rules::refusal_ends_ticket, &more_sends},
-       row{"open intents are charged", &ownership_rules::charge_open_intents, &split_budget},
-       row{"a split budget is halved", &ownership_rules::halve_budget_when_split, &split_budget}}));
-  const search::finding found = search::search(bounds(), without(taken_out));
+  const auto [name, disabled_rule, bounds] =
+      GENERATE(table<std::string, rule, search::bounds (*)()>(
+          {row{"a ticket runs only in its own epoch", &ownership_rules::ticket_bound_to_epoch,
+               &more_sends},
+           row{"not_run needs all replicas sealed", &ownership_rules::seal_all_before_not_run,
+               &more_sends},
+           row{"incompleteness is inherited", &ownership_rules::inherit_incompleteness,
+               &two_takeovers},
+           row{"removal needs the others to hold all",
+               &ownership_rules::remove_only_when_others_hold_all, &set_change},
+           row{"only common replicas count", &ownership_rules::count_only_common_replicas,
+               &late_set_change_two_sends},
+           row{"replicas fence", &ownership_rules::replicas_fence, &more_sends},
+           row{"intent before dispatch", &ownership_rules::intent_before_dispatch, &more_sends},
+           row{"a refusal ends its ticket", &ownership_rules::refusal_ends_ticket, &more_sends},
+           row{"open intents are charged", &ownership_rules::charge_open_intents, &split_budget},
+           row{"a split budget is halved", &ownership_rules::halve_budget_when_split,
+               &split_budget}}));
+  const search::search_result found = search::search(bounds(), without(disabled_rule));
   INFO(name << "; states " << found.states);
   std::printf("%-38s %7zu states, %zu steps: %s\n", name.c_str(), found.states, found.trace.size(),
               found.violation.c_str());
--- a/libs/ownership/test/search_model.h
+++ b/libs/ownership/test/search_model.h
@@ -1,5 +1,5 @@
-// A small model round the real shard cores: one shard, three hosts, one map
-// entry, a network that delivers in any order, and a caller that repeats itself.
+// A small model around the real shard cores: one shard, three hosts, one map entry, a network
+// that delivers in any order, and a caller that repeats its requests.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace hawthornlane::search {
 
-/// The model's rules of motion and its promises.
+/// Computes the possible steps of a state and checks the guarantees of `shard_core`.
 class explorer {
 public:
   explorer(bounds limits, ownership_rules rules) : limits(limits), rules(rules) {}
@@ -31,8 +31,8 @@
   void add_claims(const model& state, std::vector<step>& out) const;
   void add_host_steps(const model& state, std::vector<step>& out) const;
   void add_requests(const model& state, std::vector<step>& out) const;
-  bool is_prompt(const in_flight& item) const;
-  void deliver_prompt(model& state, const in_flight& item) const;
+  bool is_delivered_immediately(const in_flight& item) const;
+  void deliver_immediately(model& state, const in_flight& item) const;
   bool has_no_effect(const model& state, const in_flight& item) const;
   void normalise(model& state) const;
   void add(std::vector<step>& out, std::string name, model after) const;
@@ -46,9 +46,9 @@
 inline void explorer::put(model& state, in_flight item) const {
   item.key = bytes_of(item);
   const auto at =
-      std::lower_bound(state.bag.begin(), state.bag.end(), item,
+      std::lower_bound(state.pending.begin(), state.pending.end(), item,
                        [](const in_flight& a, const in_flight& b) { return a.key < b.key; });
-  state.bag.insert(at, std::move(item));
+  state.pending.insert(at, std::move(item));
 }
 
 inline void explorer::note_answer(model& state, const call_answer& answer,
@@ -56,7 +56,7 @@
   if (answer.error == error_kind::not_run || answer.error == error_kind::budget_exhausted) {
     state.refused.insert(presented);
   }
-  if (this->limits.follow_fresh_tickets && answer.next) {
+  if (this->limits.follow_new_tickets && answer.next) {
     state.current = *answer.next;
   }
 }
@@ -68,8 +68,8 @@
       message.from = host;
       message.to = index_of(send->to);
       message.message = send->message;
-      if (this->is_prompt(message)) {
-        this->deliver_prompt(state, message);
+      if (this->is_delivered_immediately(message)) {
+        this->deliver_immediately(state, message);
       } else {
         this->put(state, std::move(message));
       }
@@ -81,7 +81,7 @@
       proposal.desired = write->desired;
       const bool is_claim = write->desired.at != write->expected.at;
       if (is_claim && !this->limits.late_answers && state.faults_left == 0) {
-        // A claim that is written later is the same as a later claim.
+        // Writing a claim later equals claiming later, so it is written immediately.
         this->deliver_map_write(state, proposal, false);
       } else {
         this->put(state, std::move(proposal));
@@ -110,12 +110,12 @@
   request.presented = item.presented;
   request.repeatable = this->limits.repeatable;
   request.reserved = this->limits.reserved;
-  const std::uint64_t random = fresh_number(item.to, state);
+  const std::uint64_t random = stand_in_random(item.to, state);
   if (const auto answer = host.check_call(request, random)) {
     this->note_answer(state, *answer, item.presented);
     return;
   }
-  // A caller that was admitted may yet be refused, for its turn in a queue.
+  // An admitted call may wait in a queue and be refused after all; `begin_call` checks it again.
   this->carry_out(state, item.to, host.begin_call(request, random, this->now));
 }
 
@@ -137,16 +137,16 @@
   }
 }
 
-/// Answers to seals and installs arrive with the request's delivery: a late one
-/// is the same as a late request. Answers to appends have delays of their own.
-inline bool explorer::is_prompt(const in_flight& item) const {
+/// Whether a message is delivered immediately. Answers to seals and installs are, since a late
+/// answer equals a late request. Answers to appends are delayed on their own with `late_answers`.
+inline bool explorer::is_delivered_immediately(const in_flight& item) const {
   const auto* reply = std::get_if<append_reply>(&*item.message);
   const bool to_install = reply != nullptr && reply->last <= record_index(1);
   const bool answers_append = reply != nullptr && !this->limits.late_answers;
   return to_install || answers_append || std::holds_alternative<seal_reply>(*item.message);
 }
 
-inline void explorer::deliver_prompt(model& state, const in_flight& item) const {
+inline void explorer::deliver_immediately(model& state, const in_flight& item) const {
   if (state.alive[item.to]) {
     this->carry_out(state, item.to,
                     state.hosts[item.to].receive(host_at(item.from), *item.message, this->now));
@@ -191,7 +191,7 @@
       result.answer = "a";
       result.used = this->limits.reserved;
       this->carry_out(state, item.to,
-                      host.finish_call(result, fresh_number(item.to, state) + 40, this->now));
+                      host.finish_call(result, stand_in_random(item.to, state) + 40, this->now));
       break;
     }
     case in_flight::kind::request:
@@ -200,7 +200,7 @@
   }
 }
 
-/// Whether delivery of `item` does nothing, now and at any later time.
+/// Whether the delivery of `item` has no effect, now or later.
 inline bool explorer::has_no_effect(const model& state, const in_flight& item) const {
   if (item.what == in_flight::kind::map_write) {
     return false;
@@ -228,13 +228,14 @@
 }
 
 inline void explorer::normalise(model& state) const {
-  std::erase_if(state.bag, [&](const in_flight& item) { return this->has_no_effect(state, item); });
+  std::erase_if(state.pending,
+                [&](const in_flight& item) { return this->has_no_effect(state, item); });
   for (const auto& [presented, times] : state.executed) {
     if (times > 1 && !this->limits.repeatable) {
       state.violation = "ticket dispatched " + std::to_string(times) + " times";
     }
     if (state.refused.contains(presented)) {
-      state.violation = "ticket was refused as not run, and ran";
+      state.violation = "ticket was refused as not run, but was dispatched";
     }
   }
   if (state.spent > this->limits.budget.get()) {
@@ -267,19 +268,19 @@
 }
 
 inline void explorer::add_deliveries(const model& state, std::vector<step>& out) const {
-  for (std::size_t at = 0; at < state.bag.size(); ++at) {
-    if (at > 0 && state.bag[at].key == state.bag[at - 1].key) {
+  for (std::size_t at = 0; at < state.pending.size(); ++at) {
+    if (at > 0 && state.pending[at].key == state.pending[at - 1].key) {
       continue;
     }
     model after = state;
-    const in_flight item = after.bag[at];
-    after.bag.erase(after.bag.begin() + static_cast<std::ptrdiff_t>(at));
+    const in_flight item = after.pending[at];
+    after.pending.erase(after.pending.begin() + static_cast<std::ptrdiff_t>(at));
     this->deliver(after, item);
     this->add(out, name_of(item), std::move(after));
     if (state.faults_left > 0 && item.what == in_flight::kind::map_write &&
         !this->limits.late_answers) {
       model unanswered = state;
-      unanswered.bag.erase(unanswered.bag.begin() + static_cast<std::ptrdiff_t>(at));
+      unanswered.pending.erase(unanswered.pending.begin() + static_cast<std::ptrdiff_t>(at));
       --unanswered.faults_left;
       this->deliver_map_write(unanswered, item, true);
       this->add(out, "lose answer to " + name_of(item), std::move(unanswered));
@@ -288,7 +289,7 @@
         item.what == in_flight::kind::message || item.what == in_flight::kind::map_answer;
     if (state.faults_left > 0 && can_be_lost) {
       model lost = state;
-      lost.bag.erase(lost.bag.begin() + static_cast<std::ptrdiff_t>(at));
+      lost.pending.erase(lost.pending.begin() + static_cast<std::ptrdiff_t>(at));
       --lost.faults_left;
       this->add(out, "lose " + name_of(item), std::move(lost));
     }
@@ -316,8 +317,8 @@
   }
   for (std::size_t host = 0; host < host_count; ++host) {
     const shard_core& core = state.hosts[host];
-    const bool may = state.alive[host] && core.role() == shard_core::role_kind::follower;
-    if (!may) {
+    const bool can_claim = state.alive[host] && core.role() == shard_core::role_kind::follower;
+    if (!can_claim) {
       continue;
     }
     std::vector<host_incarnation> others = state.map_entry.replicas;
@@ -329,7 +330,7 @@
     --after.takeovers_left;
     after.hosts[host].observe_assignment(state.map_entry, this->now);
     this->carry_out(after, host,
-                    after.hosts[host].claim(others, fresh_number(host, state) + 80, this->now));
+                    after.hosts[host].claim(others, stand_in_random(host, state) + 80, this->now));
     this->add(out, "claim " + host_at(host).host.get(), std::move(after));
   }
 }
@@ -346,11 +347,11 @@
       this->carry_out(after, host, after.hosts[host].stop_waiting_for_seals(this->now));
       this->add(out, "serve with gap " + name, std::move(after));
     }
-    // A follower that reads the map does nothing by itself; a claim reads it first.
+    // A follower does nothing when it reads the map, and a claim reads it first.
     const bool acts = core.role() != shard_core::role_kind::follower;
-    const bool news =
+    const bool map_changed =
         acts && (core.known_assignment().at < state.map_entry.at || core.proposal_open());
-    if (news) {
+    if (map_changed) {
       model after = state;
       this->carry_out(after, host,
                       after.hosts[host].observe_assignment(state.map_entry, this->now));
@@ -366,7 +367,7 @@
       --after.set_changes_left;
       this->carry_out(
           after, host,
-          after.hosts[host].change_replicas(rest, fresh_number(host, state) + 120, this->now));
+          after.hosts[host].change_replicas(rest, stand_in_random(host, state) + 120, this->now));
       this->add(out, "remove " + removed.host.get() + " by " + name, std::move(after));
     }
   }
@@ -389,7 +390,7 @@
     --after.sends_left;
     this->deliver(after, request);
     this->add(out, "call at " + host_at(host).host.get(), std::move(after));
-    // The owner's limits may refuse it instead.
+    // Alternatively the owner's limits refuse the call.
     model refused = state;
     --refused.sends_left;
     call_request asked;
@@ -397,7 +398,7 @@
     asked.account = client_account("one");
     asked.presented = state.current;
     asked.reserved = this->limits.reserved;
-    const std::uint64_t random = fresh_number(host, refused);
+    const std::uint64_t random = stand_in_random(host, refused);
     shard_core& core = refused.hosts[host];
     const auto earlier = core.check_call(asked, random);
     const call_answer answer =
@@ -417,27 +418,27 @@
   return out;
 }
 
-/// The model with the first owner serving and one program open at turn 1.
+/// The first state: the first owner serves, and one program is open at turn 1.
 inline model explorer::initial() const {
   model state;
   for (std::size_t host = 0; host < host_count; ++host) {
     state.hosts.emplace_back(the_shard, host_at(host), ownership_times{}, this->rules);
   }
-  const auto settle = [&] {
-    while (!state.bag.empty()) {
-      const in_flight item = state.bag.front();
-      state.bag.erase(state.bag.begin());
+  const auto deliver_all = [&] {
+    while (!state.pending.empty()) {
+      const in_flight item = state.pending.front();
+      state.pending.erase(state.pending.begin());
       this->deliver(state, item);
     }
   };
   this->carry_out(state, 0, state.hosts[0].claim({host_at(1), host_at(2)}, 1, this->now));
-  settle();
+  deliver_all();
   program_opened opened;
   opened.program = this->program();
   opened.account = client_account("one");
   opened.limits = {this->limits.budget, 100, 100, 1000};
   this->carry_out(state, 0, state.hosts[0].open_program(call_id(0), opened, 5, this->now));
-  settle();
+  deliver_all();
   for (std::size_t host = 1; host < host_count; ++host) {
     state.hosts[host].observe_assignment(state.map_entry, this->now);
   }
--- a/libs/turn_log/test/turn_log_test.cc
+++ b/libs/turn_log/test/turn_log_test.cc
@@ -1,4 +1,4 @@
-// The log after crashes: torn tails, bytes that changed, segments that went.
+// Tests of the log after crashes: torn records, changed bytes, removed segments.
 #include "hawthornlane/turn_log/turn_log.h"
 
 #include <unistd.h>
@@ -14,14 +14,14 @@
 #include <random>
 #include <thread>
 
-#include "live_log.h"
 #include "scratch_folder.h"
+#include "test_log.h"
 
 using namespace hawthornlane;
-using namespace hawthornlane::live_logs;
+using namespace hawthornlane::log_testing;
 using test_support::scratch_folder;
 
-TEST_CASE("records come back in order over several openings") {
+TEST_CASE("records are read back in order after several openings") {
   const scratch_folder folder("turn-log");
   write(folder, {"one", "two"});
   write(folder, {"three"});
@@ -31,7 +31,8 @@
   CHECK(found.torn_bytes == 0);
 }
 
-TEST_CASE("a tail that is torn anywhere loses only what was torn") {
+// A crash cuts the last record at any byte. A log opened after it must not append to that segment.
+TEST_CASE("a segment cut at any byte loses only the torn record") {
   for (std::uintmax_t cut = 1; cut <= 11; ++cut) {
     INFO("cut off " << cut << " bytes");
     const scratch_folder folder("turn-log");
@@ -45,7 +46,7 @@
   }
 }
 
-TEST_CASE("a record whose bytes changed ends its segment") {
+TEST_CASE("a record with a changed byte is dropped with the rest of its segment") {
   const scratch_folder folder("turn-log");
   write(folder, {"one", "two"});
   const auto segment = segments_in(folder).front();
@@ -58,16 +59,16 @@
   CHECK(read_all(folder, found) == std::vector<std::string>{"three"});
 }
 
-TEST_CASE("segments go once what lives was written again") {
+TEST_CASE("old segments are removed after their live records were appended again") {
   const scratch_folder folder("turn-log");
   write(folder, {"dead", "alive"});
-  durability done;
+  durability_waiter done;
   log_recovery found;
   failure reason;
   {
     const auto log = turn_log::open(
         folder.name(), [](std::string_view) {},
-        [&done](std::uint64_t up_to, bool good) { done.note(up_to, good); }, found, reason);
+        [&done](std::uint64_t up_to, bool good) { done.report(up_to, good); }, found, reason);
     REQUIRE(log);
     log->append("dead too");
     const std::uint64_t keep = log->start_segment();
@@ -79,7 +80,7 @@
   CHECK(read_all(folder, after) == std::vector<std::string>{"alive"});
 }
 
-TEST_CASE("a folder that is not there is refused with a reason") {
+TEST_CASE("opening a missing folder fails with a reason") {
   log_recovery found;
   failure reason;
   CHECK_FALSE(turn_log::open(
@@ -87,13 +88,14 @@
   CHECK_FALSE(reason.detail.empty());
 }
 
-TEST_CASE("a long segment is replayed in little memory") {
+// A reader that loads whole segments would need memory of the size of the log at start.
+TEST_CASE("reading a long segment needs little memory") {
   constexpr std::size_t copies = 80;
-  constexpr std::size_t records_a_copy = 16;
-  constexpr std::size_t most_growth = 8 * mebibyte;
+  constexpr std::size_t records_per_copy = 16;
+  constexpr std::size_t max_growth = 8 * mebibyte;
   const scratch_folder folder("turn-log");
   write(folder,
-        std::vector<std::string>(records_a_copy, record_of(mebibyte / records_a_copy, 'r')));
+        std::vector<std::string>(records_per_copy, record_of(mebibyte / records_per_copy, 'r')));
   const auto segment = segments_in(folder).front();
   const std::string text = text_of(segment);
   {
@@ -107,21 +109,22 @@
   log_recovery found;
   failure reason;
   const std::size_t before = resident_bytes();
-  std::size_t most = before;
+  std::size_t peak = before;
   const auto log = turn_log::open(
-      folder.name(), [&](std::string_view) { most = std::max(most, resident_bytes()); },
+      folder.name(), [&](std::string_view) { peak = std::max(peak, resident_bytes()); },
       [](std::uint64_t, bool) {}, found, reason);
   REQUIRE(log);
-  CHECK(found.records == copies * records_a_copy);
+  CHECK(found.records == copies * records_per_copy);
   CHECK(found.torn_bytes == 0);
-  CHECK(most - before < most_growth);
+  CHECK(peak - before < max_growth);
 }
 
-TEST_CASE("records that lie across a mebibyte of the file come back") {
-  for (std::size_t before = 0; before <= head_size + 2; ++before) {
+// The reader reads the file in chunks of 1 MiB; a record header or a record may cross a border.
+TEST_CASE("records that cross a border between chunks of the file are read back") {
+  for (std::size_t before = 0; before <= record_header_size + 2; ++before) {
     INFO("second record begins " << before << " bytes before the border");
     const scratch_folder folder("turn-log");
-    const std::vector<std::string> records{record_of(mebibyte - head_size - before, 'a'),
+    const std::vector<std::string> records{record_of(mebibyte - record_header_size - before, 'a'),
                                            record_of(700, 'b'), record_of(3 * mebibyte + 5, 'c'),
                                            record_of(1, 'd'), record_of(mebibyte - 1, 'e')};
     write(folder, records);
@@ -131,7 +134,7 @@
   }
 }
 
-TEST_CASE("the longest record comes back") {
+TEST_CASE("a record of the maximum length is read back") {
   const scratch_folder folder("turn-log");
   const std::vector<std::string> records{"before", record_of(16 * mebibyte, 'l'), "after"};
   write(folder, records);
@@ -139,8 +142,8 @@
   CHECK(read_all(folder, found) == records);
 }
 
-TEST_CASE("a tail that is torn about a mebibyte of the file loses only what was torn") {
-  const std::string first = record_of(mebibyte - head_size - 4, 'a');
+TEST_CASE("a segment cut near a border between chunks loses only the torn record") {
+  const std::string first = record_of(mebibyte - record_header_size - 4, 'a');
   const std::string second = record_of(2 * mebibyte + 20, 'b');
   for (const std::size_t border : {mebibyte, 2 * mebibyte, 3 * mebibyte}) {
     for (std::size_t size = border - 10; size <= border + 10; ++size) {
@@ -150,8 +153,8 @@
       std::filesystem::resize_file(segments_in(folder).front(), size);
       log_recovery found;
       const std::vector<std::string> records = read_all(folder, found);
-      const std::size_t first_end = head_size + first.size();
-      const std::size_t second_end = first_end + head_size + second.size();
+      const std::size_t first_end = record_header_size + first.size();
+      const std::size_t second_end = first_end + record_header_size + second.size();
       std::size_t whole = 0;
       std::vector<std::string> expected;
       if (size >= first_end) {
@@ -168,18 +171,19 @@
   }
 }
 
-TEST_CASE("a changed byte in any mebibyte of a segment drops that record and what follows it") {
-  // Two records of three lie across a border.
+TEST_CASE("a changed byte in any chunk of a segment drops that record and the rest") {
+  // Two of three records cross a border between chunks.
   constexpr std::size_t record_size = 2 * mebibyte / 3;
   const std::vector<std::string> records(6, record_of(record_size, 'r'));
   for (std::size_t bad = 0; bad < records.size(); ++bad) {
-    for (const std::size_t place : {std::size_t{0}, std::size_t{3}, std::size_t{5}, head_size,
-                                    head_size + record_size / 2, head_size + record_size - 1}) {
+    for (const std::size_t place :
+         {std::size_t{0}, std::size_t{3}, std::size_t{5}, record_header_size,
+          record_header_size + record_size / 2, record_header_size + record_size - 1}) {
       INFO("byte " << place << " of record " << bad);
       const scratch_folder folder("turn-log");
       write(folder, records);
       const auto segment = segments_in(folder).front();
-      const auto start = bad * (head_size + record_size);
+      const auto start = bad * (record_header_size + record_size);
       std::fstream file(segment, std::ios::in | std::ios::out | std::ios::binary);
       file.seekg(static_cast<std::streamoff>(start + place));
       const int byte = file.get();
@@ -192,12 +196,12 @@
       expected.emplace_back("later");
       log_recovery found;
       CHECK(read_all(folder, found) == expected);
-      CHECK(found.torn_bytes == (records.size() - bad) * (head_size + record_size));
+      CHECK(found.torn_bytes == (records.size() - bad) * (record_header_size + record_size));
     }
   }
 }
 
-TEST_CASE("a segment that cannot be read is refused with a reason") {
+TEST_CASE("opening a log with an unreadable segment fails with a reason") {
   const scratch_folder folder("turn-log");
   write(folder, {"one"});
   std::filesystem::create_directory(folder.path() / "turns-00000002.log");
@@ -208,19 +212,19 @@
   CHECK_FALSE(reason.detail.empty());
 }
 
-TEST_CASE("a full segment is followed by the next") {
+TEST_CASE("a new segment begins when one is full") {
   constexpr std::uint64_t segment_bytes = 100;
   const scratch_folder folder("turn-log");
   const std::vector<std::string> records{record_of(30, 'a'), record_of(54, 'b'),
                                          record_of(1, 'c'),  record_of(500, 'd'),
                                          record_of(92, 'e'), record_of(92, 'f')};
   {
-    live_log log(folder, segment_bytes);
+    test_log log(folder, segment_bytes);
     for (const std::string& record : records) {
       log.append(record);
     }
     log.sync();
-    CHECK(log.get().size() == 30 + 54 + 1 + 500 + 92 + 92 + 6 * head_size);
+    CHECK(log.get().size() == 30 + 54 + 1 + 500 + 92 + 92 + 6 * record_header_size);
   }
   std::vector<std::uintmax_t> sizes;
   for (const auto& [name, size] : sizes_in(folder)) {
@@ -231,16 +235,18 @@
   CHECK(read_all(folder, found) == records);
 }
 
-TEST_CASE("what is appended after a new segment was asked for outlives those before it") {
+// Records appended after `start_segment` must not land in an older segment, however far the writer
+// thread lags behind the appends; `remove_before` would remove them.
+TEST_CASE("records appended after start_segment survive the removal of older segments") {
   constexpr std::uint64_t segment_bytes = 100;
-  // The writer is somewhere behind, or has written all.
+  // The writer thread lags behind by some records, or has written all of them.
   for (const bool is_written : {false, true}) {
     for (int dead = 0; dead < 12; ++dead) {
       INFO(dead << " dead records, written: " << is_written);
       const scratch_folder folder("turn-log");
       const std::vector<std::string> alive(7, record_of(60, 'l'));
       {
-        live_log log(folder, segment_bytes);
+        test_log log(folder, segment_bytes);
         for (int number = 0; number < dead; ++number) {
           log.append(record_of(60, 'd'));
         }
@@ -257,7 +263,7 @@
         while (log.get().removing()) {
           std::this_thread::yield();
         }
-        CHECK(log.get().size() == alive.size() * (60 + head_size));
+        CHECK(log.get().size() == alive.size() * (60 + record_header_size));
       }
       log_recovery found;
       CHECK(read_all(folder, found) == alive);
@@ -265,15 +271,17 @@
   }
 }
 
-TEST_CASE("no segment goes before an older one is gone") {
+// If a newer segment were removed first, a crash could leave outdated records without the ones
+// that replaced them.
+TEST_CASE("no segment is removed before an older one") {
   constexpr std::uint64_t segment_bytes = 100;
   const scratch_folder folder("turn-log");
-  live_log log(folder, segment_bytes);
+  test_log log(folder, segment_bytes);
   for (int number = 0; number < 4; ++number) {
     log.append(record_of(60, 'd'));
   }
   log.sync();
-  // The second of four cannot be removed.
+  // The second of four segments cannot be removed.
   const auto stuck = segments_in(folder)[1];
   std::filesystem::remove(stuck);
   std::filesystem::create_directory(stuck);
@@ -293,7 +301,8 @@
                                           "turns-00000004.log", "turns-00000005.log"});
 }
 
-TEST_CASE("after any power loss every synced record comes back and nothing is made up") {
+// Bytes written after the last sync may be cut, zeroed, replaced by garbage or lost.
+TEST_CASE("after a power loss all synced records and only appended ones are read back") {
   constexpr unsigned seeds = 40;
   constexpr int losses = 5;
   for (unsigned seed = 1; seed <= seeds; ++seed) {
@@ -310,7 +319,7 @@
       std::size_t synced = written.size();
       std::map<std::string, std::uintmax_t> safe = sizes_in(folder);
       {
-        live_log log(folder, segment_bytes);
+        test_log log(folder, segment_bytes);
         const auto append_some = [&](std::size_t count) {
           for (std::size_t number = 0; number < count; ++number) {
             written.push_back(record_of(size(), static_cast<char>(random())));
@@ -325,7 +334,7 @@
         }
         append_some(random() % 12);
       }
-      power_loss(random, safe).strike(folder);
+      power_loss(random, safe).simulate(folder);
       log_recovery found;
       const std::vector<std::string> back = read_all(folder, found);
       REQUIRE(back.size() >= synced);
