--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -35,7 +35,7 @@
 };
 
 /// One call's time, compared with the time of similar calls.
-struct speed_sample {
+struct slowdown_sample {
   /// Logarithm of the ratio of the two times.
   double log_ratio = 0;
   double weight = 0;
@@ -84,7 +84,7 @@
 class server_speed {
 public:
   /// Adds a sample from a call of this host.
-  void add_sample(const speed_sample& sample, const speed_rules& rules, timestamp now);
+  void add_sample(const slowdown_sample& sample, const speed_rules& rules, timestamp now);
   /// Sets the mean of other hosts' estimates. It replaces the previous one, and is never part of
   /// what this host reports.
   void set_remote_estimate(const speed_estimate& word, timestamp now);
@@ -137,8 +137,8 @@
   /// Compares a call's time with the typical one, and updates that. `load` is the time of a call at
   /// the load that the server had, as a multiple of the time at an idle server. `expected` is the
   /// estimate of the server's slowdown. Empty while too few calls of the kind are known.
-  std::optional<speed_sample> compare(std::uint64_t kind, timed_part part, duration took,
-                                      double load, double expected, const speed_rules& rules);
+  std::optional<slowdown_sample> compare(std::uint64_t kind, timed_part part, duration took,
+                                         double load, double expected, const speed_rules& rules);
 
 private:
   /// Statistics of the logarithm of the time in seconds.
--- a/libs/placement/src/server_pool_speed.cc
+++ b/libs/placement/src/server_pool_speed.cc
@@ -192,7 +192,7 @@
   }
   const duration took = std::chrono::duration_cast<duration>(now - call.sent_at);
   const double expected = server->speed.expected(this->rules.speed, now);
-  const std::optional<speed_sample> sample =
+  const std::optional<slowdown_sample> sample =
       this->typical.compare(call.timed_kind, part, took, call.load, expected, this->rules.speed);
   if (!sample) {
     return;
--- a/libs/placement/src/server_speed.cc
+++ b/libs/placement/src/server_speed.cc
@@ -67,7 +67,8 @@
   return from == 0 ? 0 : from * decay_factor(now - this->updated_at, decay_time);
 }
 
-void server_speed::add_sample(const speed_sample& sample, const speed_rules& rules, timestamp now) {
+void server_speed::add_sample(const slowdown_sample& sample, const speed_rules& rules,
+                              timestamp now) {
   const double from_slow = sample.log_ratio - this->slow(rules, now);
   this->own_fast.add(from_slow, sample.weight, rules.fast_decay_time, now);
   this->own_slow.add(sample.log_ratio, sample.weight, rules.slow_decay_time, now);
@@ -143,9 +144,9 @@
   return mean;
 }
 
-std::optional<speed_sample> typical_times::compare(std::uint64_t kind, timed_part part,
-                                                   duration took, double load, double expected,
-                                                   const speed_rules& rules) {
+std::optional<slowdown_sample> typical_times::compare(std::uint64_t kind, timed_part part,
+                                                      duration took, double load, double expected,
+                                                      const speed_rules& rules) {
   kind_times& times = this->kinds[{kind, part}];
   const double log_time = std::log(std::max(to_seconds(took), min_seconds) / load);
   ++times.calls;
@@ -165,7 +166,7 @@
     return std::nullopt;
   }
   this->common_slowdown += common_newest_weight * residual;
-  return speed_sample{log_ratio, rules.server_variance / variance};
+  return slowdown_sample{log_ratio, rules.server_variance / variance};
 }
 
 }  // namespace hawthornlane
