--- a/libs/limits/test/quota_simulation.h
+++ b/libs/limits/test/quota_simulation.h
@@ -74,13 +74,13 @@
   struct host_state {
     bool up = false;
     /// Number of starts; pending work of an earlier process is dropped.
-    int start_count = 0;
+    int starts = 0;
     timestamp paused_until{};
     /// How far the process's clock is ahead of the simulated time.
     duration clock{};
     std::unique_ptr<quota_manager> manager;
     std::vector<quota_record> log;
-    std::vector<std::function<void()>> unsent_replies;
+    std::vector<std::function<void()>> unsent;
     bool writing = false;
     std::optional<ledger_set> set;
     timestamp set_confirmed_at{};
@@ -89,8 +89,8 @@
     std::map<int, timestamp> alive_at;
     set_epoch fence;
     set_epoch copied;
-    timestamp change_pending_since{};
-    set_epoch change_pending_at;
+    timestamp pending_since{};
+    set_epoch pending_epoch;
     bool retiring = false;
     bool must_leave = false;
   };
@@ -98,8 +98,8 @@
     account_limit limit;
     limit_version version;
   };
-  struct pending_call {
-    explicit pending_call(std::vector<disk_id> order)
+  struct call_state {
+    explicit call_state(std::vector<disk_id> order)
         : managers(std::move(order)), round(managers.size()) {}
     std::vector<disk_id> managers;
     quota_round round;
@@ -109,10 +109,11 @@
 
   static constexpr int store = disk_hosts + front_hosts;
   static constexpr duration probe_interval = std::chrono::milliseconds(250);
-  static constexpr duration membership_interval = std::chrono::milliseconds(200);
+  static constexpr duration set_check_interval = std::chrono::milliseconds(200);
   static constexpr duration store_poll_interval = std::chrono::milliseconds(50);
   static constexpr duration failure_timeout = std::chrono::milliseconds(3500);
-  static constexpr duration candidate_timeout = std::chrono::milliseconds(1000);
+  /// Time for one candidate to change the set before the next one may.
+  static constexpr duration slot_time = std::chrono::milliseconds(1000);
   static constexpr duration max_sync_time = std::chrono::milliseconds(20);
   static constexpr duration response_timeout = std::chrono::milliseconds(40);
   static constexpr duration round_timeout = std::chrono::milliseconds(400);
@@ -134,25 +135,23 @@
   void after(duration time, std::function<void()> work) {
     this->events.emplace(this->now + time, std::move(work));
   }
-  /// Runs work of a process: drops it if the process has ended, and delays it while the process is
-  /// suspended.
-  void run_at(int host, int start_count, const std::function<void()>& work) {
+  /// Runs work of a process; dropped if it has ended, delayed while it is suspended.
+  void run_at(int host, int starts, const std::function<void()>& work) {
     host_state& item = this->hosts.at(host);
-    if (!item.up || item.start_count != start_count) {
+    if (!item.up || item.starts != starts) {
       return;
     }
     if (this->now < item.paused_until) {
-      this->after(item.paused_until - this->now,
-                  [=, this] { this->run_at(host, start_count, work); });
+      this->after(item.paused_until - this->now, [=, this] { this->run_at(host, starts, work); });
       return;
     }
     work();
   }
-  void repeat_at(int host, int start_count, duration pause, const std::function<void()>& work) {
+  void repeat_at(int host, int starts, duration pause, const std::function<void()>& work) {
     this->after(pause, [=, this] {
-      this->run_at(host, start_count, [=, this] {
+      this->run_at(host, starts, [=, this] {
         work();
-        this->repeat_at(host, start_count, pause, work);
+        this->repeat_at(host, starts, pause, work);
       });
     });
   }
@@ -163,17 +162,16 @@
     }
     const int copies = this->links.is_duplicating(to, this->now) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      duration transit_time =
+      duration latency =
           std::chrono::microseconds(200) + this->random_time(std::chrono::milliseconds(1));
       if (this->links.is_delayed(to, this->now)) {
-        transit_time += this->random_time(std::chrono::milliseconds(250));
+        latency += this->random_time(std::chrono::milliseconds(250));
       }
       if (to >= disk_hosts) {
-        this->after(transit_time, arrive);
+        this->after(latency, arrive);
         continue;
       }
-      this->after(transit_time,
-                  [=, this] { this->run_at(to, this->hosts.at(to).start_count, arrive); });
+      this->after(latency, [=, this] { this->run_at(to, this->hosts.at(to).starts, arrive); });
     }
   }
 
@@ -183,7 +181,7 @@
     host_state& item = this->hosts.at(host);
     item.up = true;
     item.paused_until = {};
-    ++item.start_count;
+    ++item.starts;
     item.clock = this->random_time(std::chrono::hours(1));
     item.manager = std::make_unique<quota_manager>(tolerance);
     for (quota_record record : item.log) {
@@ -192,7 +190,7 @@
       }
       item.manager->restore(record);
     }
-    item.unsent_replies.clear();
+    item.unsent.clear();
     item.writing = false;
     item.set.reset();
     item.heard.clear();
@@ -201,11 +199,9 @@
       item.alive_at[other] = this->clock_of(item);
     }
     this->read_store(host);
-    this->repeat_at(host, item.start_count, store_poll_interval,
-                    [=, this] { this->read_store(host); });
-    this->repeat_at(host, item.start_count, probe_interval, [=, this] { this->probe(host); });
-    this->repeat_at(host, item.start_count, membership_interval,
-                    [=, this] { this->update_membership(host); });
+    this->repeat_at(host, item.starts, store_poll_interval, [=, this] { this->read_store(host); });
+    this->repeat_at(host, item.starts, probe_interval, [=, this] { this->probe(host); });
+    this->repeat_at(host, item.starts, set_check_interval, [=, this] { this->check_set(host); });
   }
 
   [[nodiscard]] bool reaches_store(int host) { return !this->links.is_cut(host, store, this->now); }
@@ -225,7 +221,7 @@
     return quota_share(set, disk);
   }
   void probe(int host) {
-    const int start_count = this->hosts.at(host).start_count;
+    const int starts = this->hosts.at(host).starts;
     for (int other = 0; other < disk_hosts; ++other) {
       if (other == host) {
         continue;
@@ -235,7 +231,7 @@
         const set_epoch copied = this->hosts.at(other).copied;
         this->send(other, host, [=, this] {
           host_state& asker = this->hosts.at(host);
-          if (asker.start_count != start_count) {
+          if (asker.starts != starts) {
             return;
           }
           asker.heard[other] = {name_of(other), this->clock_of(asker), fence};
@@ -266,15 +262,14 @@
     host_state& item = this->hosts.at(host);
     view.skipped_candidates = view.disks.size();
     const bool due = decide_set_change(view).step == set_step::propose;
-    if (!due || item.set->epoch != item.change_pending_at) {
-      item.change_pending_at = item.set->epoch;
-      item.change_pending_since = this->clock_of(item);
+    if (!due || item.set->epoch != item.pending_epoch) {
+      item.pending_epoch = item.set->epoch;
+      item.pending_since = this->clock_of(item);
       return 0;
     }
-    return static_cast<std::size_t>((this->clock_of(item) - item.change_pending_since) /
-                                    candidate_timeout);
+    return static_cast<std::size_t>((this->clock_of(item) - item.pending_since) / slot_time);
   }
-  void update_membership(int host) {
+  void check_set(int host) {
     host_state& item = this->hosts.at(host);
     if (!item.set) {
       return;
@@ -330,8 +325,8 @@
     return this->bug == injected_bug::ignores_lease ||
            holds_quota_lease(view, this->clock_of(host));
   }
-  void ask_manager(int host, const quota_request& request,
-                   const std::function<void(const quota_response&)>& reply) {
+  void ask(int host, const quota_request& request,
+           const std::function<void(const quota_response&)>& reply) {
     host_state& item = this->hosts.at(host);
     quota_response answer;
     if (this->holds_lease(item, host)) {
@@ -344,7 +339,7 @@
       reply(answer);
       return;
     }
-    item.unsent_replies.push_back([=, this, at = this->now] {
+    item.unsent.push_back([=, this, at = this->now] {
       this->grants.record_grant(at);
       reply(answer);
     });
@@ -362,23 +357,23 @@
   /// Answers a granted call once the grant is in the log.
   void write(int host) {
     host_state& item = this->hosts.at(host);
-    if (item.writing || item.unsent_replies.empty()) {
+    if (item.writing || item.unsent.empty()) {
       return;
     }
     item.writing = true;
     const quota_record record = item.manager->take_changes(this->clock_of(item));
-    const auto ready_replies = std::make_shared<std::vector<std::function<void()>>>(
-        std::exchange(item.unsent_replies, {}));
+    const auto replies =
+        std::make_shared<std::vector<std::function<void()>>>(std::exchange(item.unsent, {}));
     this->after(std::chrono::milliseconds(1) + this->random_time(max_sync_time),
-                [=, this, start_count = item.start_count] {
-                  this->run_at(host, start_count, [=, this] {
+                [=, this, starts = item.starts] {
+                  this->run_at(host, starts, [=, this] {
                     host_state& writer = this->hosts.at(host);
                     writer.log.push_back(record);
                     if (writer.log.size() > max_log_records) {
                       writer.manager->forget_idle(this->clock_of(writer));
                       writer.log = {writer.manager->whole(this->clock_of(writer))};
                     }
-                    for (const std::function<void()>& send_reply : *ready_replies) {
+                    for (const std::function<void()>& send_reply : *replies) {
                       send_reply();
                     }
                     writer.writing = false;
@@ -398,10 +393,9 @@
   void begin_call(int front) {
     std::vector<disk_id> order = this->known_members.at(front);
     std::shuffle(order.begin(), order.end(), this->random);
-    this->continue_call(front, std::make_shared<pending_call>(std::move(order)),
-                        this->now + round_timeout);
+    this->advance(front, std::make_shared<call_state>(std::move(order)), this->now + round_timeout);
   }
-  void continue_call(int front, const std::shared_ptr<pending_call>& call, timestamp until) {
+  void advance(int front, const std::shared_ptr<call_state>& call, timestamp until) {
     if (call->ended) {
       return;
     }
@@ -422,17 +416,16 @@
     const versioned_limit& known = this->known_limits.at(front);
     const quota_request request{client_account("north"), known.limit, known.version};
     const auto answered = std::make_shared<bool>(false);
-    const auto deliver_response = [=, this](const quota_response& answer) {
+    const auto respond = [=, this](const quota_response& answer) {
       this->send(manager, disk_hosts + front, [=, this] {
         if (!std::exchange(*answered, true)) {
           call->round.answered(answer);
-          this->continue_call(front, call, until);
+          this->advance(front, call, until);
         }
       });
     };
-    this->send(disk_hosts + front, manager,
-               [=, this] { this->ask_manager(manager, request, deliver_response); });
-    this->after(response_timeout, [=, this] { this->continue_call(front, call, until); });
+    this->send(disk_hosts + front, manager, [=, this] { this->ask(manager, request, respond); });
+    this->after(response_timeout, [=, this] { this->advance(front, call, until); });
   }
 
   void inject(const fault& item) {
