--- a/libs/front/include/hawthornlane/front/peer_gossip.h
+++ b/libs/front/include/hawthornlane/front/peer_gossip.h
@@ -137,7 +137,7 @@
   /// Invariant: expires at each probe round and with each change of `last_versions`.
   probe_encoder encoder;
   known_versions last_versions;
-  copy_fetch_scheduler fetch_scheduler;
+  copy_fetch_scheduler fetches;
   copy_send_limiter send_limiter;
   copy_counters counts;
   /// Expires with this object; answers of peers may arrive later.
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -66,8 +66,7 @@
       hooks(std::move(with)),
       copies(state, static_cast<const copy_hooks&>(this->hooks)),
       loop_lag(discovery::scheduler_now()),
-      fetch_scheduler(schedule.owner(),
-                      [this](const host_id& other) { return this->reaches(other); }) {}
+      fetches(schedule.owner(), [this](const host_id& other) { return this->reaches(other); }) {}
 
 peer_gossip::~peer_gossip() = default;
 
@@ -81,7 +80,7 @@
 }
 
 void peer_gossip::add_peer(const host_entry& entry) {
-  if (entry.role != host_role::front || entry.name == this->fetch_scheduler.owner()) {
+  if (entry.role != host_role::front || entry.name == this->fetches.owner()) {
     return;
   }
   const auto known = this->peers.find(entry.name);
@@ -91,11 +90,10 @@
   if (known != this->peers.end() && known->second->entry.start > entry.start) {
     return;
   }
-  auto other =
-      std::make_shared<peer>(entry, this->fetch_scheduler.owner(), discovery::scheduler_now());
+  auto other = std::make_shared<peer>(entry, this->fetches.owner(), discovery::scheduler_now());
   other->client = std::make_unique<net::rpc_client>(this->context, this->sweeper, entry.peers_at);
   this->peers[entry.name] = other;
-  this->fetch_scheduler.set_host_count(this->peers.size() + 1);
+  this->fetches.set_host_count(this->peers.size() + 1);
   this->probe(*other, this->probe_bytes());
 }
 
@@ -107,7 +105,7 @@
   for (const auto& [name, entry] : listed) {
     this->add_peer(entry);
   }
-  this->fetch_scheduler.set_host_count(this->peers.size() + 1);
+  this->fetches.set_host_count(this->peers.size() + 1);
 }
 
 void peer_gossip::tick() {
@@ -143,7 +141,7 @@
 }
 
 bool peer_gossip::regular_probe_due(const peer& other) const {
-  const bool goes_first = this->fetch_scheduler.owner() < other.entry.name;
+  const bool goes_first = this->fetches.owner() < other.entry.name;
   return other.watch.regular_probe_due(goes_first, this->timing(), discovery::scheduler_now());
 }
 
@@ -173,7 +171,7 @@
   for (const auto& [name, other] : this->peers) {
     if (other->reachable && !this->is_alive(*other)) {
       other->reachable = false;
-      this->fetch_scheduler.forget(name);
+      this->fetches.forget(name);
       log(event::host_silent, {{"peer", name.get()}});
     }
   }
@@ -264,8 +262,8 @@
   const newer_kinds newer = find_newer_kinds(digest, this->last_versions);
   const bool from_store_reader = digest.store_read_age < recent_read_age;
   for (const copy_kind kind : all_copy_kinds) {
-    this->fetch_scheduler.update_peer(kind, other.entry.name, newer.contains(kind),
-                                      from_store_reader, discovery::scheduler_now());
+    this->fetches.update_peer(kind, other.entry.name, newer.contains(kind), from_store_reader,
+                              discovery::scheduler_now());
   }
   this->request_due_copies();
 }
@@ -291,11 +289,11 @@
 }
 
 void peer_gossip::compare_with_peers(copy_kind kind) {
-  this->fetch_scheduler.invalidate(kind);
+  this->fetches.invalidate(kind);
   for (const auto& [name, other] : this->peers) {
     const bool ahead = this->is_alive(*other) &&
                        find_newer_kinds(other->last_digest, this->last_versions).contains(kind);
-    this->fetch_scheduler.update_peer(kind, name, ahead, false, discovery::scheduler_now());
+    this->fetches.update_peer(kind, name, ahead, false, discovery::scheduler_now());
   }
 }
 
@@ -304,14 +302,14 @@
   const known_versions& own = this->last_versions;
   const bool urgent = !own.configuration || !this->fleet.backends().heard() || !own.ledger;
   for (const copy_kind kind : all_copy_kinds) {
-    const auto from = this->fetch_scheduler.next(kind, urgent, discovery::scheduler_now());
+    const auto from = this->fetches.next(kind, urgent, discovery::scheduler_now());
     if (!from) {
       continue;
     }
     const auto known = this->peers.find(*from);
     if (known == this->peers.end()) {
-      this->fetch_scheduler.failed(kind, discovery::scheduler_now());
-      this->fetch_scheduler.forget(*from);
+      this->fetches.failed(kind, discovery::scheduler_now());
+      this->fetches.forget(*from);
       continue;
     }
     this->request_copy(known->second, kind);
@@ -339,7 +337,7 @@
     }
   }
   const availability_zone zone = this->hooks.self().self.zone;
-  const auto chosen = choose_relay(candidates, this->fetch_scheduler.owner(), zone);
+  const auto chosen = choose_relay(candidates, this->fetches.owner(), zone);
   if (!chosen) {
     done(net::rpc_failure::unreachable, {});
     return;
@@ -350,7 +348,7 @@
 
 std::size_t peer_gossip::rank() const {
   // Called at each pass of the event loop: building a digest only for the own name is too slow.
-  const host_id& own = this->fetch_scheduler.owner();
+  const host_id& own = this->fetches.owner();
   std::size_t before = 0;
   for (const auto& [name, other] : this->peers) {
     before += name < own && this->is_alive(*other) ? 1 : 0;
@@ -360,7 +358,7 @@
 
 void peer_gossip::request_copy(const std::shared_ptr<peer>& other, copy_kind kind) {
   ++this->counts.asked;
-  const copy_request request{kind, this->fetch_scheduler.owner()};
+  const copy_request request{kind, this->fetches.owner()};
   this->call(*other, gossip_method::copy, to_bytes(request), copy_timeout,
              [this, alive = std::weak_ptr(this->lifetime), asked = std::weak_ptr(other),
               from = other->entry.name, kind](net::rpc_failure why, std::string bytes) {
@@ -373,7 +371,7 @@
                }
                if (why != net::rpc_failure::none) {
                  ++this->counts.failed;
-                 this->fetch_scheduler.failed(kind, discovery::scheduler_now());
+                 this->fetches.failed(kind, discovery::scheduler_now());
                  return;
                }
                this->handle_copy_response(from, kind, std::move(bytes));
@@ -384,20 +382,19 @@
   const auto answer = copy_response_from(std::move(bytes));
   if (answer && !answer->copy) {
     ++this->counts.put_off;
-    this->fetch_scheduler.busy(kind, answer->holders, discovery::scheduler_now());
+    this->fetches.busy(kind, answer->holders, discovery::scheduler_now());
     return;
   }
   if (!answer || !this->copies.apply(from, kind, *answer->copy)) {
     ++this->counts.failed;
-    this->fetch_scheduler.failed(kind, discovery::scheduler_now());
+    this->fetches.failed(kind, discovery::scheduler_now());
     return;
   }
   ++this->counts.taken;
   this->counts.bytes_taken += answer->copy->size();
-  this->fetch_scheduler.taken(kind);
+  this->fetches.taken(kind);
   this->compare_with_peers(kind);
-  this->send(from, gossip_method::copy_taken,
-             to_bytes(copy_request{kind, this->fetch_scheduler.owner()}),
+  this->send(from, gossip_method::copy_taken, to_bytes(copy_request{kind, this->fetches.owner()}),
              [](net::rpc_failure, const std::string&) {});
   this->request_due_copies();
 }
