--- a/libs/front/include/hawthornlane/front/call_service.h
+++ b/libs/front/include/hawthornlane/front/call_service.h
@@ -13,7 +13,7 @@
 #include "hawthornlane/front/quota_gate.h"
 #include "hawthornlane/front/turn_store.h"
 #include "hawthornlane/relay/backend_pool.h"
-#include "hawthornlane/relay/caller_link.h"
+#include "hawthornlane/relay/caller_connection.h"
 
 namespace hawthornlane::front {
 
@@ -28,10 +28,10 @@
   ~call_service() = default;
 
   /// Serves one request and answers it.
-  boost::asio::awaitable<void> serve(relay::caller_link& caller, http::request request);
+  boost::asio::awaitable<void> serve(relay::caller_connection& caller, http::request request);
   /// Answers with an error, for example when the request is malformed or cannot be served now.
   /// `wait`: the least time for Retry-After, where it is known.
-  boost::asio::awaitable<void> refuse(relay::caller_link& caller, const failure& why,
+  boost::asio::awaitable<void> refuse(relay::caller_connection& caller, const failure& why,
                                       const std::string& id, duration wait = {});
   /// Number of calls that have been read and not answered.
   [[nodiscard]] std::size_t in_flight() const { return this->calls; }
@@ -66,15 +66,16 @@
   bool continues_program(const service_name& service, const std::vector<prompt_piece>& prompt);
 
   // Dispatch to one server.
-  boost::asio::awaitable<relay::try_outcome> try_server(call& one, const backend_entry& server);
+  boost::asio::awaitable<relay::attempt_outcome> try_server(call& one, const backend_entry& server);
   static relay::dispatch_terms terms_for(const call& one, const backend_entry& server);
   /// The outcome after checking the answer's signature and the end of the stream.
-  static relay::try_outcome checked(call& one, relay::try_outcome outcome);
-  boost::asio::awaitable<bool> stream_head(call& one, const relay::backend_answer& head);
+  static relay::attempt_outcome checked(call& one, relay::attempt_outcome outcome);
+  boost::asio::awaitable<bool> stream_head(call& one, const relay::backend_response& head);
   boost::asio::awaitable<bool> stream_bytes(call& one, std::string_view bytes);
   /// Reports the attempt's outcome to the placer, for the server's health and speed.
-  void report_outcome(const call& one, const acquired_server& acquired, relay::try_outcome outcome);
-  [[nodiscard]] bool may_try_again(const call& one, relay::try_outcome outcome) const;
+  void report_outcome(const call& one, const acquired_server& acquired,
+                      relay::attempt_outcome outcome);
+  [[nodiscard]] bool may_try_again(const call& one, relay::attempt_outcome outcome) const;
 
   // Settlement.
   boost::asio::awaitable<void> finish_whole(call& one);
--- a/libs/front/src/call_state.h
+++ b/libs/front/src/call_state.h
@@ -47,13 +47,14 @@
 }
 
 /// Name of an outcome in logs and metrics.
-std::string_view name_of(relay::try_outcome outcome);
+std::string_view name_of(relay::attempt_outcome outcome);
 
 /// State of one call in progress.
 struct call_service::call {
-  call(relay::caller_link& from, http::request what) : caller(from), request(std::move(what)) {}
+  call(relay::caller_connection& from, http::request what)
+      : caller(from), request(std::move(what)) {}
 
-  relay::caller_link& caller;
+  relay::caller_connection& caller;
   http::request request;
   relay::call_terms terms;
   route_table_ptr table;
@@ -70,9 +71,9 @@
   /// Number of attempts that a server may have started to run.
   std::uint32_t possible_runs = 0;
   int tries = 0;
-  relay::try_handle handle;
+  relay::attempt_handle handle;
   placement_wait wait;
-  relay::backend_answer answer;
+  relay::backend_response answer;
   std::string detail;
   /// The turn in the ledger, once admitted.
   std::optional<turn_request> turn;
--- a/libs/front/src/ledger_rounds.h
+++ b/libs/front/src/ledger_rounds.h
@@ -16,7 +16,7 @@
 /// Time for a chain to arrive. Its size is unknown, so this assumes the largest payload. A disk
 /// host that does not answer is detected by the reservation that is sent at the same time.
 inline constexpr duration chain_transfer_time = duration(std::chrono::seconds(1)) *
-                                                static_cast<std::int64_t>(net::largest_payload) /
+                                                static_cast<std::int64_t>(net::max_payload_bytes) /
                                                 assumed_link_rate;
 
 /// Builds the ledger record of a turn in the given phase.
--- a/libs/front/src/store_reader.cc
+++ b/libs/front/src/store_reader.cc
@@ -57,7 +57,7 @@
   const duration outage = std::chrono::duration_cast<duration>(steady::now() - this->store_lost_at);
   log(event::platform_reachable, {{"away_ms", std::to_string(outage.count() / 1000)}});
   if (outage >= min_expiry_outage) {
-    this->parts.fleet.store_is_back();
+    this->parts.fleet.on_store_recovered();
   }
 }
 
