--- a/libs/discovery/include/hawthornlane/discovery/fleet_state.h
+++ b/libs/discovery/include/hawthornlane/discovery/fleet_state.h
@@ -35,7 +35,7 @@
 
   /// Called when the store answers again after an outage. Entries of servers that are missing
   /// from it may have lapsed during the outage, so their removal is deferred for a while.
-  void store_is_back();
+  void on_store_recovered();
   /// Drops entries whose deferred removal is due.
   void drop_expired_removals();
 
--- a/libs/explain/include/hawthornlane/explain/request_story.h
+++ b/libs/explain/include/hawthornlane/explain/request_report.h
@@ -31,20 +31,20 @@
 std::optional<log_line> parse_log_line(std::string_view text);
 
 /// What the logs say about one request, or about all requests of a program.
-struct request_story {
+struct request_report {
   /// The lines that name the request or the program, ordered by time.
   std::vector<log_line> lines;
   /// The state known to each host of these lines at its first line, as sentences.
-  std::vector<std::string> beliefs;
+  std::vector<std::string> host_state;
   /// Other requests of the same programs, as sentences, ordered by time.
-  std::vector<std::string> others;
+  std::vector<std::string> other_requests;
 };
 
 /// Builds the report for a request id or a program id. It has no lines if the logs do not
 /// contain the id.
-request_story story_of(const std::vector<log_line>& logs, const std::string& id);
+request_report request_report_for(const std::vector<log_line>& logs, const std::string& id);
 
 /// A log line as a sentence.
-std::string in_words(const log_line& line);
+std::string describe_line(const log_line& line);
 
 }  // namespace hawthornlane::explain
