--- a/libs/discovery/src/fleet_state.cc
+++ b/libs/discovery/src/fleet_state.cc
@@ -10,7 +10,7 @@
 
 /// How long removals are deferred after an outage of the store. Servers rewrite their entries
 /// within about two seconds of its recovery; the rest is the delay from the store to this host.
-constexpr duration lapse_grace = std::chrono::milliseconds(2300);
+constexpr duration removal_grace = std::chrono::milliseconds(2300);
 
 void log_backend(event what, const backend_entry& entry, store_revision at,
                  std::string_view source) {
@@ -63,8 +63,8 @@
     if (this->servers.listed().contains(id)) {
       continue;
     }
-    const bool doubted = this->servers.pending_removals().contains(id);
-    log_backend(doubted ? event::backend_doubted : event::backend_gone, entry, at, source);
+    const bool deferred = this->servers.pending_removals().contains(id);
+    log_backend(deferred ? event::backend_doubted : event::backend_gone, entry, at, source);
   }
   this->servers_changed_at = at;
   this->backends_hook();
@@ -101,21 +101,21 @@
 }
 
 void fleet_state::on_store_recovered() {
-  this->servers.defer_removals_until(scheduler_now() + lapse_grace);
+  this->servers.defer_removals_until(scheduler_now() + removal_grace);
 }
 
 void fleet_state::drop_expired_removals() {
   if (this->servers.pending_removals().empty()) {
     return;
   }
-  const auto doubted = this->servers.pending_removals();
+  const auto deferred = this->servers.pending_removals();
   this->servers.drop_expired_removals(scheduler_now());
-  for (const auto& [id, entry] : doubted) {
+  for (const auto& [id, entry] : deferred) {
     if (!this->servers.pending_removals().contains(id) && !this->servers.listed().contains(id)) {
       log_backend(event::backend_gone, entry, this->servers.at(), "doubt over");
     }
   }
-  if (this->servers.pending_removals().size() != doubted.size()) {
+  if (this->servers.pending_removals().size() != deferred.size()) {
     this->backends_hook();
   }
 }
--- a/libs/discovery/src/object_faults.cc
+++ b/libs/discovery/src/object_faults.cc
@@ -10,15 +10,15 @@
   std::set<known_fault> current;
   std::set<known_fault>& before = this->known[kind];
   for (const platform_adapter::object_fault& fault : found) {
-    known_fault item{fault.name.substr(0, longest_name), fault.detail};
-    if (current.size() >= most_followed) {
+    known_fault item{fault.name.substr(0, max_name_length), fault.detail};
+    if (current.size() >= max_tracked) {
       break;
     }
     const auto [kept, is_new] = current.insert(std::move(item));
     if (!is_new || before.contains(*kept)) {
       continue;
     }
-    ++this->told;
+    ++this->logged;
     log(event::object_malformed, {{"kind", std::string(path_of(kind))},
                                   {"name", kept->name},
                                   {"revision", std::to_string(fault.revision.get())},
--- a/libs/discovery/src/registration.cc
+++ b/libs/discovery/src/registration.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr auto retry_pause = std::chrono::milliseconds(500);
+constexpr auto retry_interval = std::chrono::milliseconds(500);
 
 template <class Entry>
-Entry named(const std::string& name) {
+Entry entry_with_name(const std::string& name) {
   Entry entry;
   if constexpr (std::is_same_v<Entry, backend_entry>) {
     entry.id = backend_server_id(name);
@@ -42,7 +42,7 @@
     }
     if (item.removed) {
       // The spec of a removed object may lack fields; its name is enough.
-      changes.push_back({named<Entry>(object.name), true});
+      changes.push_back({entry_with_name<Entry>(object.name), true});
       continue;
     }
     if (auto entry = decode(object, reason)) {
@@ -50,7 +50,7 @@
       continue;
     }
     found.push_back({object.name, object.revision, reason.detail});
-    changes.push_back({named<Entry>(object.name), true});
+    changes.push_back({entry_with_name<Entry>(object.name), true});
   }
   faults.note(kind, found);
   return changes;
@@ -97,7 +97,7 @@
     if (outcome == store_outcome::done) {
       co_return;
     }
-    timer.expires_after(retry_pause);
+    timer.expires_after(retry_interval);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
--- a/libs/discovery/src/store_follower.cc
+++ b/libs/discovery/src/store_follower.cc
@@ -18,18 +18,18 @@
 constexpr duration watch_wait = std::chrono::seconds(28);
 /// Backoff between retries while the store does not answer. Each retry is a call that is paid
 /// for, and peers pass on changes meanwhile.
-constexpr auto first_pause = std::chrono::milliseconds(200);
-constexpr auto longest_pause = std::chrono::milliseconds(1000);
+constexpr auto min_backoff = std::chrono::milliseconds(200);
+constexpr auto max_backoff = std::chrono::milliseconds(1000);
 
 /// Delay after a change before the next watch: further changes usually follow within it.
-constexpr auto gather_time = std::chrono::milliseconds(400);
+constexpr auto batching_delay = std::chrono::milliseconds(400);
 
 }  // namespace
 
 struct store_follower::state {
   state(asio::io_context& context, platform_adapter::store_client& client,
-        platform_adapter::object_kind what, follower_hooks told)
-      : store(client), kind(what), hooks(std::move(told)), timer(context) {}
+        platform_adapter::object_kind what, follower_hooks callbacks)
+      : store(client), kind(what), hooks(std::move(callbacks)), timer(context) {}
 
   platform_adapter::store_client& store;
   platform_adapter::object_kind kind;
@@ -37,12 +37,12 @@
   asio::steady_timer timer;
   bool stopped = false;
   bool reachable = true;
-  std::chrono::milliseconds pause = first_pause;
+  std::chrono::milliseconds backoff = min_backoff;
 
   void note(store_outcome outcome, const failure& reason) {
     const bool answers = outcome != store_outcome::refused && outcome != store_outcome::unknown;
     if (answers) {
-      this->pause = first_pause;
+      this->backoff = min_backoff;
     }
     if (answers != this->reachable) {
       this->reachable = answers;
@@ -50,17 +50,17 @@
     }
   }
 
-  static asio::awaitable<void> pause_for(std::shared_ptr<state> self,
+  static asio::awaitable<void> sleep_for(std::shared_ptr<state> self,
                                          std::chrono::milliseconds time) {
     self->timer.expires_after(time);
     boost::system::error_code ignored;
     co_await self->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 
-  static asio::awaitable<void> wait(std::shared_ptr<state> self) {
-    const std::chrono::milliseconds time = self->pause;
-    self->pause = std::min(self->pause * 2, longest_pause);
-    co_await pause_for(self, time);
+  static asio::awaitable<void> back_off(std::shared_ptr<state> self) {
+    const std::chrono::milliseconds time = self->backoff;
+    self->backoff = std::min(self->backoff * 2, max_backoff);
+    co_await sleep_for(self, time);
   }
 
   /// Lists, with retries; returns the revision to watch from.
@@ -77,7 +77,7 @@
         self->hooks.on_listing(page);
         co_return page.at;
       }
-      co_await wait(self);
+      co_await back_off(self);
     }
     co_return store_revision();
   }
@@ -99,12 +99,12 @@
         if (!page.items.empty()) {
           self->hooks.on_changes(page);
           // Changes come in bursts when many hosts start: fetch them all with one call.
-          co_await pause_for(self, gather_time);
+          co_await sleep_for(self, batching_delay);
         }
         continue;
       }
       if (outcome == store_outcome::refused) {
-        co_await wait(self);
+        co_await back_off(self);
         continue;
       }
       // The history after `from` is gone, or entries may have lapsed during an outage.
--- a/libs/discovery/test/registration_test.cc
+++ b/libs/discovery/test/registration_test.cc
@@ -110,11 +110,11 @@
 TEST_CASE("many unreadable objects do not flood the log") {
   object_faults faults;
   std::vector<object_fault> found;
-  for (std::size_t number = 0; number < 2 * object_faults::most_followed; ++number) {
+  for (std::size_t number = 0; number < 2 * object_faults::max_tracked; ++number) {
     found.push_back({std::to_string(number), store_revision(1), "no slots"});
   }
   for (int read = 0; read < 3; ++read) {
     faults.note(object_kind::backend_servers, found);
   }
-  CHECK(faults.count() == object_faults::most_followed);
+  CHECK(faults.count() == object_faults::max_tracked);
 }
--- a/libs/disk/include/hawthornlane/disk/disk_host.h
+++ b/libs/disk/include/hawthornlane/disk/disk_host.h
@@ -20,7 +20,7 @@
   struct state;
 
 private:
-  std::shared_ptr<state> inner;
+  std::shared_ptr<state> impl;
 };
 
 }  // namespace hawthornlane::disk
--- a/libs/disk/include/hawthornlane/disk/ledger_store.h
+++ b/libs/disk/include/hawthornlane/disk/ledger_store.h
@@ -45,7 +45,7 @@
   /// write failed.
   void adopt(const std::vector<ledger_record>& records, std::function<void(bool good)> done);
   /// Appends a record of the side journal. Calls `done` when it is on disk or the write failed.
-  void append_beside(const std::string& record, std::function<void(bool good)> done);
+  void append_side_record(const std::string& record, std::function<void(bool good)> done);
   /// Removes expired records, and compacts the log when it is too long.
   void tick();
 
@@ -64,18 +64,18 @@
 private:
   struct waiting_reply {
     std::uint64_t record = 0;
-    std::function<void(bool good)> tell;
+    std::function<void(bool good)> notify;
   };
 
   void load_identity(const std::string& folder);
   void on_record(std::string_view bytes);
   /// Applies an encoded fence; false if the bytes are not one.
-  bool take_fence(const std::string& bytes);
+  bool apply_fence(const std::string& bytes);
   /// The current fence, encoded; with its set if that is known.
   [[nodiscard]] std::string fence_bytes() const;
   void on_durable(std::uint64_t up_to, bool good);
-  /// Calls `tell` once everything appended so far is on disk.
-  void when_durable(std::function<void(bool good)> tell);
+  /// Calls `notify` once everything appended so far is on disk.
+  void when_durable(std::function<void(bool good)> notify);
   void append_fence();
   /// Returns the record's size in the log, bytes.
   std::size_t append_record(const ledger_record& record);
@@ -84,12 +84,12 @@
   void serve_chain(const std::string& payload, const reply& answer);
   void serve_fence(const std::string& payload, const reply& answer);
   /// Log size above which the log is compacted, bytes.
-  [[nodiscard]] std::uint64_t longest_log() const;
-  void shorten_log();
+  [[nodiscard]] std::uint64_t max_log_bytes() const;
+  void compact_log();
 
   boost::asio::io_context& context;
-  std::uint64_t most_bytes;
-  side_journal beside;
+  std::uint64_t max_disk_bytes;
+  side_journal side_records;
   disk_id id;
   ledger_replica copy;
   /// Invariant: its epoch is not above the fence.
@@ -104,7 +104,7 @@
   bool broken = false;
   std::deque<waiting_reply> waiting;
   /// Position of the compaction in progress; nothing if there is none.
-  std::optional<copy_request> shortening;
+  std::optional<copy_request> compaction;
   std::uint64_t keep_from_segment = 0;
   /// Bytes that the last compaction, or the one in progress, has rewritten.
   std::uint64_t rewritten_bytes = 0;
--- a/libs/disk/include/hawthornlane/disk/quota_service.h
+++ b/libs/disk/include/hawthornlane/disk/quota_service.h
@@ -34,23 +34,23 @@
   side_journal journal();
   /// Serves a front host's request. A grant is answered with `nullopt` if the disk failed.
   void serve(const std::string& payload, const net::rpc_reply& reply);
-  /// Sets the part of each quota that this host manages, 0 to 1.
-  void set_share(double part);
+  /// Sets the share of each quota that this host manages, 0 to 1.
+  void set_share(double share);
   /// Removes idle accounts whose state does not matter any more.
   void forget_idle();
   /// Number of accounts in memory.
-  [[nodiscard]] std::size_t accounts() const { return this->keeper.accounts(); }
+  [[nodiscard]] std::size_t accounts() const { return this->manager.accounts(); }
   [[nodiscard]] std::uint64_t programs_held_back() const {
-    return this->keeper.programs_held_back();
+    return this->manager.programs_held_back();
   }
-  [[nodiscard]] double calls_of_a_program() const { return this->keeper.calls_of_a_program(); }
+  [[nodiscard]] double calls_of_a_program() const { return this->manager.calls_of_a_program(); }
 
 private:
   /// Writes one record for all grants made while the previous record was being written.
   void write_grants();
 
   quota_hooks hooks;
-  quota_manager keeper;
+  quota_manager manager;
   /// Responses to grants that are not on disk yet; called when they are.
   std::vector<std::function<void(bool good)>> unwritten;
   bool writing = false;
--- a/libs/disk/src/disk_host.cc
+++ b/libs/disk/src/disk_host.cc
@@ -21,13 +21,13 @@
 namespace {
 
 /// Interval between probes of the other disk hosts.
-constexpr auto probe_pause = std::chrono::milliseconds(250);
-constexpr duration probe_limit = std::chrono::milliseconds(600);
+constexpr auto probe_interval = std::chrono::milliseconds(250);
+constexpr duration probe_timeout = std::chrono::milliseconds(600);
 /// Interval between removals of idle quota accounts.
-constexpr auto quota_sweep_pause = std::chrono::seconds(5);
+constexpr auto quota_sweep_interval = std::chrono::seconds(5);
 /// Interval between decisions about the ledger set.
-constexpr auto duty_pause = std::chrono::milliseconds(200);
-constexpr auto tick_pause = std::chrono::milliseconds(100);
+constexpr auto membership_interval = std::chrono::milliseconds(200);
+constexpr auto tick_interval = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -56,7 +56,7 @@
   quota_hooks hooks;
   hooks.holds_lease = [this] { return this->may_grant_quotas(); };
   hooks.append = [this](const std::string& record, std::function<void(bool good)> done) {
-    this->ledger.append_beside(record, std::move(done));
+    this->ledger.append_side_record(record, std::move(done));
   };
   hooks.count = [this](const std::string& counter) { ++this->counts[counter]; };
   return hooks;
@@ -121,14 +121,14 @@
   retirements.on_reachable = [](bool, const std::string&) {};
   retirements.on_listing = [this](const object_page& page) {
     this->retirements.clear();
-    this->take_retirements(page);
+    this->apply_retirements(page);
   };
-  retirements.on_changes = [this](const object_page& page) { this->take_retirements(page); };
+  retirements.on_changes = [this](const object_page& page) { this->apply_retirements(page); };
   this->followers.push_back(std::make_unique<discovery::store_follower>(
       this->context, this->store, object_kind::retirements, std::move(retirements)));
 }
 
-void disk_host::state::take_retirements(const object_page& page) {
+void disk_host::state::apply_retirements(const object_page& page) {
   std::vector<platform_adapter::object_fault> found = page.faults;
   for (const auto& item : page.items) {
     const host_id name(item.object.name);
@@ -160,21 +160,21 @@
 void disk_host::state::adopt_ledger_set(const platform_adapter::stored_object& object) {
   // An unreadable object is logged where the page's host entries are decoded.
   failure ignored;
-  const auto told = platform_adapter::ledger_set_from(object, ignored);
-  if (!told) {
+  const auto received = platform_adapter::ledger_set_from(object, ignored);
+  if (!received) {
     return;
   }
   this->set_confirmed_at = steady::now();
-  if (this->set && told->epoch <= this->set->epoch) {
+  if (this->set && received->epoch <= this->set->epoch) {
     return;
   }
-  this->set = told;
+  this->set = received;
   this->set_revision = object.revision;
-  this->ledger.set_newest(*told);
-  this->quotas.set_share(quota_share(*told, this->ledger.identity()));
-  log(event::ledger_set_changed, {{"epoch", std::to_string(told->epoch.get())},
-                                  {"members", std::to_string(told->members.size())},
-                                  {"joint", told->joint() ? "yes" : "no"}});
+  this->ledger.set_newest(*received);
+  this->quotas.set_share(quota_share(*received, this->ledger.identity()));
+  log(event::ledger_set_changed, {{"epoch", std::to_string(received->epoch.get())},
+                                  {"members", std::to_string(received->members.size())},
+                                  {"joint", received->joint() ? "yes" : "no"}});
 }
 
 void disk_host::state::refresh_peers() {
@@ -185,11 +185,11 @@
       continue;
     }
     peer& known = this->peers[name];
-    if (known.link && known.entry == entry) {
+    if (known.client && known.entry == entry) {
       continue;
     }
     known.entry = entry;
-    known.link = std::make_shared<net::rpc_client>(this->context, this->sweeper, entry.peers_at);
+    known.client = std::make_shared<net::rpc_client>(this->context, this->sweeper, entry.peers_at);
     known.heard = {};
     this->probe(name, known);
     known.received_at = steady::now();
@@ -201,20 +201,20 @@
   flush_log();
   const net::steady_time now = steady::now();
   if (now >= this->next_tick) {
-    this->next_tick = now + tick_pause;
+    this->next_tick = now + tick_interval;
     this->ledger.tick();
   }
   if (now >= this->next_quota_sweep) {
-    this->next_quota_sweep = now + quota_sweep_pause;
+    this->next_quota_sweep = now + quota_sweep_interval;
     this->quotas.forget_idle();
   }
   if (now >= this->next_probe) {
-    this->next_probe = now + probe_pause;
+    this->next_probe = now + probe_interval;
     this->probe_peers();
   }
-  if (now >= this->next_duty && !this->duty_running) {
-    this->next_duty = now + duty_pause;
-    asio::co_spawn(this->context, run_duties(this->shared_from_this()), asio::detached);
+  if (now >= this->next_membership_run && !this->membership_running) {
+    this->next_membership_run = now + membership_interval;
+    asio::co_spawn(this->context, run_membership_tasks(this->shared_from_this()), asio::detached);
   }
 }
 
@@ -225,22 +225,22 @@
 }
 
 void disk_host::state::probe(const host_id& name, const peer& other) {
-  other.link->call(static_cast<std::uint16_t>(ledger_method::probe), "", probe_limit,
-                   [this, name](net::rpc_failure why, const std::string& bytes) {
-                     const auto answer = from_bytes<probe_response>(bytes);
-                     const auto found = this->peers.find(name);
-                     if (why != net::rpc_failure::none || !answer || found == this->peers.end()) {
-                       return;
-                     }
-                     found->second.heard = *answer;
-                     found->second.received_at = steady::now();
-                     found->second.answered = true;
-                   });
+  other.client->call(static_cast<std::uint16_t>(ledger_method::probe), "", probe_timeout,
+                     [this, name](net::rpc_failure why, const std::string& bytes) {
+                       const auto answer = from_bytes<probe_response>(bytes);
+                       const auto found = this->peers.find(name);
+                       if (why != net::rpc_failure::none || !answer || found == this->peers.end()) {
+                         return;
+                       }
+                       found->second.heard = *answer;
+                       found->second.received_at = steady::now();
+                       found->second.answered = true;
+                     });
 }
 
 disk_host::disk_host(asio::io_context& context, disk_settings settings)
-    : inner(std::make_shared<state>(context, std::move(settings))) {
-  this->inner->start();
+    : impl(std::make_shared<state>(context, std::move(settings))) {
+  this->impl->start();
 }
 
 disk_host::~disk_host() = default;
--- a/libs/disk/src/disk_host_state.h
+++ b/libs/disk/src/disk_host_state.h
@@ -28,7 +28,7 @@
   /// Another disk host and its last probe response.
   struct peer {
     host_entry entry;
-    std::shared_ptr<net::rpc_client> link;
+    std::shared_ptr<net::rpc_client> client;
     probe_response heard;
     net::steady_time received_at{};
     /// `received_at` is the time of a probe response. False: it is the time at which the host
@@ -71,9 +71,9 @@
   net::steady_time started = std::chrono::steady_clock::now();
   net::steady_time next_quota_sweep{};
   net::steady_time next_probe{};
-  net::steady_time next_duty{};
+  net::steady_time next_membership_run{};
   net::steady_time next_tick{};
-  bool duty_running = false;
+  bool membership_running = false;
   /// Since when a change of the set with epoch `due_at_epoch` is due.
   net::steady_time due_since{};
   set_epoch due_at_epoch;
@@ -85,7 +85,7 @@
   void serve_metrics();
   std::string metrics_text();
   void follow_store();
-  void take_retirements(const platform_adapter::object_page& page);
+  void apply_retirements(const platform_adapter::object_page& page);
   void adopt_ledger_set(const platform_adapter::object_page& page);
   void adopt_ledger_set(const platform_adapter::stored_object& object);
   void refresh_peers();
@@ -104,7 +104,7 @@
   /// Number of disks with precedence over this one whose time to make a due change has passed.
   std::size_t skipped_candidates();
   [[nodiscard]] set_view view() const;
-  static boost::asio::awaitable<void> run_duties(std::shared_ptr<state> self);
+  static boost::asio::awaitable<void> run_membership_tasks(std::shared_ptr<state> self);
   static boost::asio::awaitable<void> change_set(std::shared_ptr<state> self);
   /// Writes the proposed set to the store; true if the store holds it afterwards.
   static boost::asio::awaitable<bool> propose(std::shared_ptr<state> self, set_decision decision);
@@ -112,10 +112,9 @@
   /// them is copied.
   static boost::asio::awaitable<bool> copy_from_members(std::shared_ptr<state> self);
   /// Sends a request to a disk host, or serves it from the local ledger.
-  static boost::asio::awaitable<std::optional<std::string>> ask(std::shared_ptr<state> self,
-                                                                disk_id where, ledger_method method,
-                                                                std::string payload,
-                                                                duration limit);
+  static boost::asio::awaitable<std::optional<std::string>> send_request(
+      std::shared_ptr<state> self, disk_id where, ledger_method method, std::string payload,
+      duration timeout);
   static boost::asio::awaitable<bool> copy_from(std::shared_ptr<state> self, ledger_set joint,
                                                 disk_id member);
   /// Reports to the platform that this host may be removed, once its disk is in no set.
--- a/libs/disk/src/disk_membership.cc
+++ b/libs/disk/src/disk_membership.cc
@@ -19,21 +19,21 @@
 
 /// A disk host that has not answered for this long may be replaced. A restart takes two to
 /// three seconds, and copying to a spare costs more than waiting for the restart.
-constexpr auto patience = std::chrono::milliseconds(3500);
+constexpr auto failure_timeout = std::chrono::milliseconds(3500);
 /// The same in a set of two, where the loss of one stops the service until it is replaced.
 /// Leaves time for several probes and a retransmitted packet, so that a short stall does not
 /// reduce the set to one disk.
-constexpr auto patience_of_two = std::chrono::milliseconds(1000);
-static_assert(quota_lease_duration < patience);
+constexpr auto failure_timeout_of_two = std::chrono::milliseconds(1000);
+static_assert(quota_lease_duration < failure_timeout);
 /// Disk hosts start within 0.3 s of each other; the first set is formed after this wait.
 constexpr auto first_set_wait = std::chrono::milliseconds(1500);
 /// Time for one disk to make a due change before the next one tries: two updates of the store
 /// when it is slow.
-constexpr auto time_for_each = std::chrono::milliseconds(1000);
+constexpr auto time_per_candidate = std::chrono::milliseconds(1000);
 /// Maximum of consecutive decisions in one pass, such as a joint set and its completion.
-constexpr int most_steps = 4;
-constexpr duration fence_limit = std::chrono::milliseconds(1500);
-constexpr duration copy_limit = std::chrono::milliseconds(1500);
+constexpr int max_steps = 4;
+constexpr duration fence_timeout = std::chrono::milliseconds(1500);
+constexpr duration copy_timeout = std::chrono::milliseconds(1500);
 /// Pause between two pages, so that copying leaves most of half a core for serving turns.
 constexpr auto page_pause = std::chrono::milliseconds(5);
 
@@ -66,9 +66,9 @@
 }
 
 std::size_t disk_host::state::skipped_candidates() {
-  set_view anybody = this->view();
-  anybody.skipped_candidates = anybody.disks.size();
-  const bool due = decide_set_change(anybody).step == set_step::propose;
+  set_view any_candidate = this->view();
+  any_candidate.skipped_candidates = any_candidate.disks.size();
+  const bool due = decide_set_change(any_candidate).step == set_step::propose;
   const net::steady_time now = steady::now();
   const set_epoch epoch = this->set ? this->set->epoch : set_epoch(0);
   if (!due || epoch != this->due_at_epoch) {
@@ -76,13 +76,13 @@
     this->due_since = now;
     return 0;
   }
-  return static_cast<std::size_t>((now - this->due_since) / time_for_each);
+  return static_cast<std::size_t>((now - this->due_since) / time_per_candidate);
 }
 
 set_view disk_host::state::view() const {
   const net::steady_time now = steady::now();
   const bool of_two = this->set && this->set->members.size() == 2;
-  const auto wait = of_two ? patience_of_two : patience;
+  const auto wait = of_two ? failure_timeout_of_two : failure_timeout;
   set_view view;
   view.self = this->ledger.identity();
   view.set = this->set;
@@ -96,11 +96,11 @@
   return view;
 }
 
-asio::awaitable<void> disk_host::state::run_duties(std::shared_ptr<state> self) {
-  self->duty_running = true;
+asio::awaitable<void> disk_host::state::run_membership_tasks(std::shared_ptr<state> self) {
+  self->membership_running = true;
   co_await change_set(self);
   co_await complete_retirement(self);
-  self->duty_running = false;
+  self->membership_running = false;
 }
 
 asio::awaitable<void> disk_host::state::change_set(std::shared_ptr<state> self) {
@@ -108,16 +108,16 @@
   if (too_early || !self->fleet.hosts().heard()) {
     co_return;
   }
-  for (int step = 0; step < most_steps; ++step) {
+  for (int step = 0; step < max_steps; ++step) {
     set_view view = self->view();
     view.skipped_candidates = self->skipped_candidates();
     const set_decision decision = decide_set_change(view);
     if (decision.step == set_step::nothing) {
       break;
     }
-    const bool went_on = decision.step == set_step::propose ? co_await propose(self, decision)
-                                                            : co_await copy_from_members(self);
-    if (!went_on) {
+    const bool succeeded = decision.step == set_step::propose ? co_await propose(self, decision)
+                                                              : co_await copy_from_members(self);
+    if (!succeeded) {
       break;
     }
   }
@@ -179,11 +179,9 @@
   co_return enough;
 }
 
-asio::awaitable<std::optional<std::string>> disk_host::state::ask(std::shared_ptr<state> self,
-                                                                  disk_id where,
-                                                                  ledger_method method,
-                                                                  std::string payload,
-                                                                  duration limit) {
+asio::awaitable<std::optional<std::string>> disk_host::state::send_request(
+    std::shared_ptr<state> self, disk_id where, ledger_method method, std::string payload,
+    duration timeout) {
   struct outcome {
     explicit outcome(asio::io_context& io) : signal(io) {}
     std::optional<std::string> bytes;
@@ -198,22 +196,22 @@
     co_await result->signal.wait();
     co_return result->bytes;
   }
-  std::shared_ptr<net::rpc_client> link;
+  std::shared_ptr<net::rpc_client> client;
   for (const auto& [name, other] : self->peers) {
     if (other.entry.disk == where.get()) {
-      link = other.link;
+      client = other.client;
     }
   }
-  if (!link) {
+  if (!client) {
     co_return std::nullopt;
   }
-  link->call(static_cast<std::uint16_t>(method), std::move(payload), limit,
-             [result](net::rpc_failure why, std::string bytes) {
-               if (why == net::rpc_failure::none) {
-                 result->bytes = std::move(bytes);
-               }
-               result->signal.wake();
-             });
+  client->call(static_cast<std::uint16_t>(method), std::move(payload), timeout,
+               [result](net::rpc_failure why, std::string bytes) {
+                 if (why == net::rpc_failure::none) {
+                   result->bytes = std::move(bytes);
+                 }
+                 result->signal.wake();
+               });
   co_await result->signal.wait();
   co_return result->bytes;
 }
@@ -221,9 +219,10 @@
 asio::awaitable<bool> disk_host::state::copy_from(std::shared_ptr<state> self,
                                                   const ledger_set joint, const disk_id member) {
   const std::string fence_bytes = to_bytes(fence_request{joint});
-  const auto fenced = co_await ask(self, member, ledger_method::fence, fence_bytes, fence_limit);
-  const auto state_there = fenced ? from_bytes<probe_response>(*fenced) : std::nullopt;
-  if (!state_there || state_there->disk != member) {
+  const auto fenced =
+      co_await send_request(self, member, ledger_method::fence, fence_bytes, fence_timeout);
+  const auto member_state = fenced ? from_bytes<probe_response>(*fenced) : std::nullopt;
+  if (!member_state || member_state->disk != member) {
     co_return false;
   }
   if (member == self->ledger.identity()) {
@@ -232,7 +231,8 @@
   copy_request from;
   while (true) {
     const std::string request_bytes = to_bytes(from);
-    const auto bytes = co_await ask(self, member, ledger_method::copy, request_bytes, copy_limit);
+    const auto bytes =
+        co_await send_request(self, member, ledger_method::copy, request_bytes, copy_timeout);
     const auto page = bytes ? from_bytes<copy_page>(*bytes) : std::nullopt;
     if (!page) {
       co_return false;
@@ -260,9 +260,9 @@
   if (known == self->retirements.end() || known->second.request.completed || !self->set) {
     co_return;
   }
-  const std::vector<disk_id> holders = self->set->all();
-  const bool held =
-      std::find(holders.begin(), holders.end(), self->ledger.identity()) != holders.end();
+  const std::vector<disk_id> all_members = self->set->all();
+  const bool held = std::find(all_members.begin(), all_members.end(), self->ledger.identity()) !=
+                    all_members.end();
   if (held) {
     co_return;
   }
--- a/libs/disk/src/ledger_store.cc
+++ b/libs/disk/src/ledger_store.cc
@@ -18,18 +18,18 @@
 
 constexpr char record_tag = 'R';
 constexpr char fence_tag = 'F';
-constexpr char beside_tag = 'Q';
+constexpr char side_record_tag = 'Q';
 /// The log is compacted at the latest when it takes this part of the disk: during compaction
 /// both copies of the live records must fit.
-constexpr double most_of_disk = 0.4;
+constexpr double max_part_of_disk = 0.4;
 /// The log is compacted when it is this many times as large as its live records: a restart
 /// loads all of it into memory, and expired records stay there until the first tick.
-constexpr double most_of_living = 1.5;
+constexpr double max_multiple_of_live = 1.5;
 /// A smaller log is not compacted, bytes: replaying this much takes about 40 MB of memory with
 /// turns of a few kilobytes, and twice that with turns of almost no text.
-constexpr std::uint64_t least_shortened = std::uint64_t{32} * 1024 * 1024;
+constexpr std::uint64_t min_compacted_bytes = std::uint64_t{32} * 1024 * 1024;
 /// Rewritten at each tick, bytes; more would delay appends of turns.
-constexpr std::size_t rewrite_step = std::size_t{256} * 1024;
+constexpr std::size_t rewrite_bytes_per_tick = std::size_t{256} * 1024;
 constexpr std::size_t copy_page_bytes = std::size_t{256} * 1024;
 constexpr std::size_t identity_size = 32;
 
@@ -55,7 +55,7 @@
 ledger_store::ledger_store(boost::asio::io_context& io, const std::string& folder,
                            std::uint64_t disk_bytes, std::uint64_t segment_bytes,
                            side_journal journal)
-    : context(io), most_bytes(disk_bytes), beside(std::move(journal)) {
+    : context(io), max_disk_bytes(disk_bytes), side_records(std::move(journal)) {
   this->load_identity(folder);
   log_recovery found;
   failure reason;
@@ -99,12 +99,12 @@
 void ledger_store::on_record(std::string_view bytes) {
   const std::string payload(bytes.substr(1));
   if (bytes.front() == fence_tag) {
-    this->take_fence(payload);
+    this->apply_fence(payload);
     this->logged_fence = this->copy.fence_epoch();
     return;
   }
-  if (bytes.front() == beside_tag) {
-    this->beside.replay(payload);
+  if (bytes.front() == side_record_tag) {
+    this->side_records.replay(payload);
     return;
   }
   if (const auto record = from_bytes<ledger_record>(payload)) {
@@ -112,7 +112,7 @@
   }
 }
 
-bool ledger_store::take_fence(const std::string& bytes) {
+bool ledger_store::apply_fence(const std::string& bytes) {
   if (const auto fence = from_bytes<fence_request>(bytes)) {
     this->set_newest(fence->set);
     return true;
@@ -150,12 +150,12 @@
   this->last_record = this->log->append(tagged(fence_tag, this->fence_bytes()));
 }
 
-void ledger_store::when_durable(std::function<void(bool good)> tell) {
+void ledger_store::when_durable(std::function<void(bool good)> notify) {
   if (this->broken || this->durable_record >= this->last_record) {
-    tell(!this->broken);
+    notify(!this->broken);
     return;
   }
-  this->waiting.push_back({this->last_record, std::move(tell)});
+  this->waiting.push_back({this->last_record, std::move(notify)});
 }
 
 void ledger_store::on_durable(std::uint64_t up_to, bool good) {
@@ -168,7 +168,7 @@
          (this->broken || this->waiting.front().record <= this->durable_record)) {
     const waiting_reply next = std::move(this->waiting.front());
     this->waiting.pop_front();
-    next.tell(!this->broken);
+    next.notify(!this->broken);
   }
 }
 
@@ -260,7 +260,7 @@
 }
 
 void ledger_store::serve_fence(const std::string& payload, const reply& answer) {
-  if (!this->take_fence(payload)) {
+  if (!this->apply_fence(payload)) {
     answer(std::nullopt);
     return;
   }
@@ -283,51 +283,53 @@
   this->when_durable(std::move(done));
 }
 
-void ledger_store::append_beside(const std::string& record, std::function<void(bool good)> done) {
-  this->last_record = this->log->append(tagged(beside_tag, record));
+void ledger_store::append_side_record(const std::string& record,
+                                      std::function<void(bool good)> done) {
+  this->last_record = this->log->append(tagged(side_record_tag, record));
   this->when_durable(std::move(done));
 }
 
 void ledger_store::tick() {
   this->copy.expire(wall_now());
-  const bool is_busy = this->shortening || this->log->removing();
-  if (!is_busy && this->log->size() > this->longest_log()) {
+  const bool is_busy = this->compaction || this->log->removing();
+  if (!is_busy && this->log->size() > this->max_log_bytes()) {
     this->keep_from_segment = this->log->start_segment();
-    this->shortening = copy_request{};
+    this->compaction = copy_request{};
     this->rewritten_bytes = 0;
     this->append_fence();
-    if (this->beside.whole) {
-      this->last_record = this->log->append(tagged(beside_tag, this->beside.whole()));
+    if (this->side_records.whole) {
+      this->last_record = this->log->append(tagged(side_record_tag, this->side_records.whole()));
     }
   }
-  if (this->shortening) {
-    this->shorten_log();
+  if (this->compaction) {
+    this->compact_log();
   }
 }
 
-std::uint64_t ledger_store::longest_log() const {
+std::uint64_t ledger_store::max_log_bytes() const {
   const auto part = [](std::uint64_t whole, double share) {
     return static_cast<std::uint64_t>(static_cast<double>(whole) * share);
   };
   // The size of the texts leaves out a record's other fields, and the size at the last
   // compaction may be out of date: take the larger one.
-  const std::uint64_t living =
+  const std::uint64_t live_bytes =
       std::max<std::uint64_t>(this->copy.text_bytes(), this->rewritten_bytes);
-  const std::uint64_t wanted = std::max(least_shortened, part(living, most_of_living));
-  return std::min(wanted, part(this->most_bytes, most_of_disk));
+  const std::uint64_t wanted =
+      std::max(min_compacted_bytes, part(live_bytes, max_multiple_of_live));
+  return std::min(wanted, part(this->max_disk_bytes, max_part_of_disk));
 }
 
-void ledger_store::shorten_log() {
-  const copy_page page = this->copy.page_after(*this->shortening, rewrite_step);
+void ledger_store::compact_log() {
+  const copy_page page = this->copy.page_after(*this->compaction, rewrite_bytes_per_tick);
   for (const ledger_record& record : page.records) {
     this->rewritten_bytes += this->append_record(record);
   }
   if (!page.last) {
-    this->shortening->after_program = page.records.back().program;
-    this->shortening->after_request = page.records.back().state.id;
+    this->compaction->after_program = page.records.back().program;
+    this->compaction->after_request = page.records.back().state.id;
     return;
   }
-  this->shortening.reset();
+  this->compaction.reset();
   this->log->remove_before(this->keep_from_segment);
 }
 
--- a/libs/disk/src/quota_service.cc
+++ b/libs/disk/src/quota_service.cc
@@ -25,16 +25,16 @@
 }  // namespace
 
 quota_service::quota_service(quota_tolerance rules, quota_hooks with)
-    : hooks(std::move(with)), keeper(rules) {}
+    : hooks(std::move(with)), manager(rules) {}
 
 side_journal quota_service::journal() {
   side_journal journal;
   journal.replay = [this](const std::string& bytes) {
     if (const auto record = from_bytes<quota_record>(bytes)) {
-      this->keeper.restore(*record);
+      this->manager.restore(*record);
     }
   };
-  journal.whole = [this] { return to_bytes(this->keeper.whole(discovery::scheduler_now())); };
+  journal.whole = [this] { return to_bytes(this->manager.whole(discovery::scheduler_now())); };
   return journal;
 }
 
@@ -44,14 +44,14 @@
     reply(std::nullopt);
     return;
   }
-  quota_request& question = told->first;
-  question.program = told->second;
+  quota_request& request = told->first;
+  request.program = told->second;
   quota_response answer;
   if (this->hooks.holds_lease()) {
-    answer = this->keeper.ask(question, discovery::scheduler_now());
+    answer = this->manager.ask(request, discovery::scheduler_now());
   }
   this->hooks.count("quota_" + std::string(name_of(answer.outcome)));
-  if (answer.outcome != quota_outcome::granted || !question.limit.limits()) {
+  if (answer.outcome != quota_outcome::granted || !request.limit.limits()) {
     reply(to_bytes(answer));
     return;
   }
@@ -66,20 +66,20 @@
     return;
   }
   this->writing = true;
-  const std::string record = to_bytes(this->keeper.take_changes(discovery::scheduler_now()));
+  const std::string record = to_bytes(this->manager.take_changes(discovery::scheduler_now()));
   this->hooks.append(record, [this, told = std::exchange(this->unwritten, {})](bool good) {
-    for (const auto& tell : told) {
-      tell(good);
+    for (const auto& notify : told) {
+      notify(good);
     }
     this->writing = false;
     this->write_grants();
   });
 }
 
-void quota_service::set_share(double part) {
-  this->keeper.set_share(part, discovery::scheduler_now());
+void quota_service::set_share(double share) {
+  this->manager.set_share(share, discovery::scheduler_now());
 }
 
-void quota_service::forget_idle() { this->keeper.forget_idle(discovery::scheduler_now()); }
+void quota_service::forget_idle() { this->manager.forget_idle(discovery::scheduler_now()); }
 
 }  // namespace hawthornlane::disk
--- a/libs/disk/test/ledger_store_test.cc
+++ b/libs/disk/test/ledger_store_test.cc
@@ -86,13 +86,13 @@
         this->end_turn();
         break;
       case 2:
-        this->keep_dead_turn();
+        this->append_expired_turn();
         break;
       default:
         this->disk->store.tick();
         break;
     }
-    this->keep_links();
+    this->link_segments();
   }
 
   /// Ends the process, damages the folder as a power loss may, and restarts.
@@ -104,14 +104,14 @@
     if (this->oldest_segment() == oldest) {
       this->drop_unsynced(safe);
     }
-    this->bring_back_removed();
+    this->restore_removed();
     this->start();
   }
 
   void check() {
     this->disk->store.tick();
-    CHECK(this->disk->store.held().programs() == this->living.size());
-    for (const auto& [program, requests] : this->living) {
+    CHECK(this->disk->store.held().programs() == this->live.size());
+    for (const auto& [program, requests] : this->live) {
       const collect_request collect{set_epoch(1), program};
       const auto answer = this->disk->ask<program_response>(ledger_method::collect, collect);
       REQUIRE(answer);
@@ -135,7 +135,7 @@
   /// pages is always in progress.
   static constexpr std::uint64_t disk_bytes = 1'500'000;
   static constexpr std::uint64_t segment_bytes = 100'000;
-  static constexpr std::size_t longest_text = 50'000;
+  static constexpr std::size_t max_text = 50'000;
 
   void start() {
     this->disk = std::make_unique<open_store>(this->folder.name(), disk_bytes, segment_bytes);
@@ -156,7 +156,7 @@
     request.record.state.phase = reservation_phase::open;
     request.record.turn.reset();
     this->keep(request);
-    this->living[request.record.program][request.record.state.id] = request.record.state;
+    this->live[request.record.program][request.record.state.id] = request.record.state;
     this->open.push_back(request);
   }
 
@@ -172,29 +172,29 @@
         is_sent ? reservation_phase::settled : reservation_phase::withdrawn;
     if (is_sent) {
       request.record.turn = stored_turn{request.record.state.id, std::nullopt,
-                                        std::string(this->random() % longest_text, 'i'), "o"};
+                                        std::string(this->random() % max_text, 'i'), "o"};
       this->turns.push_back(*request.record.turn);
     }
     this->keep(request);
-    this->living[request.record.program][request.record.state.id] = request.record.state;
+    this->live[request.record.program][request.record.state.id] = request.record.state;
   }
 
-  void keep_dead_turn() {
+  void append_expired_turn() {
     append_request request =
-        append(1, "t" + std::to_string(++this->number), this->random() % longest_text);
+        append(1, "t" + std::to_string(++this->number), this->random() % max_text);
     request.record.program = program_id("d" + std::to_string(this->number));
     request.record.expires_at = wall_ms(1);
     this->keep(request);
   }
 
   /// Keeps a hard link to each segment, so that a removal can be undone.
-  void keep_links() {
+  void link_segments() {
     for (const auto& [name, size] : segments_in(this->folder)) {
       if (this->linked.contains(name)) {
         continue;
       }
       std::error_code gone;
-      std::filesystem::create_hard_link(this->folder.path() / name, this->aside.path() / name,
+      std::filesystem::create_hard_link(this->folder.path() / name, this->link_folder.path() / name,
                                         gone);
       if (!gone) {
         this->linked.insert(name);
@@ -217,7 +217,7 @@
 
   /// Undoes removals that were not durable. A removal is durable only if those of all older
   /// segments are.
-  void bring_back_removed() {
+  void restore_removed() {
     const std::string oldest = this->oldest_segment();
     std::vector<std::string> removed;
     for (const std::string& name : this->linked) {
@@ -228,17 +228,17 @@
     const bool all_lasted = this->random() % 2 == 0;
     const std::size_t first = all_lasted ? removed.size() : this->random() % (removed.size() + 1);
     for (std::size_t at = first; at < removed.size(); ++at) {
-      std::filesystem::copy_file(this->aside.path() / removed[at],
+      std::filesystem::copy_file(this->link_folder.path() / removed[at],
                                  this->folder.path() / removed[at]);
     }
   }
 
   scratch_folder folder{"ledger-store"};
-  scratch_folder aside{"ledger-store-aside"};
+  scratch_folder link_folder{"ledger-store-aside"};
   std::mt19937 random;
   std::unique_ptr<open_store> disk;
   int number = 0;
-  std::map<program_id, std::map<request_id, reservation>> living;
+  std::map<program_id, std::map<request_id, reservation>> live;
   std::vector<append_request> open;
   std::vector<stored_turn> turns;
   std::set<std::string> linked;
@@ -384,7 +384,7 @@
   journal.whole = [] { return std::string("whole"); };
   const auto keep = [](open_store& open, const std::string& record) {
     bool done = false;
-    open.store.append_beside(record, [&](bool good) { done = good; });
+    open.store.append_side_record(record, [&](bool good) { done = good; });
     while (!done) {
       open.context.restart();
       open.context.poll();
@@ -415,19 +415,19 @@
 TEST_CASE("a log of expired turns stays short on a large disk") {
   constexpr std::uint64_t disk_bytes = 340'000'000;
   constexpr std::uint64_t turn_bytes = 1'000'000;
-  constexpr std::uint64_t most_log_bytes = 40'000'000;
+  constexpr std::uint64_t max_log_size = 40'000'000;
   const scratch_folder folder("ledger-store");
   open_store disk(folder.name(), disk_bytes);
-  std::uint64_t most = 0;
+  std::uint64_t largest = 0;
   for (int number = 0; number < 100; ++number) {
     append_request request = append(1, "t" + std::to_string(number), turn_bytes / 2);
     request.record.program = program_id("p" + std::to_string(number));
     request.record.expires_at = wall_ms(1);
     REQUIRE(disk.ask<program_response>(ledger_method::append, request));
     disk.store.tick();
-    most = std::max(most, disk.store.log_bytes());
+    largest = std::max(largest, disk.store.log_bytes());
   }
-  CHECK(most < most_log_bytes);
+  CHECK(largest < max_log_size);
 }
 
 TEST_CASE("acknowledged records survive power losses during compaction") {
@@ -454,8 +454,8 @@
 TEST_CASE("turns that a live program continues from are kept, also after compaction") {
   const auto far = wall_ms(std::int64_t{1} << 60);
   // The continuing program comes before or after the first one in the rewritten log.
-  for (const std::string going_on : {"a", "z"}) {
-    INFO("program " << going_on << " continues from m");
+  for (const std::string continuing : {"a", "z"}) {
+    INFO("program " << continuing << " continues from m");
     const scratch_folder folder("ledger-store");
     constexpr std::uint64_t disk_bytes = 100'000;
     {
@@ -465,14 +465,14 @@
       first.record.expires_at = wall_ms(1);
       CHECK(disk.ask<program_response>(ledger_method::append, first));
       append_request second = append(1, "second");
-      second.record.program = program_id(going_on);
+      second.record.program = program_id(continuing);
       second.record.turn->previous = request_id("first");
       second.record.expires_at = far;
       CHECK(disk.ask<program_response>(ledger_method::append, second));
-      append_request dead = append(1, "dead", 30'000);
-      dead.record.program = program_id("x");
-      dead.record.expires_at = wall_ms(1);
-      CHECK(disk.ask<program_response>(ledger_method::append, dead));
+      append_request expired = append(1, "dead", 30'000);
+      expired.record.program = program_id("x");
+      expired.record.expires_at = wall_ms(1);
+      CHECK(disk.ask<program_response>(ledger_method::append, expired));
       disk.store.tick();
       CHECK(disk.store.held().chain_of(request_id("second")).turns.size() == 2);
     }
--- a/libs/disk/test/quota_service_test.cc
+++ b/libs/disk/test/quota_service_test.cc
@@ -17,9 +17,9 @@
 constexpr account_limit ten_at_once{1, 10};
 
 /// A quota service restored with a full bucket. The test decides when its disk completes a write.
-class service_at_a_disk {
+class quota_service_with_disk {
 public:
-  service_at_a_disk() {
+  quota_service_with_disk() {
     quota_record earlier;
     earlier.bucket_records = {{client_account("north"), ten_at_once, limit_version(1), 10}};
     this->quotas.journal().replay(to_bytes(earlier));
@@ -27,8 +27,8 @@
   }
 
   void ask() {
-    const quota_request question{client_account("north"), ten_at_once, limit_version(1)};
-    this->quotas.serve(to_bytes(question), [this](const std::optional<std::string>& bytes) {
+    const quota_request request{client_account("north"), ten_at_once, limit_version(1)};
+    this->quotas.serve(to_bytes(request), [this](const std::optional<std::string>& bytes) {
       this->answers.push_back(bytes ? from_bytes<quota_response>(*bytes) : std::nullopt);
     });
   }
@@ -62,21 +62,21 @@
 }  // namespace
 
 TEST_CASE("a quota request without the program, from an older host, is still decoded") {
-  quota_request question{client_account("north"), ten_at_once, limit_version(1)};
-  const std::string before = to_bytes(question);
-  question.program = quota_program{program_key(7), true};
-  CHECK(to_bytes(question) == before);
+  quota_request request{client_account("north"), ten_at_once, limit_version(1)};
+  const std::string before = to_bytes(request);
+  request.program = quota_program{program_key(7), true};
+  CHECK(to_bytes(request) == before);
   using told = std::optional<quota_program>;
   CHECK_FALSE((from_bytes_with_tail<quota_request, told>(before)->second));
-  const auto both = from_bytes_with_tail<quota_request, told>(before + to_bytes(question.program));
+  const auto both = from_bytes_with_tail<quota_request, told>(before + to_bytes(request.program));
   REQUIRE(both->second);
   CHECK(both->second->begins);
-  const std::string cut = to_bytes(question.program).substr(0, 3);
+  const std::string cut = to_bytes(request.program).substr(0, 3);
   CHECK_FALSE((from_bytes_with_tail<quota_request, told>(before + cut)));
 }
 
 TEST_CASE("without the lease no quota is granted and nothing is written") {
-  service_at_a_disk disk;
+  quota_service_with_disk disk;
   disk.has_lease = false;
   disk.ask();
   REQUIRE(disk.answers.size() == 1);
@@ -91,7 +91,7 @@
   };
   for (const row& item : {row{"written", true}, row{"the disk failed", false}}) {
     INFO(item.name);
-    service_at_a_disk disk;
+    quota_service_with_disk disk;
     disk.ask();
     REQUIRE(disk.answers.empty());
     disk.write(item.written);
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE("grants made during a write share the next record") {
-  service_at_a_disk disk;
+  quota_service_with_disk disk;
   disk.ask();
   disk.ask();
   disk.ask();
@@ -115,14 +115,14 @@
 }
 
 TEST_CASE("a malformed quota request is answered with nothing") {
-  service_at_a_disk disk;
+  quota_service_with_disk disk;
   std::optional<std::string> answer = "unanswered";
   disk.quotas.serve("?", [&](std::optional<std::string> bytes) { answer = std::move(bytes); });
   CHECK_FALSE(answer.has_value());
 }
 
 TEST_CASE("the written record contains the granted call") {
-  service_at_a_disk before;
+  quota_service_with_disk before;
   before.ask();
   before.write(true);
   const auto record = from_bytes<quota_record>(before.records[0]);
--- a/libs/explain/src/request_report.cc
+++ b/libs/explain/src/request_report.cc
@@ -15,7 +15,7 @@
 
 /// An event that states a part of a host's state, and the field that names its subject. For
 /// each event and subject the newest line is the current state.
-struct belief_rule {
+struct state_rule {
   const char* event;
   /// Empty if the event has no subject.
   const char* subject;
@@ -23,7 +23,7 @@
   const char* ended_by;
 };
 
-constexpr belief_rule belief_rules[] = {
+constexpr state_rule state_rules[] = {
     {"configuration_in_force", "", ""},
     {"ledger_set_changed", "", ""},
     {"host_silent", "peer", "host_reachable"},
@@ -72,15 +72,15 @@
   return line.host == of.host && line.time <= of.time;
 }
 
-std::string with_age(const log_line& belief, const log_line& at) {
-  const auto age = std::chrono::duration<double>(at.time - belief.time).count();
+std::string with_age(const log_line& state_line, const log_line& at) {
+  const auto age = std::chrono::duration<double>(at.time - state_line.time).count();
   return fmt::format("{} {}, for {:.1f} s: {}", clock_text(at.time), at.host, age,
-                     describe_line(belief));
+                     describe_line(state_line));
 }
 
-void add_beliefs(const std::vector<log_line>& logs, const log_line& at, const std::string& server,
-                 std::vector<std::string>& into) {
-  for (const belief_rule& rule : belief_rules) {
+void add_host_state(const std::vector<log_line>& logs, const log_line& at,
+                    const std::string& server, std::vector<std::string>& into) {
+  for (const state_rule& rule : state_rules) {
     std::map<std::string, const log_line*> newest;
     for (const log_line& line : logs) {
       if (!is_before(line, at)) {
@@ -97,17 +97,17 @@
       into.push_back(with_age(*line, at));
     }
   }
-  const log_line* said = nullptr;
+  const log_line* last_event = nullptr;
   for (const log_line& line : logs) {
     const bool about_server = !server.empty() && line.field("server") == server &&
                               std::find(std::begin(server_events), std::end(server_events),
                                         line.name) != std::end(server_events);
     if (about_server && is_before(line, at)) {
-      said = &line;
+      last_event = &line;
     }
   }
-  if (said != nullptr) {
-    into.push_back(with_age(*said, at));
+  if (last_event != nullptr) {
+    into.push_back(with_age(*last_event, at));
   }
 }
 
@@ -167,10 +167,10 @@
         of("route"), of("version"), server, of("outcome"), of("status"), of("tries"), of("events"),
         of("took_ms"), of("queue_ms"), of("ledger_ms"), choice, detail);
   }
-  const std::set<std::string> shown{"time", "severity", "event", "name", "host"};
+  const std::set<std::string> excluded_fields{"time", "severity", "event", "name", "host"};
   std::string rest;
   for (const auto& [key, value] : line.fields) {
-    if (!shown.contains(key) && !value.empty()) {
+    if (!excluded_fields.contains(key) && !value.empty()) {
       rest += fmt::format("{}{}={}", rest.empty() ? "" : ", ", key, value);
     }
   }
@@ -178,7 +178,7 @@
 }
 
 request_report request_report_for(const std::vector<log_line>& logs, const std::string& id) {
-  request_report story;
+  request_report report;
   std::vector<log_line> sorted = logs;
   std::stable_sort(sorted.begin(), sorted.end(),
                    [](const auto& a, const auto& b) { return a.time < b.time; });
@@ -187,31 +187,31 @@
     if (line.field("request") != id && line.field("program") != id) {
       continue;
     }
-    story.lines.push_back(line);
+    report.lines.push_back(line);
     programs.insert(line.field("program"));
   }
   programs.erase("");
   std::set<std::string> hosts;
-  for (const log_line& line : story.lines) {
+  for (const log_line& line : report.lines) {
     if (hosts.insert(line.host).second) {
       const auto ended =
-          std::find_if(story.lines.begin(), story.lines.end(), [&line](const log_line& item) {
+          std::find_if(report.lines.begin(), report.lines.end(), [&line](const log_line& item) {
             return item.host == line.host && !item.field("server").empty();
           });
-      const std::string server = ended == story.lines.end() ? "" : ended->field("server");
-      add_beliefs(sorted, line, server, story.host_state);
+      const std::string server = ended == report.lines.end() ? "" : ended->field("server");
+      add_host_state(sorted, line, server, report.host_state);
     }
   }
   for (const log_line& line : sorted) {
     const bool other = line.name == "call_ended" && programs.contains(line.field("program")) &&
                        line.field("request") != id && line.field("program") != id;
     if (other) {
-      story.other_requests.push_back(fmt::format("{} {} {}: {} with {}", clock_text(line.time),
-                                                 line.host, line.field("request"),
-                                                 line.field("outcome"), line.field("status")));
+      report.other_requests.push_back(fmt::format("{} {} {}: {} with {}", clock_text(line.time),
+                                                  line.host, line.field("request"),
+                                                  line.field("outcome"), line.field("status")));
     }
   }
-  return story;
+  return report;
 }
 
 }  // namespace hawthornlane::explain
--- a/libs/explain/test/request_report_test.cc
+++ b/libs/explain/test/request_report_test.cc
@@ -60,15 +60,15 @@
       R"({"time":"2026-12-02T21:00:02.900Z","name":"call_ended","host":"b","request":"t1","program":"p","outcome":"whole","status":"200"})",
       R"({"time":"2026-12-02T21:00:04.000Z","name":"configuration_in_force","host":"a","version":"8","source":"store"})",
   });
-  const request_report story = request_report_for(logs, "t2");
-  REQUIRE(story.lines.size() == 2);
-  CHECK(describe_line(story.lines[0]) ==
+  const request_report report = request_report_for(logs, "t2");
+  REQUIRE(report.lines.size() == 2);
+  CHECK(describe_line(report.lines[0]) ==
         "refused with 503 (history_unavailable): no majority of epoch 3 answers");
-  CHECK(mentions(story.host_state, "for 2.2 s: configuration_in_force (source=b, version=6)"));
-  CHECK(mentions(story.host_state, "peer=disk-1"));
-  CHECK_FALSE(mentions(story.host_state, "peer=disk-2"));
-  CHECK_FALSE(mentions(story.host_state, "version=8"));
-  CHECK(mentions(story.other_requests, "t1: whole with 200"));
+  CHECK(mentions(report.host_state, "for 2.2 s: configuration_in_force (source=b, version=6)"));
+  CHECK(mentions(report.host_state, "peer=disk-1"));
+  CHECK_FALSE(mentions(report.host_state, "peer=disk-2"));
+  CHECK_FALSE(mentions(report.host_state, "version=8"));
+  CHECK(mentions(report.other_requests, "t1: whole with 200"));
   CHECK(request_report_for(logs, "p").lines.size() == 2);
   CHECK(request_report_for(logs, "unknown").lines.empty());
 }
@@ -80,13 +80,13 @@
       R"({"time":"2026-12-02T21:00:01.100Z","name":"backend_set_aside","host":"a","server":"s2","service":"models"})",
       R"({"time":"2026-12-02T21:00:01.200Z","name":"call_ended","host":"a","request":"r","route":"kept","version":"6","server":"s1","outcome":"broken after the head","status":"200","tries":"1","events":"2","queue_ms":"3","ledger_ms":"20","took_ms":"190","detail":"body: End of file"})",
   });
-  const request_report story = request_report_for(logs, "r");
-  REQUIRE(story.lines.size() == 1);
-  CHECK(describe_line(story.lines[0])
+  const request_report report = request_report_for(logs, "r");
+  REQUIRE(report.lines.size() == 1);
+  CHECK(describe_line(report.lines[0])
             .find("server s1: broken after the head with 200 after 1 tries") != std::string::npos);
-  CHECK(mentions(story.host_state, "backend_draining"));
-  CHECK_FALSE(mentions(story.host_state, "backend_listed"));
-  CHECK(mentions(story.host_state, "server=s2"));
+  CHECK(mentions(report.host_state, "backend_draining"));
+  CHECK_FALSE(mentions(report.host_state, "backend_listed"));
+  CHECK(mentions(report.host_state, "server=s2"));
 }
 
 TEST_CASE("the report on a turn says why its server was chosen") {
--- a/libs/platform/include/hawthornlane/platform/object_store.h
+++ b/libs/platform/include/hawthornlane/platform/object_store.h
@@ -64,15 +64,15 @@
                                                               failure& reason);
 
   /// Whether the last call got a response.
-  [[nodiscard]] bool reachable() const { return this->answered; }
+  [[nodiscard]] bool reachable() const { return this->got_response; }
 
 private:
   boost::asio::awaitable<std::optional<object_listing>> fetch_listing(std::string target,
-                                                                      duration limit,
+                                                                      duration timeout,
                                                                       failure& reason);
   http::endpoint platform;
   http::client client;
-  std::atomic<bool> answered{false};
+  std::atomic<bool> got_response{false};
 };
 
 }  // namespace hawthornlane
--- a/libs/platform/src/object_store.cc
+++ b/libs/platform/src/object_store.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr duration call_limit = std::chrono::seconds(2);
-constexpr duration watch_limit = std::chrono::seconds(30);
+constexpr duration call_timeout = std::chrono::seconds(2);
+constexpr duration watch_timeout = std::chrono::seconds(30);
 
 std::optional<stored_object> object_from(const json::value& value) {
   const json::object* fields = value.if_object();
@@ -55,7 +55,7 @@
   return listing;
 }
 
-failure unreachable(std::string detail) {
+failure platform_failure(std::string detail) {
   return {error_kind::platform_unavailable, std::move(detail)};
 }
 
@@ -68,13 +68,13 @@
 object_store::object_store(http::endpoint where) : platform(std::move(where)) {}
 
 asio::awaitable<std::optional<stored_object>> object_store::get(std::string key, failure& reason) {
-  http::request ask;
-  ask.target = "/objects/" + http::url_encode(key);
+  http::request http_request;
+  http_request.target = "/objects/" + http::url_encode(key);
   http::fetch_failure why;
-  const auto answer = co_await this->client.fetch(this->platform, ask, call_limit, why);
-  this->answered = answer.has_value();
+  const auto answer = co_await this->client.fetch(this->platform, http_request, call_timeout, why);
+  this->got_response = answer.has_value();
   if (!answer) {
-    reason = unreachable(why.detail);
+    reason = platform_failure(why.detail);
     co_return std::nullopt;
   }
   if (answer->status == status_not_found) {
@@ -87,25 +87,25 @@
   std::optional<stored_object> object =
       error || answer->status != status_ok ? std::nullopt : object_from(body);
   if (!object) {
-    reason = unreachable("status " + std::to_string(answer->status));
+    reason = platform_failure("status " + std::to_string(answer->status));
   }
   co_return object;
 }
 
 asio::awaitable<std::optional<object_listing>> object_store::fetch_listing(std::string target,
-                                                                           duration limit,
+                                                                           duration timeout,
                                                                            failure& reason) {
-  http::request ask;
-  ask.target = std::move(target);
+  http::request http_request;
+  http_request.target = std::move(target);
   http::fetch_failure why;
-  const auto answer = co_await this->client.fetch(this->platform, ask, limit, why);
-  this->answered = answer.has_value();
+  const auto answer = co_await this->client.fetch(this->platform, http_request, timeout, why);
+  this->got_response = answer.has_value();
   std::optional<object_listing> listing;
   if (answer && answer->status == status_ok) {
     listing = listing_from(answer->body);
   }
   if (!listing) {
-    reason = unreachable(answer ? "status " + std::to_string(answer->status) : why.detail);
+    reason = platform_failure(answer ? "status " + std::to_string(answer->status) : why.detail);
   }
   co_return listing;
 }
@@ -113,7 +113,7 @@
 asio::awaitable<std::optional<object_listing>> object_store::list(std::string prefix,
                                                                   failure& reason) {
   const std::string target = "/objects?prefix=" + http::url_encode(prefix);
-  co_return co_await this->fetch_listing(target, call_limit, reason);
+  co_return co_await this->fetch_listing(target, call_timeout, reason);
 }
 
 asio::awaitable<std::optional<object_listing>> object_store::watch(std::string prefix,
@@ -121,18 +121,19 @@
                                                                    failure& reason) {
   const std::string target =
       "/watch?prefix=" + http::url_encode(prefix) + "&after=" + std::to_string(revision);
-  co_return co_await this->fetch_listing(target, watch_limit, reason);
+  co_return co_await this->fetch_listing(target, watch_timeout, reason);
 }
 
 asio::awaitable<write_result> object_store::put(std::string key, std::uint64_t expected,
                                                 std::string value) {
-  http::request ask;
-  ask.method = "PUT";
-  ask.target = "/objects/" + http::url_encode(key) + "?version=" + std::to_string(expected);
-  ask.body = std::move(value);
+  http::request http_request;
+  http_request.method = "PUT";
+  http_request.target =
+      "/objects/" + http::url_encode(key) + "?version=" + std::to_string(expected);
+  http_request.body = std::move(value);
   http::fetch_failure why;
-  const auto answer = co_await this->client.fetch(this->platform, ask, call_limit, why);
-  this->answered = answer.has_value();
+  const auto answer = co_await this->client.fetch(this->platform, http_request, call_timeout, why);
+  this->got_response = answer.has_value();
   write_result result;
   if (!answer) {
     const bool never_sent = why.reached == http::progress::not_connected;
--- a/libs/telemetry/include/hawthornlane/telemetry/log.h
+++ b/libs/telemetry/include/hawthornlane/telemetry/log.h
@@ -76,7 +76,7 @@
 struct event_entry {
   event number;
   std::string_view name;
-  severity grade;
+  severity level;
   std::string_view meaning;
 };
 
--- a/libs/telemetry/src/log.cc
+++ b/libs/telemetry/src/log.cc
@@ -118,15 +118,15 @@
 constexpr std::array<std::string_view, 3> severity_names{"info", "warning", "error"};
 
 /// Buffer for lines not yet written, bytes: some seconds of lines under the heaviest load.
-constexpr std::size_t largest_buffer = std::size_t{256} * 1024;
+constexpr std::size_t max_buffer_bytes = std::size_t{256} * 1024;
 
 struct sink_state {
   log_format format = log_format::text;
   std::string host;
   std::mutex mutex;
   bool buffered = false;
-  /// Invariant: at most `largest_buffer` bytes and one line.
-  std::string waiting;
+  /// Invariant: at most `max_buffer_bytes` bytes and one line.
+  std::string buffer;
   std::uint64_t dropped = 0;
 };
 
@@ -162,7 +162,7 @@
 std::string text_line(const std::string& when, const std::string& host, const event_entry& entry,
                       const std::vector<log_field>& fields) {
   std::string line =
-      fmt::format("{} {} {} {} {}", when, severity_names.at(static_cast<std::size_t>(entry.grade)),
+      fmt::format("{} {} {} {} {}", when, severity_names.at(static_cast<std::size_t>(entry.level)),
                   static_cast<unsigned>(entry.number), entry.name, host);
   for (const log_field& field : fields) {
     line += fmt::format(" {}={}", field.name, json_quoted(field.value));
@@ -174,7 +174,7 @@
                       const std::vector<log_field>& fields) {
   std::string line =
       fmt::format(R"({{"time":"{}","severity":"{}","event":{},"name":"{}","host":{})", when,
-                  severity_names.at(static_cast<std::size_t>(entry.grade)),
+                  severity_names.at(static_cast<std::size_t>(entry.level)),
                   static_cast<unsigned>(entry.number), entry.name, json_quoted(host));
   for (const log_field& field : fields) {
     line += fmt::format(",{}:{}", json_quoted(field.name), json_quoted(field.value));
@@ -207,12 +207,12 @@
     fmt::print(stderr, "{}\n", line);
     return;
   }
-  if (state.waiting.size() + line.size() > largest_buffer) {
+  if (state.buffer.size() + line.size() > max_buffer_bytes) {
     ++state.dropped;
     return;
   }
-  state.waiting += line;
-  state.waiting += '\n';
+  state.buffer += line;
+  state.buffer += '\n';
 }
 
 void log_to_buffered_stdout() {
@@ -227,14 +227,14 @@
   std::uint64_t dropped = 0;
   {
     const std::lock_guard lock(state.mutex);
-    while (!state.waiting.empty()) {
-      const ssize_t wrote = ::write(STDOUT_FILENO, state.waiting.data(), state.waiting.size());
+    while (!state.buffer.empty()) {
+      const ssize_t wrote = ::write(STDOUT_FILENO, state.buffer.data(), state.buffer.size());
       if (wrote <= 0) {
         break;
       }
-      state.waiting.erase(0, static_cast<std::size_t>(wrote));
+      state.buffer.erase(0, static_cast<std::size_t>(wrote));
     }
-    if (state.waiting.size() < largest_buffer / 2) {
+    if (state.buffer.size() < max_buffer_bytes / 2) {
       dropped = std::exchange(state.dropped, 0);
     }
   }
--- a/libs/telemetry/test/log_test.cc
+++ b/libs/telemetry/test/log_test.cc
@@ -10,7 +10,7 @@
 using namespace hawthornlane;
 
 namespace {
-constexpr std::array<std::string_view, 3> grades{"info", "warning", "error"};
+constexpr std::array<std::string_view, 3> severity_labels{"info", "warning", "error"};
 }
 
 TEST_CASE("every event is in docs/EVENTS.md with its number, name, severity and meaning") {
@@ -23,7 +23,8 @@
   for (const event_entry& entry : event_catalogue()) {
     std::ostringstream row;
     row << "| " << static_cast<unsigned>(entry.number) << " | " << entry.name << " | "
-        << grades.at(static_cast<std::size_t>(entry.grade)) << " | " << entry.meaning << " |";
+        << severity_labels.at(static_cast<std::size_t>(entry.level)) << " | " << entry.meaning
+        << " |";
     INFO("expected the line\n" << row.str());
     CHECK(lines.contains(row.str()));
   }
