--- a/libs/disk/src/disk_membership.cc
+++ b/libs/disk/src/disk_membership.cc
@@ -62,7 +62,7 @@
 bool disk_host::state::must_leave(const host_id& name) const {
   const auto known = this->retirements.find(name);
   return known != this->retirements.end() &&
-         steady::now() - known->second.since >= known->second.request.within / 2;
+         steady::now() - known->second.since >= known->second.request.time_limit / 2;
 }
 
 std::size_t disk_host::state::skipped_candidates() {
