--- a/libs/disk/src/disk_membership.cc
+++ b/libs/disk/src/disk_membership.cc
@@ -1,4 +1,5 @@
-// A disk host's part in the set of disks: when to change it, copying for a joint set, leaving it.
+// Membership of a disk host in the ledger set: deciding on changes, copying for a joint set,
+// retirement.
 #include <algorithm>
 
 #include "disk_host_state.h"
@@ -16,26 +17,27 @@
 
 namespace {
 
-/// A disk host that has been silent for this long may be replaced. A restart takes
-/// two to three seconds; copying to a spare costs more than waiting for it.
-constexpr auto patience = std::chrono::milliseconds(3500);
-/// One of a set of two: without it nothing can be decided, so waiting costs service.
-/// Several probes and a repeated packet fit in; a hiccup must not leave one alone.
-constexpr auto patience_of_two = std::chrono::milliseconds(1000);
-static_assert(quota_lease_duration < patience);
-/// Disk hosts start within 0.3 s of each other; the first set waits for them.
+/// A disk host that has not answered for this long may be replaced. A restart takes two to
+/// three seconds, and copying to a spare costs more than waiting for the restart.
+constexpr auto failure_timeout = std::chrono::milliseconds(3500);
+/// The same in a set of two, where the loss of one stops the service until it is replaced.
+/// Leaves time for several probes and a retransmitted packet, so that a short stall does not
+/// reduce the set to one disk.
+constexpr auto failure_timeout_of_two = std::chrono::milliseconds(1000);
+static_assert(quota_lease_duration < failure_timeout);
+/// Disk hosts start within 0.3 s of each other; the first set is formed after this wait.
 constexpr auto first_set_wait = std::chrono::milliseconds(1500);
-/// For the first disk to make a change that is due, before the next one does: two
-/// updates of the store on a slow day.
-constexpr auto time_for_each = std::chrono::milliseconds(1000);
-/// Decisions that follow each other at once, such as a joint set and its end.
-constexpr int most_steps = 4;
-constexpr duration fence_limit = std::chrono::milliseconds(1500);
-constexpr duration copy_limit = std::chrono::milliseconds(1500);
-/// Between two pages, so that copying leaves most of a half core to turns.
+/// Time for one disk to make a due change before the next one tries: two updates of the store
+/// when it is slow.
+constexpr auto time_per_candidate = std::chrono::milliseconds(1000);
+/// Maximum of consecutive decisions in one pass, such as a joint set and its completion.
+constexpr int max_steps = 4;
+constexpr duration fence_timeout = std::chrono::milliseconds(1500);
+constexpr duration copy_timeout = std::chrono::milliseconds(1500);
+/// Pause between two pages, so that copying leaves most of half a core for serving turns.
 constexpr auto page_pause = std::chrono::milliseconds(5);
 
-/// On the clock of `discovery::scheduler_now`.
+/// Converts to the clock of `discovery::scheduler_now`.
 timestamp timestamp_of(net::steady_time time) {
   return timestamp(std::chrono::duration_cast<duration>(time.time_since_epoch()));
 }
@@ -60,13 +62,13 @@
 bool disk_host::state::must_leave(const host_id& name) const {
   const auto known = this->retirements.find(name);
   return known != this->retirements.end() &&
-         steady::now() - known->second.since >= known->second.request.within / 2;
+         steady::now() - known->second.since >= known->second.request.time_limit / 2;
 }
 
 std::size_t disk_host::state::skipped_candidates() {
-  set_view anybody = this->view();
-  anybody.skipped_candidates = anybody.disks.size();
-  const bool due = decide_set_change(anybody).step == set_step::propose;
+  set_view any_candidate = this->view();
+  any_candidate.skipped_candidates = any_candidate.disks.size();
+  const bool due = decide_set_change(any_candidate).step == set_step::propose;
   const net::steady_time now = steady::now();
   const set_epoch epoch = this->set ? this->set->epoch : set_epoch(0);
   if (!due || epoch != this->due_at_epoch) {
@@ -74,13 +76,13 @@
     this->due_since = now;
     return 0;
   }
-  return static_cast<std::size_t>((now - this->due_since) / time_for_each);
+  return static_cast<std::size_t>((now - this->due_since) / time_per_candidate);
 }
 
 set_view disk_host::state::view() const {
   const net::steady_time now = steady::now();
   const bool of_two = this->set && this->set->members.size() == 2;
-  const auto wait = of_two ? patience_of_two : patience;
+  const auto wait = of_two ? failure_timeout_of_two : failure_timeout;
   set_view view;
   view.self = this->ledger.identity();
   view.set = this->set;
@@ -94,11 +96,11 @@
   return view;
 }
 
-asio::awaitable<void> disk_host::state::run_duties(std::shared_ptr<state> self) {
-  self->duty_running = true;
+asio::awaitable<void> disk_host::state::run_membership_tasks(std::shared_ptr<state> self) {
+  self->membership_running = true;
   co_await change_set(self);
   co_await complete_retirement(self);
-  self->duty_running = false;
+  self->membership_running = false;
 }
 
 asio::awaitable<void> disk_host::state::change_set(std::shared_ptr<state> self) {
@@ -106,16 +108,16 @@
   if (too_early || !self->fleet.hosts().heard()) {
     co_return;
   }
-  for (int step = 0; step < most_steps; ++step) {
+  for (int step = 0; step < max_steps; ++step) {
     set_view view = self->view();
     view.skipped_candidates = self->skipped_candidates();
     const set_decision decision = decide_set_change(view);
     if (decision.step == set_step::nothing) {
       break;
     }
-    const bool went_on = decision.step == set_step::propose ? co_await propose(self, decision)
-                                                            : co_await copy_from_members(self);
-    if (!went_on) {
+    const bool succeeded = decision.step == set_step::propose ? co_await propose(self, decision)
+                                                              : co_await copy_from_members(self);
+    if (!succeeded) {
       break;
     }
   }
@@ -133,8 +135,8 @@
     outcome = co_await self->store.create(object_kind::hosts, platform_adapter::ledger_object_name,
                                           spec, reason);
   }
-  // Won, lost or unknown: what the store holds now decides, and the watch that
-  // would tell may be late.
+  // Whether the write succeeded, failed or is unknown, the store's current content decides.
+  // Read it here, since the watch may report it late.
   platform_adapter::stored_object held;
   failure read_reason;
   const store_outcome read = co_await self->store.get(
@@ -152,7 +154,7 @@
 asio::awaitable<bool> disk_host::state::copy_from_members(std::shared_ptr<state> self) {
   const ledger_set joint = *self->set;
   const std::size_t needed = read_quorum(joint.members);
-  // This disk first, where it is one of them: it costs nothing.
+  // Start with this disk if it is a member: it needs no copying.
   std::vector<disk_id> order = joint.members;
   std::stable_partition(order.begin(), order.end(),
                         [&](const disk_id& member) { return member == self->ledger.identity(); });
@@ -177,11 +179,9 @@
   co_return enough;
 }
 
-asio::awaitable<std::optional<std::string>> disk_host::state::ask(std::shared_ptr<state> self,
-                                                                  disk_id where,
-                                                                  ledger_method method,
-                                                                  std::string payload,
-                                                                  duration limit) {
+asio::awaitable<std::optional<std::string>> disk_host::state::send_request(
+    std::shared_ptr<state> self, disk_id where, ledger_method method, std::string payload,
+    duration timeout) {
   struct outcome {
     explicit outcome(asio::io_context& io) : signal(io) {}
     std::optional<std::string> bytes;
@@ -196,22 +196,22 @@
     co_await result->signal.wait();
     co_return result->bytes;
   }
-  std::shared_ptr<net::rpc_client> link;
+  std::shared_ptr<net::rpc_client> client;
   for (const auto& [name, other] : self->peers) {
     if (other.entry.disk == where.get()) {
-      link = other.link;
+      client = other.client;
     }
   }
-  if (!link) {
+  if (!client) {
     co_return std::nullopt;
   }
-  link->call(static_cast<std::uint16_t>(method), std::move(payload), limit,
-             [result](net::rpc_failure why, std::string bytes) {
-               if (why == net::rpc_failure::none) {
-                 result->bytes = std::move(bytes);
-               }
-               result->signal.wake();
-             });
+  client->call(static_cast<std::uint16_t>(method), std::move(payload), timeout,
+               [result](net::rpc_failure why, std::string bytes) {
+                 if (why == net::rpc_failure::none) {
+                   result->bytes = std::move(bytes);
+                 }
+                 result->signal.wake();
+               });
   co_await result->signal.wait();
   co_return result->bytes;
 }
@@ -219,9 +219,10 @@
 asio::awaitable<bool> disk_host::state::copy_from(std::shared_ptr<state> self,
                                                   const ledger_set joint, const disk_id member) {
   const std::string fence_bytes = to_bytes(fence_request{joint});
-  const auto fenced = co_await ask(self, member, ledger_method::fence, fence_bytes, fence_limit);
-  const auto state_there = fenced ? from_bytes<probe_response>(*fenced) : std::nullopt;
-  if (!state_there || state_there->disk != member) {
+  const auto fenced =
+      co_await send_request(self, member, ledger_method::fence, fence_bytes, fence_timeout);
+  const auto member_state = fenced ? from_bytes<probe_response>(*fenced) : std::nullopt;
+  if (!member_state || member_state->disk != member) {
     co_return false;
   }
   if (member == self->ledger.identity()) {
@@ -230,7 +231,8 @@
   copy_request from;
   while (true) {
     const std::string request_bytes = to_bytes(from);
-    const auto bytes = co_await ask(self, member, ledger_method::copy, request_bytes, copy_limit);
+    const auto bytes =
+        co_await send_request(self, member, ledger_method::copy, request_bytes, copy_timeout);
     const auto page = bytes ? from_bytes<copy_page>(*bytes) : std::nullopt;
     if (!page) {
       co_return false;
@@ -258,9 +260,9 @@
   if (known == self->retirements.end() || known->second.request.completed || !self->set) {
     co_return;
   }
-  const std::vector<disk_id> holders = self->set->all();
-  const bool held =
-      std::find(holders.begin(), holders.end(), self->ledger.identity()) != holders.end();
+  const std::vector<disk_id> all_members = self->set->all();
+  const bool held = std::find(all_members.begin(), all_members.end(), self->ledger.identity()) !=
+                    all_members.end();
   if (held) {
     co_return;
   }
--- a/libs/explain/test/request_report_test.cc
+++ b/libs/explain/test/request_report_test.cc
@@ -1,4 +1,4 @@
-// Stories of requests from the logs of several hosts.
+// Reports on requests from the logs of several hosts.
 #include "hawthornlane/explain/request_report.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("only log lines are read, whatever a collector puts before them") {
+TEST_CASE("only log lines are parsed, with or without a collector's prefix") {
   struct row {
     const char* what;
     const char* text;
@@ -37,7 +37,7 @@
        R"( 11.0 a {"time":"2026-12-02T21:00:01.500Z","name":"started","host":"a"})", true},
       {"a line cut in the middle", R"({"time":"2026-12-02T21:00:01.500Z","name":"sta)", false},
       {"another object", R"({"a":1})", false},
-      {"a time that is none", R"({"time":"yesterday","name":"started","host":"a"})", false},
+      {"an invalid time", R"({"time":"yesterday","name":"started","host":"a"})", false},
       {"plain text", "started", false},
       {"nothing", "", false},
   };
@@ -47,7 +47,7 @@
   }
 }
 
-TEST_CASE("a refused turn is told with what its host believed then") {
+TEST_CASE("the report on a refused turn has its host's state at that time only") {
   const auto logs = logs_of({
       R"({"time":"2026-12-02T21:00:00.000Z","name":"configuration_in_force","host":"a","version":"5","source":"store"})",
       R"({"time":"2026-12-02T21:00:01.000Z","name":"configuration_in_force","host":"a","version":"6","source":"b"})",
@@ -60,36 +60,36 @@
       R"({"time":"2026-12-02T21:00:02.900Z","name":"call_ended","host":"b","request":"t1","program":"p","outcome":"whole","status":"200"})",
       R"({"time":"2026-12-02T21:00:04.000Z","name":"configuration_in_force","host":"a","version":"8","source":"store"})",
   });
-  const request_report story = request_report_for(logs, "t2");
-  REQUIRE(story.lines.size() == 2);
-  CHECK(describe_line(story.lines[0]) ==
+  const request_report report = request_report_for(logs, "t2");
+  REQUIRE(report.lines.size() == 2);
+  CHECK(describe_line(report.lines[0]) ==
         "refused with 503 (history_unavailable): no majority of epoch 3 answers");
-  CHECK(mentions(story.host_state, "for 2.2 s: configuration_in_force (source=b, version=6)"));
-  CHECK(mentions(story.host_state, "peer=disk-1"));
-  CHECK_FALSE(mentions(story.host_state, "peer=disk-2"));
-  CHECK_FALSE(mentions(story.host_state, "version=8"));
-  CHECK(mentions(story.other_requests, "t1: whole with 200"));
+  CHECK(mentions(report.host_state, "for 2.2 s: configuration_in_force (source=b, version=6)"));
+  CHECK(mentions(report.host_state, "peer=disk-1"));
+  CHECK_FALSE(mentions(report.host_state, "peer=disk-2"));
+  CHECK_FALSE(mentions(report.host_state, "version=8"));
+  CHECK(mentions(report.other_requests, "t1: whole with 200"));
   CHECK(request_report_for(logs, "p").lines.size() == 2);
   CHECK(request_report_for(logs, "unknown").lines.empty());
 }
 
-TEST_CASE("a cut stream is told with what was known of its server") {
+TEST_CASE("the report on a broken stream has the last known state of its server") {
   const auto logs = logs_of({
       R"({"time":"2026-12-02T21:00:00.000Z","name":"backend_listed","host":"a","server":"s1","service":"models"})",
       R"({"time":"2026-12-02T21:00:01.000Z","name":"backend_draining","host":"a","server":"s1","service":"models"})",
       R"({"time":"2026-12-02T21:00:01.100Z","name":"backend_set_aside","host":"a","server":"s2","service":"models"})",
       R"({"time":"2026-12-02T21:00:01.200Z","name":"call_ended","host":"a","request":"r","route":"kept","version":"6","server":"s1","outcome":"broken after the head","status":"200","tries":"1","events":"2","queue_ms":"3","ledger_ms":"20","took_ms":"190","detail":"body: End of file"})",
   });
-  const request_report story = request_report_for(logs, "r");
-  REQUIRE(story.lines.size() == 1);
-  CHECK(describe_line(story.lines[0])
+  const request_report report = request_report_for(logs, "r");
+  REQUIRE(report.lines.size() == 1);
+  CHECK(describe_line(report.lines[0])
             .find("server s1: broken after the head with 200 after 1 tries") != std::string::npos);
-  CHECK(mentions(story.host_state, "backend_draining"));
-  CHECK_FALSE(mentions(story.host_state, "backend_listed"));
-  CHECK(mentions(story.host_state, "server=s2"));
+  CHECK(mentions(report.host_state, "backend_draining"));
+  CHECK_FALSE(mentions(report.host_state, "backend_listed"));
+  CHECK(mentions(report.host_state, "server=s2"));
 }
 
-TEST_CASE("a turn's story says what its server was chosen by") {
+TEST_CASE("the report on a turn says why its server was chosen") {
   const auto logs = logs_of({
       R"({"time":"2026-12-02T21:00:01.200Z","name":"call_ended","host":"a","request":"r","server":"s1","outcome":"whole","status":"200","server_calls":"14","load_age_ms":"3","missing_tokens":"2710","holds_line":"no"})",
   });
--- a/libs/telemetry/test/log_test.cc
+++ b/libs/telemetry/test/log_test.cc
@@ -1,4 +1,4 @@
-// Holds the catalogue of events against its page in the docs.
+// Compares the event catalogue with its documentation.
 #include "hawthornlane/telemetry/log.h"
 
 #include <array>
@@ -10,10 +10,10 @@
 using namespace hawthornlane;
 
 namespace {
-constexpr std::array<std::string_view, 3> grades{"info", "warning", "error"};
+constexpr std::array<std::string_view, 3> severity_labels{"info", "warning", "error"};
 }
 
-TEST_CASE("every event stands in docs/EVENTS.md with its number, name, severity and meaning") {
+TEST_CASE("every event is in docs/EVENTS.md with its number, name, severity and meaning") {
   std::ifstream page(HAWTHORNLANE_SOURCE_FOLDER "/docs/EVENTS.md");
   REQUIRE(page);
   std::set<std::string> lines;
@@ -23,13 +23,14 @@
   for (const event_entry& entry : event_catalogue()) {
     std::ostringstream row;
     row << "| " << static_cast<unsigned>(entry.number) << " | " << entry.name << " | "
-        << grades.at(static_cast<std::size_t>(entry.grade)) << " | " << entry.meaning << " |";
+        << severity_labels.at(static_cast<std::size_t>(entry.level)) << " | " << entry.meaning
+        << " |";
     INFO("expected the line\n" << row.str());
     CHECK(lines.contains(row.str()));
   }
 }
 
-TEST_CASE("numbers and names of events are unique and in order") {
+TEST_CASE("event numbers are unique and ascending, and event names unique") {
   std::set<std::string_view> names;
   unsigned last = 0;
   for (const event_entry& entry : event_catalogue()) {
