--- a/bench/engine_model.cc
+++ b/bench/engine_model.cc
@@ -1,4 +1,4 @@
-// The engine model's batch steps and cache.
+// Batch steps and prefix cache of the engine model.
 #include "engine_model.h"
 
 #include <algorithm>
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -1,5 +1,5 @@
-// Model engines on virtual time: continuous batching with prefill and decode
-// that slow each other down, and a bounded prefix cache.
+// Model engine on virtual time: continuous batching in which prefill and decode slow
+// each other down, and a bounded prefix cache.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace hawthornlane::bench {
 
-/// Parameters of one engine; reasons stand beside them.
+/// Parameters of one engine, each with its reason.
 struct engine_parameters {
-  /// A step with one call takes this long: memory bandwidth of the weights.
+  /// Duration of a step with one call: memory bandwidth of the weights.
   double step_seconds = 0.010;
-  /// Each further call in the batch reads its own cache.
+  /// Added by each further call in the batch, which reads its own cache.
   double step_seconds_per_call = 0.0006;
   /// Prefill work done within a step delays all decodes of that step.
   double step_seconds_per_prefill_token = 0.00010;
   /// Prefill is done in chunks of this size, so that decodes go on.
   std::int64_t prefill_chunk = 512;
-  /// Calls that run at once; further ones wait inside, first come first served.
+  /// Calls that run at once; further ones wait in a first-in, first-out queue.
   std::size_t most_running = 32;
   /// Cache memory in tokens: ten long programs fill it.
   std::int64_t cache_tokens = 300'000;
@@ -32,12 +32,12 @@
   std::uint64_t id = 0;
   std::uint64_t program = 0;
   std::int64_t prompt = 0;
-  /// Part of the prompt that an earlier turn had; the rest is new.
+  /// Part of the prompt that earlier turns contained, tokens; the rest is new.
   std::int64_t history = 0;
   std::int64_t answer = 0;
 };
 
-/// What an engine tells of a call.
+/// An event of a call, reported by the engine.
 struct engine_event {
   enum class kind : std::uint8_t { first_token, finished };
   kind what = kind::finished;
@@ -46,7 +46,7 @@
   std::int64_t reprefilled = 0;
 };
 
-/// One engine. `step` runs one batch step; the caller keeps the clock.
+/// One engine. `step` runs one batch step; the caller advances the clock.
 class engine_model {
 public:
   explicit engine_model(engine_parameters with) : parameters(with) {}
@@ -56,7 +56,7 @@
   /// Runs one step and returns how long it took; 0 when there is nothing to do.
   double step(std::vector<engine_event>& events);
   void release(std::uint64_t program);
-  /// All memory and calls are lost.
+  /// Loses all cached prefixes and calls; returns the lost calls.
   std::vector<engine_call> crash();
   void set_slowdown(double factor) { this->slowdown = factor; }
   void set_hung(bool value) { this->hung = value; }
@@ -64,7 +64,7 @@
   [[nodiscard]] bool idle() const { return this->waiting.empty() && this->running.empty(); }
   [[nodiscard]] std::size_t load() const { return this->waiting.size() + this->running.size(); }
   [[nodiscard]] std::int64_t cached(std::uint64_t program) const;
-  /// Tokens held, by program.
+  /// Cached tokens of one program.
   struct cached_prefix {
     std::uint64_t program = 0;
     std::int64_t tokens = 0;
--- a/bench/experiment.cc
+++ b/bench/experiment.cc
@@ -1,4 +1,4 @@
-// The event loop of one run.
+// Event loop of one run.
 #include "experiment.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 constexpr double fault_until = 0.7;
 /// A caller whose call is lost sends it again after this long.
 constexpr double lost_call_wait = 1.0;
-/// Without a policy that notices, a call into a hung server ends by timeout.
+/// Timeout of a call at a hung server if the policy does not detect the failure.
 constexpr double call_timeout = 60.0;
 
 struct live_program {
@@ -65,7 +65,7 @@
     this->at(report_period, [this] { this->report(); });
     this->at(tick_period, [this] { this->tick(); });
     this->plan_fault();
-    // Everything that arrived is served to its end, within bounds.
+    // All programs are served to their end, at most for this virtual time.
     const double longest = this->parameters.workload.seconds * 6;
     while (!this->events.empty() && this->finished < this->programs.size()) {
       const event next = this->events.top();
@@ -227,7 +227,7 @@
     this->live.erase(number);
   }
 
-  /// The call's server is gone or gave nothing: the caller asks again.
+  /// The call's server has failed or did not answer: the caller sends the call again.
   void lose(std::uint64_t id) {
     const auto found = this->calls.find(id);
     if (found == this->calls.end()) {
@@ -304,7 +304,7 @@
 
   void set_zone(bool there) {
     constexpr std::size_t zones = 3;
-    // The list of live servers lags.
+    // The list of live servers is updated late.
     constexpr double list_lag = 5;
     for (std::size_t server = 0; server < this->engines.size(); server += zones) {
       this->available[server] = there;
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -1,4 +1,4 @@
-// One run: programs against engines under one policy, on virtual time.
+// Simulates one run on virtual time: programs call engines under one policy.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
   fault with = fault::none;
 };
 
-/// Figures of one run. Latencies are seconds in calls, pauses left out.
+/// Results of one run. Latencies are seconds spent in calls, without pauses.
 struct run_figures {
   std::size_t programs = 0;
   double mean = 0;
@@ -33,9 +33,9 @@
   double p99 = 0;
   double deadline_hits = 1;
   double reprefilled_million = 0;
-  /// Millions of token-seconds that engines held for programs that had ended.
+  /// Millions of token-seconds that engines cached for programs that had ended.
   double dead_held_million = 0;
-  /// Worst account's mean latency over the best one's, the flooding one left out.
+  /// Ratio of the worst account's mean latency to the best one's, without the flooding one.
   double account_spread = 0;
   /// Mean latency of the accounts that do not flood.
   double quiet_mean = 0;
--- a/bench/policy.cc
+++ b/bench/policy.cc
@@ -1,4 +1,4 @@
-// The product's scheduler and the baselines.
+// The product's scheduler and the baseline policies.
 #include "policy.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 timestamp at(double seconds) { return timestamp(from_seconds(seconds)); }
 
-/// Baselines send at once: their queue is the engine's own.
+/// Baselines dispatch at once; calls wait in the engine's own queue.
 class baseline : public policy {
 public:
   explicit baseline(std::size_t count) : servers(count), there(count, true) {}
@@ -61,7 +61,7 @@
   std::size_t next = 0;
 };
 
-/// The reported load, and what was sent since the report.
+/// Chooses by the reported load plus the calls sent since the report.
 class least_loaded : public baseline {
 public:
   explicit least_loaded(std::size_t count) : baseline(count), load(count, 0) {}
@@ -85,7 +85,7 @@
   std::vector<double> load;
 };
 
-/// The server of the program's last call; the least loaded for its first.
+/// Chooses the server of the program's last call; for its first, the least loaded one.
 class affinity final : public least_loaded {
 public:
   using least_loaded::least_loaded;
@@ -189,7 +189,7 @@
   policy_features parts;
   std::unique_ptr<scheduler> core;
   double mean_answer = 200;
-  /// Calls that a removed server gave up; sent with the next tick.
+  /// Calls of a removed server that were placed elsewhere; sent with the next tick.
   std::vector<bench_decision> moved;
 };
 
@@ -236,7 +236,7 @@
   if (found == switches().end()) {
     return nullptr;
   }
-  // Every switch turns its part over: on parts off, the rejected part on.
+  // Each switch inverts its feature: enabled ones are disabled, the rejected one is enabled.
   parts.*(found->second) = !(parts.*(found->second));
   return std::make_unique<own_policy>(servers, parts);
 }
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -1,5 +1,4 @@
-// What the bench compares: the product's scheduler and three baselines behind
-// one narrow interface.
+// Interface of the compared policies: the product's scheduler and three baselines.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +10,7 @@
 
 namespace hawthornlane::bench {
 
-/// A call as a policy sees it: nothing of the turns to come.
+/// A call as a policy sees it, without knowledge of future turns.
 struct bench_call {
   std::uint64_t id = 0;
   std::uint64_t program = 0;
@@ -48,19 +47,19 @@
   virtual std::vector<bench_decision> submit(const bench_call& call) = 0;
   virtual std::vector<bench_decision> finished(const bench_outcome& outcome, double now) = 0;
   virtual void first_token(std::uint64_t /*id*/) {}
-  /// The server whose memory is to be released when the program ended, if any.
+  /// Servers that are to release the memory of the ended program, if any.
   virtual std::vector<std::size_t> ended(std::uint64_t program) = 0;
   virtual std::vector<bench_decision> tick(double /*now*/) { return {}; }
   virtual std::vector<std::uint64_t> take_given_up() { return {}; }
-  /// A load report: calls inside that server, as old as the run says.
+  /// A load report: the number of calls at that server, with the delay of the run.
   virtual void report(std::size_t /*server*/, std::size_t /*load*/) {}
   virtual void server_listed(std::size_t /*server*/, bool /*there*/, double /*now*/) {}
-  /// The host that decides was restarted: everything it had learnt is gone.
+  /// The deciding host restarts and loses its learned state.
   virtual void restart() {}
 };
 
 /// "round-robin", "least-loaded", "affinity", "hawthornlane", or "hawthornlane-X"
-/// with part X switched off. Nothing for another name.
+/// with feature X toggled. Null for any other name.
 std::unique_ptr<policy> make_policy(const std::string& name, std::size_t servers);
 std::vector<std::string> policy_names();
 
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,4 +1,4 @@
-// Compares the policies over loads, faults and mixes; CSV on standard output.
+// Compares the policies over loads, faults and workload mixes; CSV on standard output.
 #include <docopt/docopt.h>
 #include <fmt/format.h>
 
@@ -19,13 +19,13 @@
                      [--faults LIST] [--mixes LIST] [--flood X]
 
 Options:
-  --seeds LIST     Seeds with commas between [default: 11,12,13].
-  --seconds N      Seconds in which programs arrive [default: 900].
-  --loads LIST     Percent of capacity [default: 50,80,95,110].
-  --policies LIST  Names, or "all", or "ablation" [default: all].
+  --seeds LIST     Comma-separated seeds [default: 11,12,13].
+  --seconds N      Duration of program arrivals, seconds [default: 900].
+  --loads LIST     Loads in percent of capacity [default: 50,80,95,110].
+  --policies LIST  Policy names, "all" or "ablation" [default: all].
   --faults LIST    none,slow,hung,zone,late,restart [default: none].
   --mixes LIST     diagnosis,summaries [default: diagnosis,summaries].
-  --flood X        Account 0 asks for X times its share on top [default: 0].
+  --flood X        Account 0 additionally asks for X times its share [default: 0].
 )";
 
 std::vector<std::string> split(const std::string& text) {
--- a/bench/relay.sh
+++ b/bench/relay.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What the hosts add to a call of four tokens: time to its end, direct and
-# through a host, taken in turns in one run; and processor time a relayed token.
+# Overhead of the hosts: total time of a call of four tokens, direct and through a host,
+# measured alternately in one run; and processor time per relayed token.
 #
 # usage: relay.sh BUILD_FOLDER [ROUNDS] [PARALLEL_PROGRAMS]
 set -eu
@@ -37,8 +37,8 @@
 idle=$(($(busy) - idle_from))
 echo "idle: three hosts used ${idle}0 ms of processor in 3 s"
 
-# The same calls with ever more tokens: the slope is the cost of a token, what is
-# left at none the cost of a call.
+# The same calls with increasing numbers of tokens: the slope is the cost per token, the
+# intercept the cost per call.
 for size in 4 16 32 64; do
   for _ in 1 2 3 4 5 6; do echo "{\"say\": \"go on\", \"max_tokens\": $size}"; done >"$run/calls-$size"
   busy_from=$(busy)
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -1,5 +1,5 @@
-// Slopes for docs/CAPACITY.md: cost and size of one unit of each role's work, at
-// several sizes, so that a line can be laid through them. CSV on standard output.
+// Measurements for docs/CAPACITY.md: cost and size of one unit of each role's work at
+// several sizes, for a linear fit. CSV on standard output.
 #include <fmt/format.h>
 #include <malloc.h>
 #include <unistd.h>
@@ -29,7 +29,7 @@
 using namespace hawthornlane;
 using steady = std::chrono::steady_clock;
 
-/// Microseconds that one of `count` runs of `work` took.
+/// Mean duration of `count` runs of `work`, microseconds.
 template <class Work>
 double each_us(std::size_t count, Work work) {
   const auto began = steady::now();
@@ -48,7 +48,7 @@
   return {host_id("host-" + std::to_string(number)), incarnation(number + 1)};
 }
 
-/// An owner and two replicas that answer at once.
+/// A shard owner and two replicas that answer without delay.
 class trio {
 public:
   trio() {
@@ -180,7 +180,7 @@
     const double us = each_us(periods, [&](std::size_t period) {
       now += membership_times{}.period;
       const auto out = core.tick(now, period);
-      // Each period one probe is answered, and one comes from another host.
+      // In each period one probe is acknowledged, and one arrives from another host.
       probe_message answer;
       answer.what = probe_message::kind::acknowledge;
       answer.sequence = sequence++;
@@ -249,7 +249,7 @@
   }
 }
 
-/// A turn of one of many programs, whose line some server has read.
+/// A turn of one of many programs, whose prompt prefix a server may have cached.
 placement_request turn_of(std::size_t number) {
   constexpr std::size_t programs = 2000;
   constexpr std::uint64_t first_line = 1000;
@@ -275,7 +275,7 @@
   return entries;
 }
 
-/// One host's choice of a server for a call without a prompt, by the speeds of servers.
+/// Cost of choosing a server by speed at one host, for a call without a prompt.
 void plain_choice_slopes() {
   for (const std::size_t servers : {48U, 275U, 2200U}) {
     pool_rules rules;
@@ -300,8 +300,8 @@
   }
 }
 
-/// One host's choice of a server for a turn, with what it asks other hosts, and the same
-/// when no server has a place left.
+/// Cost of choosing a server for a turn at one host, with its directory request, and the
+/// same when no server has a free place (slot).
 void server_choice_slopes(bool learns_speed) {
   for (const std::size_t servers : {48U, 275U, 2200U}) {
     pool_rules rules;
@@ -327,7 +327,7 @@
     });
     print(learns_speed ? "turn placed by speed: servers" : "turn placed: servers", servers,
           "us/turn (question, choice, end)", us);
-    // More calls than the host may have at all servers: from then on none has a place.
+    // More calls than the host may have at all servers, so that no place is free afterwards.
     const std::size_t places = servers * 8;
     for (std::size_t at = 0; at < places; ++at) {
       place();
@@ -361,7 +361,7 @@
   }
 }
 
-/// Memory of this process that is in use now, MB.
+/// Resident memory of this process, MB.
 double resident_mb() {
   ::malloc_trim(0);
   std::ifstream pages("/proc/self/statm");
@@ -387,8 +387,8 @@
   return account_table::make(std::move(entries), 17, reason);
 }
 
-/// What keys and quotas cost a call: at the front host that finds the account, and at the disk
-/// host that keeps a fifth of its quota.
+/// Cost of keys and quotas per call: at the front host that looks up the account, and at the
+/// disk host that manages a fifth of its quota.
 void account_slopes() {
   constexpr std::size_t calls = 200'000;
   for (const std::size_t accounts : {80U, 39'000U}) {
--- a/bench/workload.cc
+++ b/bench/workload.cc
@@ -1,4 +1,4 @@
-// Random programs with heavy tails.
+// Random programs with heavy-tailed sizes.
 #include "workload.h"
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 constexpr std::size_t most_turns = 68;
 constexpr std::int64_t longest_history = 710'000;
-// What one server does in a second at a batch of sixteen, from engine_model.h's
-// parameters: a step of 10 + 15 * 0.6 ms gives 842 tokens; a prefilled token
-// costs 0.1 ms of all.
+// Cost per token at a batch of sixteen with the parameters of engine_model.h: steps of
+// 10 + 15 * 0.6 ms give 842 tokens per second; a prefilled token delays the whole batch by
+// 0.1 ms.
 constexpr double decode_seconds_per_token = (0.010 + 15 * 0.0006) / 16;
 constexpr double prefill_seconds_per_token = 0.00010;
 
@@ -33,7 +33,7 @@
   }
 
 private:
-  /// A fault guided across a job: few to very many turns, long pauses.
+  /// A guided fault diagnosis: few to very many turns, long pauses.
   program_shape diagnosis() {
     program_shape program;
     const auto turns =
@@ -43,7 +43,7 @@
       turn_shape turn;
       turn.new_tokens = at == 0 ? this->tokens(2500, 0.7, 60'000) : this->tokens(500, 1.2, 40'000);
       turn.answer = this->tokens(160, 0.8, 2000);
-      // Half are quick tools, the others a mechanic with a spanner.
+      // Half of the pauses are quick tools, the others manual work by a mechanic.
       turn.pause = this->uniform() < 0.5 ? this->lognormal(1.5, 1.0) : this->lognormal(25, 1.0);
       turn.pause = std::min(turn.pause, 600.0);
       history += turn.new_tokens + turn.answer;
@@ -55,7 +55,7 @@
     return program;
   }
 
-  /// A morning summary: data first, then a chain of drafts with short pauses.
+  /// A summary: data first, then a chain of drafts with short pauses.
   program_shape summary() {
     program_shape program;
     program.deadline = 120;
@@ -94,7 +94,7 @@
   return sum / samples;
 }
 
-/// Arrivals between `from` and `to` at a rate; bursts for the summaries.
+/// Adds arrivals at `rate` programs per second; summaries arrive in bursts.
 void add_arrivals(const workload_parameters& parameters, shapes& source, double rate,
                   bool only_first_account, std::vector<program_shape>& programs) {
   std::mt19937_64 random(parameters.seed * 7919 + (only_first_account ? 13 : 0));
@@ -105,7 +105,7 @@
   while (now < parameters.seconds) {
     program_shape program = source.program();
     program.account = only_first_account ? 0 : account(random);
-    // Summaries of one district begin together: a sub-agent for each reservoir.
+    // The sub-agents of one summary start together.
     const int fan_out = bursts ? 4 : 1;
     program.arrival = now;
     programs.push_back(program);
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,5 +1,4 @@
-// Programs as the two users' agents make them; their shape is unknown to the
-// scheduler.
+// Programs with the shape of the two users' agents; the scheduler does not know the shape.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +11,14 @@
 struct turn_shape {
   std::int64_t new_tokens = 0;
   std::int64_t answer = 0;
-  /// Pause after the turn: a tool, or a mechanic at the machine.
+  /// Pause after the turn, seconds: a tool runs, or a mechanic works on the machine.
   double pause = 0;
 };
 
 struct program_shape {
   double arrival = 0;
   std::uint32_t account = 0;
-  /// Deadline for the whole program, seconds in calls; 0 when there is none.
+  /// Deadline of the whole program, seconds spent in calls; 0: none.
   double deadline = 0;
   std::vector<turn_shape> turns;
 };
@@ -28,19 +27,18 @@
 
 struct workload_parameters {
   user_mix mix = user_mix::diagnosis;
-  /// Share of the servers' capacity that the programs ask for, with every prefix
-  /// cached.
+  /// Share of the servers' capacity that the programs need if every prefix is cached.
   double load = 0.8;
   double seconds = 1200;
   std::size_t servers = 10;
-  /// Account 0 asks for this many times its share on top.
+  /// Account 0 additionally asks for this many times its share.
   double flood = 0;
   std::uint64_t seed = 1;
 };
 
 constexpr std::uint32_t account_count = 4;
 
-/// Programs in order of arrival, open loop.
+/// Programs in order of arrival (open loop).
 std::vector<program_shape> make_programs(const workload_parameters& parameters);
 
 }  // namespace hawthornlane::bench
--- a/cmake/hawthornlane.cmake
+++ b/cmake/hawthornlane.cmake
@@ -1,7 +1,7 @@
 # hawthornlane_library(NAME [DEPENDS lib...] [LINK target...])
 #
-# Declares libs/NAME with its public headers, its sources and, when it has a
-# test folder, one test program per library that CTest runs.
+# Declares the library libs/NAME with its public headers and sources and, if it has a test
+# folder, one test program that CTest runs.
 function(hawthornlane_library name)
   hawthornlane_library_at(libs/${name} ${name} ${ARGN})
 endfunction()
@@ -34,7 +34,7 @@
   endif()
 endfunction()
 
-# The one translation unit that holds Catch2's main.
+# The translation unit with Catch2's main function, compiled once for all test programs.
 add_library(hawthornlane_test_main STATIC ${CMAKE_SOURCE_DIR}/cmake/test_main.cc)
 target_include_directories(hawthornlane_test_main PUBLIC ${CMAKE_SOURCE_DIR}/cmake/test_support)
 
--- a/cmake/test_main.cc
+++ b/cmake/test_main.cc
@@ -1,3 +1,3 @@
-// Holds the main function of every test program, compiled once.
+// Catch2's main function, compiled once for all test programs.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/cmake/test_support/scratch_folder.h
+++ b/cmake/test_support/scratch_folder.h
@@ -1,4 +1,4 @@
-// A folder for one test, gone with it.
+// A temporary folder for one test, which the destructor removes.
 #pragma once
 
 #include <unistd.h>
--- a/samples/caller.cc
+++ b/samples/caller.cc
@@ -1,6 +1,6 @@
-// A small caller: asks for addresses, opens a program, makes two dependent calls
-// and ends the program. Teaches the one habit that matters: keep the ticket until
-// its answer is there, and send the same call again when it is not.
+// A small caller: requests addresses, opens a program, makes two dependent calls and ends
+// the program. It shows the rule that every caller must follow: keep the ticket until its
+// answer has arrived, and send the same call again if it does not arrive.
 //
 // usage: sample_caller IP:port CREDENTIAL
 #include <fmt/format.h>
@@ -22,7 +22,7 @@
 constexpr duration patience = std::chrono::seconds(60);
 constexpr int most_tries = 5;
 
-/// What a caller has to remember of its program between two calls.
+/// State of a program that a caller has to keep between two calls.
 struct program_memory {
   http::endpoint host;
   std::string credential;
@@ -62,8 +62,8 @@
   co_return parsed.as_object();
 }
 
-/// One call. When its answer is lost, the same ticket asks for it again: the call
-/// runs once, however often it is sent.
+/// Makes one call. If its answer is lost, the call is repeated with the same ticket: it runs
+/// once, however often it is sent.
 asio::awaitable<std::string> say(http::client& client, program_memory& memory, std::string text) {
   json::object message;
   message["role"] = "user";
@@ -82,17 +82,18 @@
     }
     fmt::print("  not yet: {}\n", json::serialize(answer));
   }
-  throw std::runtime_error("no answer after several tries");
+  throw std::runtime_error("no answer after several attempts");
 }
 
 asio::awaitable<void> run(http::client& client, program_memory& memory) {
   const json::object opened = co_await ask(client, memory, "POST", "/v1/programs", "");
   if (!opened.contains("program")) {
-    throw std::runtime_error("no program was opened: " + json::serialize(opened));
+    throw std::runtime_error("opening a program failed: " + json::serialize(opened));
   }
   memory.program = std::string(opened.at("program").as_string());
   remember(memory, opened);
-  // The owner answers without a detour; any other host would pass the calls on.
+  // The first address is the owner of the program's shard; any other host would have to relay
+  // the calls.
   const json::object listed =
       co_await ask(client, memory, "GET", "/v1/addresses?program=" + memory.program, "");
   const json::object& best = listed.at("addresses").as_array().front().as_object();
--- a/scenarios/accounts_deployment_test.cc
+++ b/scenarios/accounts_deployment_test.cc
@@ -1,4 +1,4 @@
-// Client accounts, their keys and their quotas, played against whole hosts and stand-ins.
+// Tests of client accounts, their keys and their quotas with complete hosts and stand-ins.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -43,7 +43,7 @@
   return call;
 }
 
-/// Requests of that id, at whichever server they arrived.
+/// Requests with that id, whichever server received them.
 std::vector<http::request> arrivals_of(const deployment& all, const std::string& id) {
   std::vector<http::request> found;
   for (const auto* group : {&all.apps, &all.engines}) {
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-TEST_CASE("a caller is known by its key, and a server by the account's name alone") {
+TEST_CASE("a caller is identified by its key, and servers receive only the account's name") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(
@@ -81,10 +81,10 @@
       {"a key", "Bearer n-1", 200, "north"},
       {"another key of the account", "bearer n-2", 200, "north"},
       {"another account's key", "Bearer s-1", 200, "south"},
-      {"no account's key", "Bearer n-3", 401, ""},
+      {"a key of no account", "Bearer n-3", 401, ""},
       {"another scheme", "Basic n-1", 401, ""},
       {"a scheme alone", "Bearer ", 401, ""},
-      {"nothing", nullptr, 401, ""},
+      {"no header", nullptr, 401, ""},
   };
   int number = 0;
   for (const row& item : rows) {
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("a public route asks for no key and passes none on") {
+TEST_CASE("a public route requires no key and forwards none") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   std::string text = configuration_of(2);
@@ -130,7 +130,7 @@
   CHECK_FALSE(arrivals_of(all, "open")[0].find_header("X-Tenant"));
 }
 
-TEST_CASE("keys that are taken away serve no more, at any host and on kept connections") {
+TEST_CASE("removed keys are rejected at every host and on reused connections") {
   deployment all({2, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(all, 2, account_text("north", R"("n-1","n-2")"));
@@ -140,12 +140,12 @@
     CHECK(all.call(front, plain("/once/x", fmt::format("old-{}", front), "n-1")).status == 401);
     CHECK(all.call(front, plain("/once/x", fmt::format("new-{}", front), "n-2")).status == 200);
   }
-  // The last key of all: the account stays and has none.
+  // The last key is removed: the account stays without any key.
   configure_accounts(all, 4, account_text("north", ""));
   CHECK(all.call(0, plain("/once/x", "none", "n-2")).status == 401);
 }
 
-TEST_CASE("a list of accounts that contradicts itself leaves the one in force") {
+TEST_CASE("a list of accounts that share a key does not replace the one in force") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(all, 2, account_text("north", R"("n-1")"));
@@ -155,7 +155,7 @@
   CHECK(all.call(0, plain("/once/x", "refused", "n-2")).status == 401);
 }
 
-TEST_CASE("what was said belongs to the account that said it") {
+TEST_CASE("a turn cannot be continued by another account") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(all, 2,
@@ -170,7 +170,7 @@
   CHECK(turn("stolen", "first", "s-1").status == 404);
   CHECK(arrivals_of(all, "stolen").empty());
   CHECK(turn("own", "first", "n-1").status == 200);
-  // Also from disk, and by a name that reads like the other account's.
+  // Also when it is read from disk, and by an id that looks like the other account's.
   all.kill_front(0);
   all.start_front(0);
   REQUIRE(is_up(all));
@@ -179,12 +179,12 @@
   CHECK(turn("own-from-disk", "first", "n-1").status == 200);
 }
 
-TEST_CASE("two accounts that name their programs alike have a budget each") {
+TEST_CASE("two accounts with the same program name have separate budgets") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(all, 2,
                      account_text("north", R"("n-1")") + "," + account_text("south", R"("s-1")"));
-  // Each turn generates 30 tokens, and so many are in the budget.
+  // Each turn generates 30 tokens, which is the whole budget.
   const auto spend = [&](const std::string& id, const std::string& key) {
     call_request call = turn_request_of("/kept/x", id, "same", "", 30);
     call.headers.push_back({"Authorization", "Bearer " + key});
@@ -195,7 +195,7 @@
   CHECK(spend("north-2", "n-1") == 402);
 }
 
-TEST_CASE("calls beyond an account's quota are refused at once, not run, and told when to return") {
+TEST_CASE("calls beyond an account's quota are not run and refused at once with Retry-After") {
   deployment all({2, 3, 1, 1});
   REQUIRE(is_up(all));
   constexpr int rate = 10;
@@ -222,13 +222,13 @@
   const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
   CHECK(served <= burst + 1 + rate * took.count());
   CHECK(served >= burst - 1);
-  // An account beside it is not held up, and the refused one has room again.
+  // Another account is not affected, and the refused one is served again later.
   CHECK(all.call(0, plain("/once/x", "beside", "s-1")).status == 200);
   all.run_for(1s);
   CHECK(all.call(0, plain("/once/x", "later", "n-1")).status == 200);
 }
 
-TEST_CASE("a quota holds on while a keeper is gone, and without any nothing is run") {
+TEST_CASE("a quota works without one quota manager, and no call is run without all of them") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(all, 2, account_text("north", R"("n-1")", 20, 20));
@@ -248,13 +248,14 @@
   CHECK(arrivals_of(all, "nobody").empty());
 }
 
-TEST_CASE("a loss of all keepers gives nobody a new burst and takes nobody's away") {
+TEST_CASE("a restart of all quota managers neither refills nor drops an account's burst") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   configure_accounts(
       all, 2,
       account_text("north", R"("n-1")", 1, 24) + "," + account_text("south", R"("s-1")", 1, 24));
-  // The burst of 24 is there 24 s after the keepers' start; so long no test waits.
+  // The full burst of 24 is available 24 s after the quota managers start, which is too long
+  // to wait for in a test.
   const auto served_of = [&](const std::string& name, const std::string& key, int calls) {
     int served = 0;
     for (int number = 0; number < calls; ++number) {
@@ -276,7 +277,7 @@
   CHECK(served_of("kept-", "s-1", 4) == 4);
 }
 
-TEST_CASE("programs that have begun go on, and others begin when the quota has room for them") {
+TEST_CASE("started programs continue, and others start only if the quota has room for them") {
   deployment all({1, 3, 2, 2});
   REQUIRE(is_up(all));
   const auto begin = [&](const std::string& program) {
@@ -289,7 +290,7 @@
     call.headers.push_back({"X-Program-Id", program});
     return all.call(0, call).status;
   };
-  // Keepers learn that a program makes four calls.
+  // The quota managers learn that a program makes four calls.
   configure_accounts(all, 2, account_text("north", R"("n-1")", 2000, 600));
   for (int number = 0; number < 40; ++number) {
     const std::string program = fmt::format("early-{}", number);
@@ -298,7 +299,8 @@
       REQUIRE(go_on(program, call) == 200);
     }
   }
-  // Two calls at each of three keepers, and almost none to follow: room for one program at each.
+  // Two calls at each of three quota managers with almost no refill: each has room for one
+  // program.
   configure_accounts(all, 3, account_text("north", R"("n-1")", 0.05, 6));
   int begun = 0;
   for (const char* program : {"one", "two", "three"}) {
--- a/scenarios/broken_rules.h
+++ b/scenarios/broken_rules.h
@@ -1,4 +1,4 @@
-// The faulty parts that the soak can swap in, by name.
+// Protocol rules that the soak can disable, by name.
 #pragma once
 
 #include <map>
@@ -9,6 +9,7 @@
 
 namespace hawthornlane::soak {
 
+/// All rules but the named one; empty for an unknown name.
 inline std::optional<ownership_rules> rules_without(const std::string& name) {
   static const std::map<std::string, bool ownership_rules::*> names{
       {"fence", &ownership_rules::replicas_fence},
--- a/scenarios/child_process.cc
+++ b/scenarios/child_process.cc
@@ -1,4 +1,4 @@
-// A program that a scenario runs beside itself.
+// A program that a scenario runs as a child process.
 #include "child_process.h"
 
 #include <fcntl.h>
--- a/scenarios/child_process.h
+++ b/scenarios/child_process.h
@@ -1,4 +1,4 @@
-// A program that a scenario runs beside itself.
+// A program that a scenario runs as a child process.
 #pragma once
 
 #include <sys/types.h>
@@ -10,8 +10,8 @@
 
 namespace hawthornlane::scenarios {
 
-/// Starts a program at once, its output appended to a file. The destructor kills it
-/// when it still runs, so that nothing outlives the scenario.
+/// The constructor starts the program and appends its output to a file. The destructor
+/// kills it if it still runs, so that no process outlives the scenario.
 class child_process {
 public:
   /// Throws `std::system_error` when the program cannot be started.
@@ -25,10 +25,9 @@
   /// Kills the process and waits for its end.
   void kill();
   [[nodiscard]] bool running();
-  /// How it ended, as `waitpid` tells it; nothing while it runs.
+  /// Status reported by `waitpid`; empty while the process runs.
   [[nodiscard]] std::optional<int> status();
-  /// The most memory that it has had resident so far, KB of 1024 bytes; nothing once
-  /// it has ended.
+  /// Peak resident memory so far, KB of 1024 bytes; empty once the process has ended.
   [[nodiscard]] std::optional<std::uint64_t> peak_memory_kb() const;
 
 private:
--- a/scenarios/cluster.sh
+++ b/scenarios/cluster.sh
@@ -1,4 +1,4 @@
-# Sourced by the scenarios: a cluster of real processes on loopback, and its end.
+# Sourced by the scenarios: starts a cluster of real processes on loopback and stops it at exit.
 #
 # Sets: run (scratch folder), platform, claims, operator, HAWTHORNLANE_HOSTS, and
 # pid_NAME for each process that `start` began.
@@ -15,7 +15,7 @@
 }
 trap stop_all EXIT
 
-# wait_for SECONDS COMMAND...: until the command succeeds; ends the scenario else.
+# wait_for SECONDS COMMAND...: waits until the command succeeds; fails the scenario at the limit.
 wait_for() {
   local tries=$(($1 * 20))
   shift
@@ -29,7 +29,7 @@
   done
 }
 
-# start NAME COMMAND...: in the background, output in $run/NAME.out and .log.
+# start NAME COMMAND...: runs it in the background, with output in $run/NAME.out and .log.
 start() {
   local name=$1
   shift
@@ -47,7 +47,7 @@
 front_of() { sed -n 's/.* front="\([^"]*\)".*/\1/p' "$run/$1.log" | head -n 1; }
 peer_of() { sed -n 's/.* peer="\([^"]*\)".*/\1/p' "$run/$1.log" | head -n 1; }
 
-# start_stand_ins ENGINES: the platform, that many engines, one claims service.
+# start_stand_ins ENGINES: starts the platform, ENGINES model engines and one claims service.
 start_stand_ins() {
   local number
   start platform "$build/stand_ins/stand_in_platform"
@@ -73,8 +73,8 @@
   wait_for 10 grep -q 'front="' "$run/$1.log"
 }
 
-# start_hosts NAME...: in three zones in turn, until all are ready, see each other
-# and own every shard between them.
+# start_hosts NAME...: starts hosts in three zones in turn and waits until all are ready, see
+# each other and together own every shard.
 start_hosts() {
   local name hosts="" zones="x y z x y z x y z"
   for name in "$@"; do
--- a/scenarios/configuration_spread_test.cc
+++ b/scenarios/configuration_spread_test.cc
@@ -1,25 +1,24 @@
-// Front hosts with links of a real rate take a large configuration from each other.
+// Front hosts fetch a large configuration from each other over links with a limited rate.
 //
-// The story. On a deployment of 60 hosts the configuration grew by 1400 routes, to several
-// hundred kilobytes, while backend servers were replaced. Callers of two front hosts whose
-// calls had been read got neither an answer nor a refusal: both processes had passed their
-// memory limit of 88 MB and were ended 3 s after the store had confirmed the change. In the
-// seconds before, hosts of all zones failed their readiness check.
+// Guards against front hosts that exceed their memory limit because any number of whole
+// copies may be in flight. One host reads the new configuration from the store and notifies
+// all others. All of them fetch it from that host, whose link of 30 Mbit/s takes 0.2 s per
+// copy. Each host that has it gossips its digest, and each host that still waits fetches from
+// that one too, until it waits for a copy from every host that is ahead. After 1 s a fetch
+// times out and is repeated while its response is still queued before the link. Neither the
+// receiver, which needs one copy, nor the source, which queues every requested copy (16 MB per
+// connection), limited the number of copies.
 //
-// The order of events. One host reads the new configuration from the store and tells all
-// others at once. All of them fetch it from that host, whose link of 30 Mbit/s takes 0.2 s a
-// copy. Who has it tells its digest, and each host that still waits fetches from that one
-// too, until it waits for a copy from every host that is ahead. After 1 s a fetch times out
-// and is asked again, while its answer still stands in the queue before the link.
+// Observed on 60 hosts when the configuration grew by 1400 routes to several hundred KB while
+// backend servers were replaced: two front hosts passed their limit of 88 MB and were killed
+// 3 s after the store had confirmed the change, and calls that they had read got neither an
+// answer nor a refusal. In the seconds before, hosts of all zones failed their readiness check.
+// All front hosts together sent 4 MB/s before the change and 90 to 120 MB/s after it, until the
+// end of the run; hosts with 30 Mbit/s received up to 33 MB in 11 s for a configuration of 1 MB;
+// 20 s after the change calls still ended under the two configurations before it. Processes grew
+// from 25 MB to 70 MB, and later to 89 MB.
 //
-// The cause. Nobody bounded how many whole copies are under way: not the receiver, which
-// needs one, not the source, which queues all that it is asked for (16 MB a connection).
-//
-// The evidence. All front hosts together sent 4 MB/s before the change and 90 to 120 MB/s
-// after it, for as long as the day lasted; hosts of 30 Mbit/s got up to 33 MB in 11 s for a
-// configuration of 1 MB; 20 s after the change calls still ended under the two
-// configurations before it. Processes grew from 25 MB to 70 MB, and to 89 MB later that day.
-// Below, bytes count as waiting also for connections that were closed meanwhile, of which a
+// The test also counts bytes as waiting for connections that were closed meanwhile, of which a
 // real process frees a part.
 #include <fmt/format.h>
 
@@ -42,17 +41,17 @@
 namespace {
 
 constexpr int host_count = 24;
-/// Of a small host's link: 30 Mbit/s.
+/// Rate of a small host's link: 30 Mbit/s.
 constexpr double link_bytes_per_second = 30e6 / 8;
 /// An accepted configuration is in force everywhere within this time.
 constexpr auto spread_limit = 3s;
 
-/// What a host sends, one message after the other at the rate of its link.
+/// Outgoing link of a host: sends one message after the other at a limited rate.
 class slow_link {
 public:
   explicit slow_link(asio::io_context& io) : context(io) {}
 
-  /// Calls `sent` once `bytes` have gone out behind all that waits already.
+  /// Calls `sent` once `bytes` have been sent, after everything that was queued before.
   void send(std::size_t bytes, std::function<void()> sent) {
     const auto takes = std::chrono::duration_cast<steady::duration>(
         std::chrono::duration<double>(static_cast<double>(bytes) / link_bytes_per_second));
@@ -76,7 +75,7 @@
 };
 
 std::string text_of(config_version version, std::size_t bytes) {
-  // Random digits: what is sent cannot be made much shorter.
+  // Random digits, so that compression cannot make the message much smaller.
   std::mt19937_64 random(version.get());
   std::string text = fmt::format("{} ", version.get());
   while (text.size() < bytes) {
@@ -91,7 +90,7 @@
   return config;
 }
 
-/// A front host as far as its talk with the others goes.
+/// The gossip of a front host with its peers.
 class linked_host {
 public:
   linked_host(asio::io_context& context, net::deadline_sweeper& sweeper, int number)
@@ -108,7 +107,7 @@
     this->fleet.on_hosts_changed([this] { this->gossip.refresh_hosts(); });
   }
 
-  /// Takes a configuration from the store and tells everybody.
+  /// Applies a configuration from the store and notifies all peers.
   void read_from_store(config_version version, std::size_t bytes) {
     const std::string text = text_of(version, bytes);
     this->fleet.offer_configuration(*configuration_of_text(text), text, "store");
@@ -162,7 +161,7 @@
   net::rpc_server server;
 };
 
-/// Some front hosts that know each other, with one event loop.
+/// Front hosts that list each other, on one event loop.
 class linked_hosts {
 public:
   linked_hosts() {
@@ -196,7 +195,7 @@
                        [version](const auto& host) { return host->has(version); });
   }
 
-  /// Whole copies that hosts gave; all but the configuration is the same everywhere.
+  /// Whole copies sent by hosts; everything but the configuration is the same everywhere.
   [[nodiscard]] std::uint64_t copies_given() const {
     std::uint64_t copies = 0;
     for (const auto& host : this->hosts) {
@@ -220,11 +219,11 @@
 
 }  // namespace
 
-TEST_CASE("a large configuration reaches every host once, and no host queues many copies") {
+TEST_CASE("a large configuration reaches every host about once, and no host queues many copies") {
   struct row {
     const char* what;
     std::size_t bytes;
-    /// Between two changes; the last one is waited for.
+    /// Time between two changes; the test waits for the last one to be in force.
     std::chrono::milliseconds pause;
     int changes;
   };
@@ -249,7 +248,7 @@
     const auto began = steady::now();
     CHECK(all.run_until([&] { return all.all_have(version); }, spread_limit));
     const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(steady::now() - began);
-    // What is asked again although it is on its way would come in this second.
+    // Copies that are requested again while in flight would arrive in this second.
     all.run_until([] { return false; }, 1s);
     const std::uint64_t copies = all.copies_given();
     const std::size_t waiting = all.most_bytes_waiting();
--- a/scenarios/deployment.cc
+++ b/scenarios/deployment.cc
@@ -1,4 +1,4 @@
-// A whole deployment in one process.
+// A complete deployment in one process.
 #include "deployment.h"
 
 #include <fmt/format.h>
@@ -149,7 +149,7 @@
       ran += item.context ? item.context->poll() : 0;
     }
     if (ran == 0) {
-      // Nothing to do in any loop: let the kernel and the disks' threads go on.
+      // No event loop has work: yield to the kernel and to the disk hosts' threads.
       std::this_thread::yield();
     }
   }
--- a/scenarios/deployment.h
+++ b/scenarios/deployment.h
@@ -1,6 +1,5 @@
-// A whole deployment in one process: front hosts, disk hosts and the stand-ins of
-// the platform around them, each with an event loop of its own, so that a host can
-// be killed like a process.
+// A complete deployment in one process: front hosts, disk hosts and stand-ins for the
+// platform. Each host has its own event loop, so that it can be killed like a process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,7 +20,7 @@
 
 namespace hawthornlane::scenarios {
 
-/// How large a deployment is.
+/// Number of hosts and backend servers of each kind.
 struct deployment_size {
   int fronts = 2;
   int disks = 3;
@@ -31,7 +30,7 @@
 
 class deployment {
 private:
-  /// The event loop of all that is around the hosts; what listens on it goes first.
+  /// Event loop of the callers and stand-ins. Declared first, so that it is destroyed last.
   boost::asio::io_context around;
   net::deadline_sweeper sweeper;
 
@@ -41,24 +40,25 @@
   deployment& operator=(const deployment&) = delete;
   ~deployment();
 
-  /// Runs all event loops until `done`, or fails after `limit`.
+  /// Runs all event loops until `done` returns true; returns false after `limit`.
   bool run_until(const std::function<bool()>& done,
                  std::chrono::milliseconds limit = std::chrono::seconds(10));
   void run_for(std::chrono::milliseconds time);
 
   call_result call(int front, const call_request& what);
-  /// Starts a call and returns at once; the result fills when it ends.
+  /// Starts a call and returns at once; the result is set when the call ends.
   std::shared_ptr<std::optional<call_result>> begin_call(int front, const call_request& what);
-  /// Sends bytes as they are and returns all that comes back until the close.
+  /// Sends raw bytes and returns everything received until the connection closes.
   std::string talk(int front, const std::string& bytes);
-  /// Begins a call and closes the connection after `stay`.
+  /// Starts a call and closes the connection after `stay`.
   void leave_early(int front, const call_request& what, std::chrono::milliseconds stay);
 
-  /// Resets the connection once that text has come; an empty one: once the request is sent.
+  /// Starts a call and resets the connection once `text` was received; if `text` is empty,
+  /// once the request is sent.
   void reset_after(int front, const call_request& what, const std::string& text);
 
   [[nodiscard]] bool ready(int front);
-  /// Addresses that the directory of that front host names.
+  /// Response body of that front host's directory, which lists front host addresses.
   [[nodiscard]] std::string addresses(int front);
   [[nodiscard]] std::string callers_at(int front) const;
 
@@ -67,18 +67,17 @@
   void kill_front(int front);
   void start_front(int front);
   void kill_disk(int disk);
-  /// Starts a disk host again, with its data folder or with an empty one.
+  /// Restarts a disk host with its existing data folder or with an empty one.
   void start_disk(int disk, bool empty = false);
 
-  /// Writes the configuration of `version`; a change that a test makes to its text
-  /// comes as a replacement.
+  /// Writes the configuration of `version`, with the text `replace` replaced by `by`.
   void configure(int version, const std::string& replace = "", const std::string& by = "");
   void list_backend(stand_ins::scripted_backend& server, const std::string& service,
                     bool draining = false);
-  /// The server starts again under its id; `born` in Unix milliseconds.
+  /// Lists the server as restarted under the same id; `born` in Unix milliseconds.
   void restart_backend(stand_ins::scripted_backend& server, const std::string& service,
                        std::uint64_t born);
-  /// A value of that front host's metrics page; nothing when it has none of that name.
+  /// Value on that front host's metrics page; empty if there is no metric of that name.
   [[nodiscard]] std::optional<double> metric(int front, const std::string& name);
 
   stand_ins::object_platform& store() { return *this->platform; }
@@ -95,7 +94,7 @@
     bool ended = false;
   };
 
-  /// A free port, the same one each time.
+  /// A free port, chosen at the first call and the same one afterwards.
   [[nodiscard]] http::endpoint endpoint_of(const std::string& host, const char* kind) const;
   [[nodiscard]] discovery::host_settings host_settings_of(const char* role, int number) const;
   [[nodiscard]] front::front_settings front_settings_of(int number) const;
--- a/scenarios/deployment_calls.h
+++ b/scenarios/deployment_calls.h
@@ -1,4 +1,4 @@
-// What the tests of whole hosts ask for, and how a turn is had for certain.
+// Requests of the deployment tests, and retries of turns that have not run.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -43,14 +43,14 @@
   return runs;
 }
 
-/// A turn that a host has served or refused for good.
+/// The last attempt at a turn and its result.
 struct decided_turn {
   std::string id;
   call_result result;
 };
 
-/// Sends a turn, and another one while the host says that it has not run: beside other
-/// programs' writes a sync takes longer than a host waits for its disks.
+/// Sends a turn, and repeats it under a new id while the response is 503 (not run). Other
+/// programs' writes can make a sync take longer than a front host waits for the disk hosts.
 inline decided_turn decide(deployment& all, const std::string& name,
                            const std::function<call_request(const std::string& id)>& make) {
   constexpr int most_tries = 8;
@@ -66,7 +66,7 @@
   return decided;
 }
 
-/// Has a turn kept that goes on from `previous`; its id.
+/// Runs a turn that continues `previous` and is stored; returns its id.
 inline std::string keep_turn(deployment& all, const std::string& name,
                              const std::string& previous = "", int budget = 1000) {
   const decided_turn kept = decide(
--- a/scenarios/deployment_test.cc
+++ b/scenarios/deployment_test.cc
@@ -1,4 +1,4 @@
-// The platform's promises to callers, played against whole hosts and stand-ins.
+// Tests of the platform's promises to callers with complete hosts and stand-ins.
 #include <catch2/catch.hpp>
 
 #include "deployment.h"
@@ -9,13 +9,13 @@
 using namespace std::chrono_literals;
 using stand_ins::backend_act;
 
-TEST_CASE("what a caller gets for each way in which a server can fail") {
+TEST_CASE("a caller gets the right response for each way in which a server can fail") {
   deployment all({1, 3, 2, 2});
   REQUIRE(is_up(all));
   struct row {
     const char* what;
     const char* path;
-    /// Of whichever server gets the first try, and of the next one.
+    /// Of whichever server gets the first attempt, and of the next ones.
     std::vector<backend_act> acts;
     int status;
     const char* body;
@@ -27,23 +27,33 @@
       {"a full server, then another", "/once/x", {shed, answer}, 200, "answer to ", 1},
       {"every server is full", "/once/x", {shed, shed}, 503, "", 0},
       {"a lost answer is not run again", "/once/x", {lose_answer, answer}, 502, "", 1},
-      {"an idempotent call is", "/safe/x", {lose_answer, answer}, 200, "answer to ", 2},
+      {"a lost answer to an idempotent call is run again",
+       "/safe/x",
+       {lose_answer, answer},
+       200,
+       "answer to ",
+       2},
       {"a truncated answer is no success", "/once/x", {truncate, answer}, 502, "", 1},
-      {"an idempotent call is tried again", "/safe/x", {truncate, answer}, 200, "answer to ", 2},
-      {"bytes that are no answer", "/once/x", {garble, answer}, 502, "", 1},
-      {"the same for an idempotent call", "/safe/x", {garble, answer}, 200, "answer to ", 2},
-      {"one that ran is not called not run when the rest are full",
+      {"a truncated idempotent call is run again",
+       "/safe/x",
+       {truncate, answer},
+       200,
+       "answer to ",
+       2},
+      {"bytes that are not HTTP", "/once/x", {garble, answer}, 502, "", 1},
+      {"bytes that are not HTTP for an idempotent call",
+       "/safe/x",
+       {garble, answer},
+       200,
+       "answer to ",
+       2},
+      {"a call that ran is not refused when the other servers are full",
        "/safe/x",
        {lose_answer, shed, shed},
        502,
        "",
        1},
-      {"an answer too many stays on its connection",
-       "/once/x",
-       {answer_twice},
-       200,
-       "answer to ",
-       1},
+      {"a surplus answer stays on its connection", "/once/x", {answer_twice}, 200, "answer to ", 1},
       {"an answer to another call comes first",
        "/once/x",
        {answer_foreign_first},
@@ -52,7 +62,7 @@
        1},
       {"an answer without a length", "/once/x", {answer_unframed}, 200, "all of it", 1},
       {"a success without a signature", "/once/x", {unsigned_answer, answer}, 502, "", 1},
-      {"no answer within the route's time", "/once/x", {hang}, 504, "", 1},
+      {"no answer within the route's timeout", "/once/x", {hang}, 504, "", 1},
   };
   int number = 0;
   for (const row& item : rows) {
@@ -67,12 +77,12 @@
     if (item.status == 503) {
       CHECK(result.header("Retry-After"));
     }
-    // Let an exclusion of the failing server pass.
+    // Wait until the failing server is no longer excluded.
     all.run_for(600ms);
   }
 }
 
-TEST_CASE("a stream goes on elsewhere only where it may, and never twice or with a gap") {
+TEST_CASE("a broken stream resumes only if its route allows it, without repeats or gaps") {
   deployment all({1, 3, 2, 1});
   REQUIRE(is_up(all));
   struct row {
@@ -85,15 +95,15 @@
   using enum backend_act;
   const row rows[] = {
       {"a whole stream", "/resumed/x", {answer}, true, 1},
-      {"one that breaks inside an event goes on", "/resumed/x", {truncate, answer}, true, 2},
-      {"where it may not, it looks broken", "/kept/x", {truncate, answer}, false, 1},
-      {"a full server is no run", "/kept/x", {shed, answer}, true, 1},
+      {"a stream broken inside an event is resumed", "/resumed/x", {truncate, answer}, true, 2},
+      {"a stream that must not resume looks broken", "/kept/x", {truncate, answer}, false, 1},
+      {"a full server does not count as a run", "/kept/x", {shed, answer}, true, 1},
   };
   int number = 0;
   for (const row& item : rows) {
     const std::string name = "stream-" + std::to_string(++number);
     INFO(item.what);
-    // A turn that is refused reaches no server and takes no act.
+    // A refused turn reaches no server and uses up no scripted act.
     all.engine_acts->set(item.acts);
     const auto [id, result] = decide(all, name, [&](const std::string& try_id) {
       return turn(item.path, try_id, "program-" + name);
@@ -110,10 +120,9 @@
   }
 }
 
-TEST_CASE("a channel that is reset at any moment of an answer costs the caller no part of it") {
-  // A fault dialog broke off midway when its channel was reset, and the mechanic described the
-  // stuck feed roller all over again; a warranty claim that hung was sent again, and nobody
-  // knew whether it had gone through twice.
+TEST_CASE("a connection reset at any point of an answer loses no part of it") {
+  // Guards against two failures after a connection reset: a dialog that has to start again from
+  // the beginning, and a request that is sent again and runs twice.
   deployment all({2, 3, 2, 1});
   REQUIRE(is_up(all));
   REQUIRE(all.run_until([&all] { return all.ready(1); }));
@@ -122,18 +131,18 @@
   }
   struct row {
     const char* moment;
-    /// What has come by then, and how many whole events that is.
+    /// Text that ends what was received by then, and the number of complete events in it.
     std::string last;
     int events;
   };
   const row rows[] = {{"the request is sent", "", 0},
-                      {"the head has come", "200 OK", 0},
-                      {"amid the first event", "id: 1", 0},
-                      {"the first event has come", "piece 1\n\n", 1},
-                      {"amid the second event", "id: 2", 1},
-                      {"the second event has come", "piece 2\n\n", 2},
-                      {"the last event has come", "piece 3\n\n", 3},
-                      {"all has come", "\r\n0\r\n", 3}};
+                      {"the response head is received", "200 OK", 0},
+                      {"inside the first event", "id: 1", 0},
+                      {"the first event is received", "piece 1\n\n", 1},
+                      {"inside the second event", "id: 2", 1},
+                      {"the second event is received", "piece 2\n\n", 2},
+                      {"the last event is received", "piece 3\n\n", 3},
+                      {"everything is received", "\r\n0\r\n", 3}};
   const std::vector<std::string> pieces = {"id: 1\ndata: piece 1\n\n", "id: 2\ndata: piece 2\n\n",
                                            "id: 3\ndata: piece 3\n\n"};
   int number = 0;
@@ -142,7 +151,7 @@
       const std::string name = "reset-" + std::to_string(++number);
       const std::string path = resumable ? "/resumed/x" : "/kept/x";
       const std::string program = "program-" + name;
-      INFO(item.moment << (resumable ? ", resumed" : ", asked again from the start"));
+      INFO(item.moment << (resumable ? ", resumed" : ", requested again from the start"));
       all.reset_after(0, turn(path, name, program), item.last);
       const decided_turn again = decide(all, name + "-again", [&](const std::string& id) {
         call_request call = turn(path, id, program);
@@ -161,7 +170,8 @@
       CHECK(runs_of(all, name) <= 1);
       CHECK(runs_of(all, again.id) == 1);
       if (!resumable) {
-        // The dialog goes on from the answer that its caller has whole, and from no other.
+        // The dialog continues from the answer that its caller has received completely, and from
+        // no other.
         const decided_turn next = decide(all, name + "-next", [&](const std::string& id) {
           return turn(path, id, program, again.id);
         });
@@ -172,7 +182,7 @@
   }
 }
 
-TEST_CASE("bad input is answered and the connection closed, and no server sees it") {
+TEST_CASE("a malformed request is answered, closes its connection and reaches no server") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   struct row {
@@ -188,9 +198,9 @@
       {"a folded header", start + "X-A: b\r\n c: d\r\n\r\n", " 400 "},
       {"a head that is too large", start + "X-A: " + std::string(5000, 'a') + "\r\n\r\n", " 431 "},
       {"a body that is too large", start + "Content-Length: 10001\r\n\r\n", " 413 "},
-      {"a head that does not end", start, " 408 "},
-      {"a body that does not come", start + "Content-Length: 10\r\n\r\nabc", " 408 "},
-      {"a chunk that is none", start + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", " 400 "},
+      {"an incomplete head", start, " 408 "},
+      {"an incomplete body", start + "Content-Length: 10\r\n\r\nabc", " 408 "},
+      {"an invalid chunk", start + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", " 400 "},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -204,7 +214,7 @@
   CHECK(all.apps[0]->arrivals().empty());
 }
 
-TEST_CASE("a server's work ends soon after its caller has left") {
+TEST_CASE("a server's work is cancelled soon after its caller disconnects") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   all.engines[0]->set_events(100, 20ms);
@@ -212,7 +222,7 @@
   CHECK(all.run_until([&all] { return all.engines[0]->cancelled() == 1; }, 500ms));
 }
 
-TEST_CASE("a planned stop cuts nothing, and callers learn of it at once") {
+TEST_CASE("a planned stop cuts off no call, and the host leaves the directory at once") {
   deployment all({2, 3, 1, 1});
   REQUIRE(is_up(all));
   REQUIRE(all.run_until(
@@ -232,7 +242,7 @@
   CHECK(all.run_until([&all] { return all.front_ended(0); }, 5s));
 }
 
-TEST_CASE("a configuration is in force everywhere within two seconds and stays") {
+TEST_CASE("a configuration is in force everywhere within two seconds and stays in force") {
   deployment all({3, 3, 1, 1});
   REQUIRE(is_up(all));
   REQUIRE(all.run_until([&all] { return all.ready(1) && all.ready(2); }));
@@ -245,13 +255,13 @@
     CHECK(all.call(front, plain("/new/x", "after-" + std::to_string(front))).status == 200);
     CHECK(all.call(front, plain("/safe/x", "gone-" + std::to_string(front))).status == 404);
   }
-  // The store is away: what is in force stays in force, and calls are served.
+  // While the store is unavailable, the configuration stays in force and calls are served.
   all.store().set_mood(stand_ins::store_mood::busy);
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/new/x", "away")).status == 200);
 }
 
-TEST_CASE("a front host that starts while the store is away knows no route and says 503") {
+TEST_CASE("a front host that starts while the store is unavailable has no routes and answers 503") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   all.store().set_mood(stand_ins::store_mood::busy);
@@ -264,7 +274,7 @@
   CHECK(all.run_until([&all] { return all.ready(0); }, 4s));
 }
 
-TEST_CASE("a draining server gets nothing new") {
+TEST_CASE("a draining server receives no new calls") {
   deployment all({2, 3, 1, 2});
   REQUIRE(is_up(all));
   REQUIRE(all.run_until([&all] { return all.ready(1); }));
@@ -277,10 +287,10 @@
   CHECK(all.apps[0]->arrivals().size() == before);
 }
 
-TEST_CASE("a server that starts again under its id is used as a new one") {
+TEST_CASE("a server that restarts under the same id is treated as a new one") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  // The fifth failure in a row leaves the server out for 4 s, longer than a call waits.
+  // The fifth consecutive failure excludes the server for 4 s, longer than a call waits.
   all.app_acts->set({backend_act::garble});
   int attempt = 0;
   for (int number = 0; number < 5; ++number) {
@@ -299,14 +309,14 @@
   REQUIRE(opened);
   CHECK(all.call(0, plain("/safe/x", "kept")).status == 200);
   CHECK(all.metric(0, "backend_connections_opened") == *opened);
-  // The connection that this call left leads to the former process from now on.
+  // From now on the connection that this call left open leads to the previous process.
   all.restart_backend(*all.apps[0], "apps", 1'790'000'001'000);
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/safe/x", "again")).status == 200);
   CHECK(all.metric(0, "backend_connections_opened") == *opened + 1);
 }
 
-TEST_CASE("entries that cannot be read name no server, and the others serve") {
+TEST_CASE("malformed store entries are ignored, and the other entries are used") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   const std::string good = all.apps[0]->entry("apps", "z0");
@@ -326,7 +336,7 @@
     CHECK(all.call(0, plain("/once/x", id)).status == 200);
     CHECK(runs_of(all, id) == 1);
   }
-  // News go on: each of the listings is still read.
+  // Changes still arrive: each of the listings is still read.
   all.configure(5, "/safe/", "/new/");
   all.list_backend(*all.apps[0], "apps", true);
   all.run_for(1500ms);
@@ -334,19 +344,19 @@
   all.list_backend(*all.apps[0], "apps");
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/new/x", "served")).status == 200);
-  // Two without metadata, three that name no server; and one of the configuration's kind.
+  // Two without metadata, three that describe no server, and one of the configuration's kind.
   CHECK(all.metric(0, "store_objects_malformed") >= 6);
   CHECK(all.metric(0, "store_objects_malformed") <= 8);
-  // A configuration that cannot be read leaves the one in force.
+  // A malformed configuration does not replace the one in force.
   all.store().put("config", "main", R"({"version":9,"routes":7})");
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/new/x", "in-force")).status == 200);
 }
 
-TEST_CASE("an address that another server has now runs nothing there") {
+TEST_CASE("a call is not run by another server that has taken over the listed address") {
   deployment all({1, 3, 1, 2});
   REQUIRE(is_up(all));
-  // The entry names a server that is gone; its address belongs to app-1.
+  // The entry names a server that has ended; its address belongs to app-1.
   all.store().put("servers", "app-0", all.apps[1]->entry("apps", "z0"));
   all.run_for(1500ms);
   for (int number = 0; number < 4; ++number) {
@@ -356,17 +366,17 @@
   }
 }
 
-TEST_CASE("a host that has just started asks its callers back soon") {
+TEST_CASE("a host that has just started sends a short Retry-After") {
   deployment all({1, 3, 1, 1});
   const call_result result = all.call(0, plain("/safe/x", "early"));
   REQUIRE(result.status == 503);
   REQUIRE(result.header("Retry-After"));
-  // It is ready within half a second; what waits for the store may take seconds.
+  // It is ready within half a second; waiting for the store may take seconds.
   CHECK(std::stod(*result.header("Retry-After")) < 0.7);
   CHECK(is_up(all));
 }
 
-TEST_CASE("a host's metrics tell what the bytes between hosts are for") {
+TEST_CASE("metrics count the bytes between hosts by purpose") {
   deployment all({2, 3, 1, 1});
   REQUIRE(is_up(all));
   REQUIRE(all.call(0, turn("/kept/x", "counted", "p", "")).status == 200);
@@ -375,6 +385,6 @@
     INFO(name);
     CHECK(all.metric(0, name) > 0);
   }
-  // Both hosts reach the disk hosts themselves.
+  // Both hosts reach the disk hosts directly, so nothing is relayed.
   CHECK(all.metric(0, "peer_bytes_sent_relays") == 0);
 }
--- a/scenarios/deployment_turns_test.cc
+++ b/scenarios/deployment_turns_test.cc
@@ -1,4 +1,4 @@
-// The platform's promises on turns and budgets, played against whole hosts and stand-ins.
+// Tests of the platform's promises on turns and budgets with complete hosts and stand-ins.
 #include <catch2/catch.hpp>
 
 #include "deployment.h"
@@ -9,13 +9,13 @@
 using namespace std::chrono_literals;
 using stand_ins::backend_act;
 
-TEST_CASE("a kept turn reaches the server with all that was said before, at any front host") {
+TEST_CASE("a stored turn reaches the server with its whole history, at any front host") {
   deployment all({2, 3, 2, 1});
   REQUIRE(is_up(all));
   REQUIRE(all.run_until([&all] { return all.ready(1); }));
   CHECK(all.call(0, turn("/kept/x", "t1", "p")).whole);
   CHECK(all.call(1, turn("/kept/x", "t2", "p", "t1")).whole);
-  // Another program may go on from it, and several from the same turn.
+  // Another program may continue it, and several may continue the same turn.
   CHECK(all.call(0, turn("/kept/x", "t3", "q", "t2")).whole);
   CHECK(all.call(1, turn("/kept/x", "t4", "r", "t2")).whole);
   const std::string first = std::string("in-t1;") + three_data;
@@ -32,7 +32,7 @@
   CHECK(bodies["t4"] == second + "in-t4;");
 }
 
-TEST_CASE("a turn that does not exist, and a budget that is spent, never reach a server") {
+TEST_CASE("a turn after an unknown turn or with a spent budget never reaches a server") {
   deployment all({1, 3, 2, 1});
   REQUIRE(is_up(all));
   CHECK(all.call(0, turn("/kept/x", "t1", "p", "nothing")).status == 404);
@@ -44,7 +44,7 @@
   CHECK(runs_of(all, "b3") == 0);
 }
 
-TEST_CASE("turns and budgets outlive all disk hosts at once, and the loss of one disk") {
+TEST_CASE("turns and budgets survive a crash of all disk hosts at once and the loss of one disk") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   const std::string first = keep_turn(all, "t1", "", 70);
@@ -64,7 +64,7 @@
   int refused = 0;
   all.run_until([&all, &again, &first, &refused] {
     static int attempt = 0;
-    // A try that was refused just now may still count at its most.
+    // An attempt that was just refused may still be charged with its maximum.
     const int budget = 70 + 30 * refused;
     again = all.call(0, turn("/kept/x", "t3-" + std::to_string(++attempt), "p", first, budget));
     refused += again.status == 503 ? 1 : 0;
@@ -82,10 +82,11 @@
   }
 }
 
-TEST_CASE("turns go on while the set of disks changes and nobody else hears of it") {
-  // Mechanics' turns were refused for 0.4 s at each change of the set of disks: the host that
-  // changed it had its old members refuse the old set at once, while all others heard of the
-  // new one only from the store's watches. Programs came back a second later, and were late.
+TEST_CASE("turns are served while the ledger set changes and other hosts are not notified") {
+  // Guards against turns that are refused for 0.4 s at each change of the ledger set: the host
+  // that changed it made the old members reject the old set at once, while all other hosts
+  // learnt the new set only from the store's watches. Programs retried a second later and missed
+  // their deadlines.
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   const std::string first = keep_turn(all, "t1");
@@ -96,7 +97,7 @@
     const std::string set = all.store().spec_of("hawthornlane-hosts", "ledger-set");
     return set.find("\"epoch\":2") != std::string::npos;
   }));
-  // Time for the joining disk to begin its copy, but not for any host to read the store.
+  // Enough for the joining disk host to start copying, too short for a host to read the store.
   all.run_for(150ms);
   all.store().set_mood(stand_ins::store_mood::silent);
   const std::string second = keep_turn(all, "t2", first);
@@ -109,7 +110,7 @@
   keep_turn(all, "t3", second);
 }
 
-TEST_CASE("a disk host that is to be emptied leaves the set before it says so") {
+TEST_CASE("a retiring disk host leaves the ledger set before it reports completion") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   const std::string first = keep_turn(all, "t1");
@@ -119,7 +120,7 @@
   }));
   all.kill_disk(0);
   const std::string second = keep_turn(all, "t2", first);
-  // One of the two that are left is lost as well: the other one goes on alone.
+  // One of the two remaining hosts is lost as well: the other one continues alone.
   all.kill_disk(1);
   call_result result;
   CHECK(all.run_until([&all, &result, &second] {
@@ -130,11 +131,11 @@
   CHECK(result.whole);
 }
 
-TEST_CASE("a turn that has not run takes nothing from the budget, whatever the disks were doing") {
+TEST_CASE("a turn that has not run is not charged to its budget, even if all disk hosts die") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   all.engine_acts->set({backend_act::shed});
-  // From the moment on at which the server refuses the turn, no disk host takes a word.
+  // All disk hosts are killed at the moment when the server refuses the turn.
   bool killed = false;
   all.engines[0]->on_arrival([&](const stand_ins::backend_arrival&) {
     for (int disk = 0; disk < 3 && !killed; ++disk) {
--- a/scenarios/fault_proxy.cc
+++ b/scenarios/fault_proxy.cc
@@ -1,4 +1,4 @@
-// A TCP forwarder on loopback that harms the connections it carries.
+// A TCP proxy on loopback that injects faults into the connections it forwards.
 #include "fault_proxy.h"
 
 #include <algorithm>
@@ -24,10 +24,10 @@
 namespace {
 
 constexpr std::size_t batch_size = std::size_t{16} * 1024;
-/// How often a held batch looks whether it may go on.
+/// Interval at which a held batch checks whether it may be delivered.
 constexpr std::chrono::milliseconds look_pause{5};
-/// What the kernel takes from a target behind a slow link before the target has to
-/// keep the rest, bytes.
+/// Receive buffer towards a target behind a slow link, bytes: the target has to queue
+/// what exceeds it.
 constexpr int slow_link_window = 64 * 1024;
 
 asio::awaitable<void> pause(std::chrono::milliseconds time) {
@@ -36,7 +36,7 @@
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-/// One carried connection.
+/// One forwarded connection.
 struct carried {
   explicit carried(tcp::socket from)
       : near_side(std::move(from)), far_side(near_side.get_executor()) {}
@@ -64,9 +64,9 @@
   tcp::endpoint target;
   tcp::acceptor acceptor;
   link_fault fault;
-  /// Bytes a second back from the target; 0: no limit.
+  /// Bytes per second back from the target; 0: no limit.
   std::uint64_t rate = 0;
-  /// When the slow link has carried all that was given to it.
+  /// When the slow link will have sent everything queued so far.
   std::chrono::steady_clock::time_point carried_at;
   std::vector<std::weak_ptr<carried>> links;
 
@@ -96,7 +96,7 @@
     return forward ? this->fault.hold_forward : this->fault.hold_back;
   }
 
-  /// Waits until the slow link has carried these bytes after all before them.
+  /// Waits until the slow link has sent these bytes and all bytes queued before them.
   static asio::awaitable<void> carry_slowly(std::shared_ptr<state> self, std::size_t bytes) {
     const auto now = std::chrono::steady_clock::now();
     const std::chrono::duration<double> takes(static_cast<double>(bytes) /
@@ -108,7 +108,7 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 
-  /// Carries one direction until it ends.
+  /// Forwards one direction until it ends.
   static asio::awaitable<void> pump(std::shared_ptr<state> self, std::shared_ptr<carried> link,
                                     bool forward) {
     tcp::socket& from = forward ? link->near_side : link->far_side;
--- a/scenarios/fault_proxy.h
+++ b/scenarios/fault_proxy.h
@@ -1,4 +1,4 @@
-// A TCP forwarder on loopback that harms the connections it carries.
+// A TCP proxy on loopback that injects faults into the connections it forwards.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,18 +11,18 @@
 
 namespace hawthornlane::scenarios {
 
-/// What happens to bytes and connections from now on.
+/// Faults applied to bytes and connections from now on.
 struct link_fault {
-  /// Each batch of bytes arrives this much later.
+  /// Added to the delivery of each batch of bytes.
   std::chrono::milliseconds delay{0};
-  /// Bytes towards the target, or back from it, wait until the fault ends.
+  /// Bytes towards the target, or back from it, are held until the fault ends.
   bool hold_forward = false;
   bool hold_back = false;
   /// New connections are reset.
   bool refuse = false;
 };
 
-/// Forwards until destroyed. For the thread that runs the io_context.
+/// Forwards until destroyed. Use it only on the thread that runs the io_context.
 class fault_proxy {
 public:
   fault_proxy(boost::asio::io_context& context, const http::endpoint& target);
@@ -30,15 +30,15 @@
   fault_proxy(const fault_proxy&) = delete;
   fault_proxy& operator=(const fault_proxy&) = delete;
 
-  /// Where to connect in place of the target.
+  /// Endpoint to connect to instead of the target.
   [[nodiscard]] http::endpoint where() const;
   void set_fault(const link_fault& fault);
-  /// What all connections together carry back from the target, bytes a second, as if
-  /// the target's link were that slow. For connections from now on; 0: no limit.
+  /// Limits what all connections together carry back from the target, bytes per second, as
+  /// if the target's link were that slow. Affects new connections; 0: no limit.
   void limit_rate(std::uint64_t bytes_a_second);
-  /// Resets every connection that is open now, on both sides.
+  /// Resets every open connection on both sides.
   void reset_connections();
-  /// Connections that are open now carry nothing any more and stay open; new ones work.
+  /// Open connections stay open but deliver nothing any more; new ones work.
   void silence_connections();
 
   struct state;
--- a/scenarios/fault_proxy_test.cc
+++ b/scenarios/fault_proxy_test.cc
@@ -1,4 +1,4 @@
-// What a proxy of the fault soak does to the bytes that it carries.
+// Tests of the fault proxy's rate limit.
 #include "fault_proxy.h"
 
 #include <boost/asio/buffer.hpp>
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// How long 400 KB from a target take, half of them over each of two connections.
+/// Time to receive 400 KB from a target, half of them over each of two connections.
 std::chrono::duration<double> time_of_bytes(std::uint64_t bytes_a_second) {
   asio::io_context context;
   const tcp::endpoint anywhere(asio::ip::make_address(loopback), 0);
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("connections back from a target share the rate of its link") {
+TEST_CASE("all connections back from a target share one rate limit") {
   struct row {
     std::uint64_t bytes_a_second;
     std::chrono::duration<double> least;
--- a/scenarios/fault_soak_main.cc
+++ b/scenarios/fault_soak_main.cc
@@ -1,4 +1,4 @@
-// hawthornlane-fault-soak: the real programs under random faults; exits 1 when a
+// hawthornlane-fault-soak: runs the real programs under random faults; exits 1 if a
 // promise was broken.
 #include <docopt/docopt.h>
 #include <fmt/format.h>
@@ -31,22 +31,23 @@
   --seed N          First seed [default: 1].
   --seeds N         How many seeds, one after the other [default: 1].
   --seed-file FILE  Seeds to run instead, one a line; words after the number are a comment.
-  --seconds N       How long faults come in each run [default: 20].
+  --seconds N       How long faults are injected in each run [default: 20].
   --fronts N        Front hosts [default: 4].
   --routes N        Routes that the configuration grows by in steps, up to 4000, which make
                     it 0.9 MB large; 0: it does not grow [default: 1500].
   --link-mbps N     What each front host can send to other hosts, Mbit/s; 0: no limit
                     [default: 0].
   --callers N       Callers at once [default: 16].
-  --contended       The settings say that callers may want more than the servers can do.
+  --contended       Configure hosts for callers that may ask for more than the servers
+                    can serve.
   --keep DIR        Where logs of a run that failed are kept [default: run/fault-soak].
 )";
 
-/// The promise: all is served again so long after the last fault.
+/// Promised recovery time: all calls are served again this long after the last fault.
 constexpr auto recovery = 12s;
 constexpr auto start_limit = 15s;
 constexpr auto verify_limit = 60s;
-/// Programs that are under way when the faults end finish within this.
+/// Programs that are running when the faults end finish within this time.
 constexpr auto callers_limit = 40s;
 
 struct soak_options {
@@ -71,10 +72,10 @@
             context, fleet, checker,
             [this](net::steady_time then) { return this->faults.calm_since(then); }, seed) {}
 
-  /// True when every promise was kept.
+  /// Returns true if every promise was kept.
   bool play() {
     if (!this->run_until([this] { return this->fleet.set_is_settled(); }, start_limit)) {
-      this->checker.note("the deployment did not start");
+      this->checker.note("the deployment did not start in time");
     }
     this->run_until([] { return false; }, 1s);
     this->callers.start(this->options.callers);
@@ -89,20 +90,20 @@
     this->callers.stop();
     const auto recovered = steady::now() + recovery;
     if (!this->run_until([this] { return this->callers.idle(); }, callers_limit)) {
-      this->checker.note("callers did not end");
+      this->checker.note("the callers did not finish in time");
     }
     this->run_until([recovered] { return steady::now() >= recovered; }, recovery);
     bool done = false;
     boost::asio::co_spawn(this->context, this->callers.verify(done), boost::asio::detached);
     if (!this->run_until([&done] { return done; }, verify_limit)) {
-      this->checker.note("the check after the faults did not end");
+      this->checker.note("the check after the faults did not finish in time");
     }
     this->report();
     return this->checker.broken().empty();
   }
 
 private:
-  /// Runs everything until `done`, a broken promise or the time limit.
+  /// Runs everything until `done` or until a promise is broken; returns false at the limit.
   bool run_until(const std::function<bool()>& done, std::chrono::milliseconds limit) {
     const auto until = steady::now() + limit;
     while (!done()) {
@@ -140,7 +141,7 @@
       text += "broken: " + line + "\n";
     }
     fmt::print("{}", text);
-    // Hosts write their log lines in batches.
+    // Hosts write their log lines in batches: wait for the last one.
     this->context.restart();
     this->context.run_for(500ms);
     const fs::path kept = this->options.keep / fmt::format("seed-{}", this->seed);
--- a/scenarios/platform_outage.sh
+++ b/scenarios/platform_outage.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# The platform goes down: programs go on to their end, a change is refused and
-# nothing of it is lost, a host that is restarted meanwhile learns the documents in
-# force from its peers. The platform comes back: the change is accepted and in force
-# everywhere, also when the answer to its write is lost.
+# While the platform is down, programs run to their end, a change is refused as a whole, and a
+# host that starts meanwhile gets the documents in force from its peers. After the outage the
+# change is accepted and in force everywhere, also if the response to its write is lost.
 #
 # usage: platform_outage.sh BUILD_FOLDER
 set -eu
@@ -46,12 +45,12 @@
 kill -KILL "$pid_c"
 start_host d z "$(peer_of a)"
 wait_for 15 is_at "$(front_of d)" 1
-echo "a host started during the outage follows generation 1, told by its peers"
+echo "a host started during the outage got generation 1 from its peers"
 
 faults '{"down":false,"lose_answers":1}'
 wait_for 10 sh -c "$operator document apply '$run/changed.ini' --no-wait"
 for name in a b d; do
   wait_for 15 is_at "$(front_of $name)" 2
 done
-echo "after the outage generation 2 is in force on all hosts, its answer having been lost"
+echo "after the outage generation 2 is in force on all hosts, although the write's response was lost"
 echo "PASSED"
--- a/scenarios/processes.sh
+++ b/scenarios/processes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Real processes under faults: five hosts on loopback, programs with claims that
-# may not be repeated, while one host is killed, one is paused and woken, and one
-# is stopped as planned. Counts at the stand-in how often each claim arrived.
+# Real processes under faults: five hosts on loopback run programs with claims that may not be
+# repeated, while one host is killed, one is paused and resumed, and one is stopped as planned.
+# The stand-in counts how often each claim arrived.
 #
 # usage: processes.sh BUILD_FOLDER [PROGRAMS]
 set -eu
@@ -25,7 +25,7 @@
 kill -STOP "$pid_c"
 sleep 6
 kill -CONT "$pid_c"
-echo "host c woken; planned stop of host d"
+echo "host c resumed; planned stop of host d"
 kill -TERM "$pid_d"
 
 finished=0
@@ -64,7 +64,7 @@
   exit 1
 fi
 if [ "$failed" -gt 0 ] || [ "$code" -ne 0 ]; then
-  echo "FAILED: a program or the planned stop"
+  echo "FAILED: a program or the planned stop failed"
   exit 1
 fi
 echo "PASSED"
--- a/scenarios/promise_checker.cc
+++ b/scenarios/promise_checker.cc
@@ -1,4 +1,4 @@
-// Compares what callers and backend servers see with what callers are promised.
+// Checks what callers and backend servers observe against the promises to callers.
 #include "promise_checker.h"
 
 #include <fmt/format.h>
@@ -9,15 +9,15 @@
 namespace hawthornlane::scenarios {
 namespace {
 
-/// Of the stand-in model servers and the played configuration.
+/// Values of the stand-in model servers and of the test configuration.
 constexpr int events_each_turn = 3;
 constexpr int tokens_each_event = 10;
-/// A call that was cut so soon after it was sent may have crossed the host's close.
+/// A call that is cut off this soon after it was sent may have crossed the host's close.
 constexpr std::chrono::milliseconds crossing_slack{200};
-/// Servers that an idempotent call, or a stream that may be resumed, may reach.
+/// Servers at which an idempotent call or a resumable stream may run.
 constexpr int most_runs = 2;
 
-/// Answers that promise that the request has not run and never will.
+/// Statuses that promise that the request has not run and never will.
 bool promises_not_run(int status) {
   constexpr std::array promises{402, 408, 421, 429, 503};
   return std::find(promises.begin(), promises.end(), status) != promises.end();
@@ -67,7 +67,7 @@
   const std::string id = arrival.request.find_header("X-Request-Id").value_or("");
   const auto found_call = this->calls.find(id);
   if (found_call == this->calls.end()) {
-    this->note(fmt::format("{} ran request '{}', which nobody sent", server, id));
+    this->note(fmt::format("{} ran request '{}', which no caller sent", server, id));
     return;
   }
   known_call& call = found_call->second;
@@ -75,24 +75,24 @@
   ++call.runs;
   const int most = sent.repeats == repetition::once ? 1 : most_runs;
   if (call.runs > most) {
-    this->note(fmt::format("{} ran {} for the {}. time, at most {}", server, id, call.runs, most));
+    this->note(fmt::format("{} ran {} {} times, at most {} allowed", server, id, call.runs, most));
   }
   if (call.refused != 0) {
     this->note(fmt::format("{} ran {} after its caller was told {}", server, id, call.refused));
   }
   if (arrival.request.body != sent.body_at_server) {
-    this->note(fmt::format("{} got another body for {}: {} bytes, not {}", server, id,
+    this->note(fmt::format("{} received a wrong body for {}: {} bytes, expected {}", server, id,
                            arrival.request.body.size(), sent.body_at_server.size()));
   }
   if (arrival.request.find_header("X-Tenant").value_or("") != sent.account ||
       arrival.request.find_header("Authorization")) {
-    this->note(fmt::format("{} got {} for another account than '{}', or with a key", server, id,
-                           sent.account));
+    this->note(fmt::format("{} received {} for another account than '{}', or with a key", server,
+                           id, sent.account));
   }
   if (arrival.request.method != sent.request.method ||
       arrival.request.target != sent.request.path) {
-    this->note(fmt::format("{} got {} {} for {}", server, arrival.request.method,
-                           arrival.request.target, id));
+    this->note(fmt::format("{} received the request line {} {} for {}", server,
+                           arrival.request.method, arrival.request.target, id));
   }
 }
 
@@ -103,12 +103,12 @@
   constexpr int first_after_success = 300;
   constexpr int not_found = 404;
   if (result.malformed) {
-    this->note(fmt::format("the answer to {} is none in the protocol", id));
+    this->note(fmt::format("the response to {} is not valid HTTP", id));
   }
   if (promises_not_run(result.status)) {
     call.refused = result.status;
     if (call.runs > 0) {
-      this->note(fmt::format("{} was answered {} and has run", id, result.status));
+      this->note(fmt::format("{} was answered {} although it has run", id, result.status));
     }
   }
   const bool must_be_known =
@@ -121,7 +121,7 @@
   }
   const bool cut = result.status == 0 || !result.whole;
   if (calm && cut && (call.runs > 0 || result.took > crossing_slack)) {
-    this->note(fmt::format("{} was cut after {} ms with nothing harmed, run {} times", id,
+    this->note(fmt::format("{} was cut off after {} ms with no fault active, run {} times", id,
                            result.took.count(), call.runs));
   }
 }
@@ -134,7 +134,7 @@
   }
   if (use.peak_kb > use.limit_kb && this->too_large.insert(process).second) {
     this->note(
-        fmt::format("{} has had {} KB of memory, at most {}", process, use.peak_kb, use.limit_kb));
+        fmt::format("{} has used {} KB of memory, limit {}", process, use.peak_kb, use.limit_kb));
   }
 }
 
@@ -142,7 +142,7 @@
   const std::string& id = call.sent.request.id;
   const std::string seal = result.header("X-Response-Seal").value_or("");
   if (seal != "seal-" + id && seal != "s") {
-    this->note(fmt::format("{} got the signature '{}'", id, seal));
+    this->note(fmt::format("{} received a wrong signature '{}'", id, seal));
   }
   if (call.sent.is_stream) {
     this->check_stream(call, result);
@@ -150,7 +150,7 @@
   }
   const bool good = result.body == "answer to " + id || result.body == "all of it";
   if (result.whole && !good) {
-    this->note(fmt::format("{} got the body '{}'", id, result.body));
+    this->note(fmt::format("{} received a wrong body '{}'", id, result.body));
   }
 }
 
@@ -158,17 +158,17 @@
   const std::string& id = call.sent.request.id;
   const std::string expected = events_of_turn();
   if (!expected.starts_with(result.body)) {
-    this->note(fmt::format("{} got events out of order", id));
+    this->note(fmt::format("{} received events out of order", id));
   }
   if (result.whole && result.body != expected) {
-    this->note(fmt::format("the stream of {} ended early and looks whole", id));
+    this->note(fmt::format("the stream of {} ended early and looks complete", id));
   }
   int& used = this->tokens[call.sent.program];
   used += static_cast<int>(events_in(result.body)) * tokens_each_event;
   const int most_of_a_turn = events_each_turn * tokens_each_event;
   if (call.sent.budget != 0 && used > call.sent.budget + most_of_a_turn) {
-    this->note(
-        fmt::format("program {} got {} tokens of {}", call.sent.program, used, call.sent.budget));
+    this->note(fmt::format("program {} received {} tokens, budget {}", call.sent.program, used,
+                           call.sent.budget));
   }
 }
 
--- a/scenarios/promise_checker.h
+++ b/scenarios/promise_checker.h
@@ -1,4 +1,4 @@
-// Compares what callers and backend servers see with what callers are promised.
+// Checks what callers and backend servers observe against the promises to callers.
 #pragma once
 
 #include <chrono>
@@ -13,13 +13,13 @@
 
 namespace hawthornlane::scenarios {
 
-/// What may be repeated of a call.
+/// How often a call may run.
 enum class repetition : std::uint8_t {
-  /// Runs once at most.
+  /// Runs at most once.
   once,
   /// May run at two servers.
   idempotent,
-  /// A stream that another server may go on with.
+  /// A stream that another server may resume.
   resumable,
 };
 
@@ -27,17 +27,17 @@
 struct sent_call {
   call_request request;
   repetition repeats = repetition::once;
-  /// What a server has to receive: the history and the new input.
+  /// Body that a server must receive: the history and the new input.
   std::string body_at_server;
   std::string program;
-  /// Whose key it bears; empty: none.
+  /// Account whose key the call carries; empty: none.
   std::string account;
   /// Tokens that the program may generate; 0: no limit.
   int budget = 0;
-  /// It goes on from a turn that was answered whole and is still kept.
+  /// Continues a turn that was answered completely and is still stored.
   bool goes_on = false;
   bool is_stream = false;
-  /// Every configuration that may be in force has its route.
+  /// Every configuration that may be in force contains the call's route.
   bool route_is_certain = true;
 };
 
@@ -51,24 +51,24 @@
   friend bool operator==(const memory_use&, const memory_use&) = default;
 };
 
-/// Collects broken promises. Knows no network and no clock.
+/// Collects broken promises. Uses no network and no clock.
 class promise_checker {
 public:
   void on_sent(const sent_call& call);
-  /// A request reached a server.
+  /// Records a request that reached a server.
   void on_arrival(const std::string& server, const stand_ins::backend_arrival& arrival);
-  /// The caller has its answer, or what there is of it. `calm`: nothing was harmed
-  /// from some seconds before the call to its end.
+  /// Records the response to a call, complete or not. `calm`: no fault was active from some
+  /// seconds before the call to its end.
   void on_answer(const std::string& id, const call_result& result, bool calm);
-  /// What a process of that kind has had at most so far, and what it may have.
+  /// Records the peak memory so far and the limit of a process of that kind.
   void on_memory(const std::string& kind, const std::string& process, memory_use use);
-  /// Something else that was promised does not hold.
+  /// Records another broken promise.
   void note(const std::string& what);
 
   [[nodiscard]] const std::vector<std::string>& broken() const { return this->found; }
-  /// How often calls ended with each status; 0: without an answer.
+  /// Number of calls that ended with each status; 0: no response.
   [[nodiscard]] const std::map<int, std::uint64_t>& statuses() const { return this->counts; }
-  /// The process of each kind that came nearest to its limit.
+  /// Of each kind, the process that came closest to its limit.
   [[nodiscard]] const std::map<std::string, memory_use>& memory() const { return this->largest; }
   [[nodiscard]] int runs(const std::string& id) const;
 
@@ -76,7 +76,7 @@
   struct known_call {
     sent_call sent;
     int runs = 0;
-    /// The status that told the caller that it has not run and never will; 0: none.
+    /// Status that promised the caller that the call has not run and never will; 0: none.
     int refused = 0;
   };
 
@@ -87,12 +87,12 @@
   std::map<std::string, int> tokens;
   std::map<int, std::uint64_t> counts;
   std::map<std::string, memory_use> largest;
-  /// Processes that were noted as over their limit.
+  /// Processes that were already reported as over their limit.
   std::set<std::string> too_large;
   std::vector<std::string> found;
 };
 
-/// The answer of a stand-in's model server, and what is kept of it.
+/// Response of a stand-in model server to one turn, and the output that is stored of it.
 std::string events_of_turn();
 std::string output_of_turn();
 
--- a/scenarios/promise_checker_test.cc
+++ b/scenarios/promise_checker_test.cc
@@ -1,4 +1,4 @@
-// Each promise, kept and broken, as the checker of the fault soak sees it.
+// Tests of the fault soak's promise checker with each promise kept and broken.
 #include "promise_checker.h"
 
 #include <catch2/catch.hpp>
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-TEST_CASE("the checker notes broken promises and no others") {
+TEST_CASE("the checker reports broken promises and no others") {
   struct row {
     const char* what;
     std::function<void(promise_checker&)> play;
@@ -100,7 +100,7 @@
          checker.on_arrival("s", arrival_of(plain_call()));
        },
        1},
-      {"run though nobody sent it",
+      {"run though no caller sent it",
        [](promise_checker& checker) { checker.on_arrival("s", arrival_of(plain_call())); }, 1},
       {"a turn without its history",
        [](promise_checker& checker) {
@@ -108,17 +108,17 @@
          checker.on_arrival("s", arrival_of(plain_call()));
        },
        2},
-      {"a kept turn that is unknown", ends(turn, 0, answer(404)), 1},
-      {"a whole stream", ends(turn, 1, answer(200, events)), 0},
-      {"a stream cut while hosts are harmed",
+      {"a stored turn that is unknown", ends(turn, 0, answer(404)), 1},
+      {"a complete stream", ends(turn, 1, answer(200, events)), 0},
+      {"a stream cut off while a fault is active",
        ends(turn, 1, cut_short(answer(200, events.substr(0, 21)))), 0},
-      {"a stream cut while nothing is harmed",
+      {"a stream cut off while no fault is active",
        ends(turn, 1, cut_short(answer(200, events.substr(0, 21))), true), 1},
-      {"a stream that ends early and looks whole", ends(turn, 1, answer(200, events.substr(0, 21))),
-       1},
+      {"a stream that ends early and looks complete",
+       ends(turn, 1, answer(200, events.substr(0, 21))), 1},
       {"events out of order", ends(turn, 1, cut_short(answer(200, "id: 2"))), 1},
       {"a call that crossed the host's close", ends(once, 0, cut_short(answer(0), 50ms), true), 0},
-      {"a call that ran and was cut", ends(once, 1, cut_short(answer(0), 50ms), true), 1},
+      {"a call that ran and was cut off", ends(once, 1, cut_short(answer(0), 50ms), true), 1},
       {"more tokens than the budget and one turn",
        [run](promise_checker& checker) {
          for (const char* id : {"r1", "r2"}) {
@@ -131,7 +131,7 @@
        1},
       {"a process at its limit", grows_to({100, 100}), 0},
       {"a process over its limit", grows_to({101, 100}), 1},
-      {"a process that stays over its limit, noted once",
+      {"a process that stays over its limit, reported once",
        [grows_to](promise_checker& checker) {
          grows_to({101, 100})(checker);
          grows_to({102, 100})(checker);
@@ -152,7 +152,7 @@
   }
 }
 
-TEST_CASE("the checker tells the process of each kind that came nearest to its limit") {
+TEST_CASE("the checker reports the process of each kind that came closest to its memory limit") {
   promise_checker checker;
   checker.on_memory("front", "front-0/1", {50, 100});
   checker.on_memory("front", "front-1/1", {70, 100});
--- a/scenarios/refusal_test.cc
+++ b/scenarios/refusal_test.cc
@@ -1,5 +1,5 @@
-// A refusal promises that the call has not run and never will: 408, 421, 429 and 503 to a call
-// that is not idempotent. Whole hosts against servers that fail in every way.
+// A refusal (408, 421, 429 or 503 to a call that is not idempotent) promises that the call has
+// not run and never will. Tests complete hosts against servers that fail in every way.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr std::array promising{408, 421, 429, 503};
-/// So many that a call finds one which was not left out for what it did to calls before.
+/// Enough that a call finds a server that is not excluded for failures of earlier calls.
 constexpr int servers = 10;
-/// Most of the servers that were left out are used again by then.
+/// Most of the excluded servers are used again after this time.
 constexpr auto exclusion_time = 300ms;
-/// Longer than a route's time: whatever is still on its way to a server has arrived by then.
+/// Longer than a route's timeout: requests still in flight to a server have arrived by then.
 constexpr auto arrival_time = 2000ms;
 
 bool promises_not_run(int status) {
@@ -52,7 +52,7 @@
   return runs;
 }
 
-/// The kinds of calls, each with a route of its own.
+/// Kinds of calls; each has its own route.
 enum class call_shape { once, repeatable, turn, resumable_stream };
 
 call_request request_of(call_shape shape, const std::string& id) {
@@ -78,13 +78,13 @@
   return shape == call_shape::turn || shape == call_shape::resumable_stream;
 }
 
-/// A call that was answered, to be looked at again when all is quiet.
+/// An answered call, checked once no request is in flight any more.
 struct answered_call {
   std::string id;
   int status = 0;
 };
 
-/// Ids that were refused and that a server has run all the same.
+/// Ids of calls that were refused although a server has run them.
 std::vector<std::string> refused_and_run(const deployment& all,
                                          const std::vector<answered_call>& calls) {
   std::vector<std::string> broken;
@@ -98,37 +98,37 @@
 
 }  // namespace
 
-TEST_CASE("no call that may have run is refused, whatever the first and the second server do") {
+TEST_CASE("a call that may have run is not refused, whatever the first and the second server do") {
   const call_shape shape = GENERATE(call_shape::once, call_shape::repeatable, call_shape::turn,
                                     call_shape::resumable_stream);
   struct row {
     const char* what;
     std::vector<backend_act> acts;
-    /// Of a call that may run once, and of one that may run again.
+    /// Expected status of a call that may run once, and of one that may run again.
     int once;
     int again;
   };
   using enum backend_act;
   const row rows[] = {
-      {"full, then not", {shed, answer}, 200, 200},
-      {"full as too many, then not", {shed_as_too_many, answer}, 200, 200},
-      {"another server's, then not", {misdirect, answer}, 200, 200},
+      {"full, then accepted", {shed, answer}, 200, 200},
+      {"full with 429, then accepted", {shed_as_too_many, answer}, 200, 200},
+      {"misdirected, then accepted", {misdirect, answer}, 200, 200},
       {"all full", {shed, shed_as_too_many}, 503, 503},
-      {"full, then another server's", {shed, misdirect}, 503, 503},
-      {"an answer that is lost", {lose_answer, answer}, 502, 200},
-      {"lost, then full", {lose_answer, shed}, 502, 502},
-      {"full, then lost", {shed, lose_answer}, 502, 502},
-      {"no answer at all, then full", {garble, shed_as_too_many}, 502, 502},
-      {"another server's, then no signature", {misdirect, unsigned_answer}, 502, 502},
-      {"408 without a word on the run", {fail_408, answer}, 502, 200},
-      {"429 without a word on the run", {fail_429, answer}, 502, 200},
-      {"503 without a word on the run", {fail_503, answer}, 502, 200},
-      {"503 without a word, then full", {fail_503, shed}, 502, 502},
-      {"full, then 429 without a word", {shed, fail_429}, 502, 502},
-      {"a failure of the server's own", {fail_500, answer}, 500, 500},
-      {"full, then a failure of its own", {shed, fail_500}, 500, 500},
-      {"the server's time is over", {fail_504, answer}, 504, 504},
-      {"full, then the server's time is over", {shed, fail_504}, 504, 504},
+      {"full, then misdirected", {shed, misdirect}, 503, 503},
+      {"response lost", {lose_answer, answer}, 502, 200},
+      {"response lost, then full", {lose_answer, shed}, 502, 502},
+      {"full, then response lost", {shed, lose_answer}, 502, 502},
+      {"invalid response, then full", {garble, shed_as_too_many}, 502, 502},
+      {"misdirected, then unsigned response", {misdirect, unsigned_answer}, 502, 502},
+      {"408 that does not say not run", {fail_408, answer}, 502, 200},
+      {"429 that does not say not run", {fail_429, answer}, 502, 200},
+      {"503 that does not say not run", {fail_503, answer}, 502, 200},
+      {"503 that does not say not run, then full", {fail_503, shed}, 502, 502},
+      {"full, then 429 that does not say not run", {shed, fail_429}, 502, 502},
+      {"500 from the server", {fail_500, answer}, 500, 500},
+      {"full, then 500 from the server", {shed, fail_500}, 500, 500},
+      {"504 from the server", {fail_504, answer}, 504, 504},
+      {"full, then 504 from the server", {shed, fail_504}, 504, 504},
   };
   deployment all({1, 3, servers, servers});
   REQUIRE(is_up(all));
@@ -148,17 +148,17 @@
   CHECK(refused_and_run(all, answered) == std::vector<std::string>());
 }
 
-TEST_CASE("a call whose time ends on its way to a server is not refused if it may arrive") {
+TEST_CASE("a call whose deadline passes while it is sent is not refused if it may still arrive") {
   struct row {
     const char* what;
     std::size_t body_bytes;
-    /// For how long servers leave what was sent unread.
+    /// How long servers leave the request unread.
     std::chrono::milliseconds unread;
   };
-  // Buffers between two processes of this machine hold less than the largest body.
+  // Socket buffers on loopback hold less than the largest body.
   const row rows[] = {
-      {"it was sent whole", 100, 1200ms},
-      {"it is being sent", 8'000'000, 1200ms},
+      {"the request is sent completely", 100, 1200ms},
+      {"the request is being sent", 8'000'000, 1200ms},
       {"the server reads at the last moment", 100, 760ms},
   };
   deployment all({1, 3, 1, servers});
@@ -190,10 +190,10 @@
   CHECK(refused_and_run(all, answered) == std::vector<std::string>());
 }
 
-TEST_CASE("a call that waits for a connection is refused, and never arrives") {
+TEST_CASE("a call that is refused while it waits for a connection never arrives") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  // One connection fills the queue of what was not accepted; further ones are left unanswered.
+  // One connection fills the accept queue; further ones get no answer.
   namespace asio = boost::asio;
   using tcp = asio::ip::tcp;
   asio::io_context context;
@@ -207,7 +207,7 @@
   all.run_for(1500ms);
   const call_result result = all.call(0, plain("/once/x", "unconnected"));
   CHECK(result.status == 503);
-  // From now on there is room; whatever still comes in time is read.
+  // From now on connections are accepted, and everything that still arrives is read.
   full.non_blocking(true);
   std::vector<tcp::socket> accepted;
   std::string arrived;
@@ -230,7 +230,7 @@
   CHECK(arrived.find("unconnected") == std::string::npos);
 }
 
-TEST_CASE("on a kept connection a refusal that names no call may be meant for an earlier one") {
+TEST_CASE("a refusal without a call id on a reused connection may belong to an earlier call") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   all.app_acts->set({backend_act::answer, backend_act::answer_refusal_first});
@@ -240,7 +240,7 @@
   CHECK_FALSE(promises_not_run(result.status));
 }
 
-TEST_CASE("a resumed stream does not end whole with another server's failure") {
+TEST_CASE("a resumed stream does not look complete after a failure of the second server") {
   using enum backend_act;
   const backend_act second = GENERATE(fail_500, fail_503, fail_504, shed);
   deployment all({1, 3, 2, 1});
--- a/scenarios/sample_caller.sh
+++ b/scenarios/sample_caller.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the sample caller against real hosts: two dependent calls, each kept.
+# Runs the sample caller against real hosts: two dependent calls must both be answered.
 #
 # usage: sample_caller.sh BUILD_FOLDER
 set -eu
--- a/scenarios/soak.cc
+++ b/scenarios/soak.cc
@@ -1,4 +1,4 @@
-// One shard map, several hosts, and faults; the callers are in soak_promises.cc.
+// One shard map, several hosts, and faults; callers and invariants are in soak_invariants.cc.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -58,7 +58,7 @@
   }
 }
 
-// --- what cores ask for --------------------------------------------------
+// --- actions of shard cores ----------------------------------------------
 
 void world::carry_out(std::size_t at, const actions& todo) {
   for (const action& item : todo) {
@@ -92,7 +92,7 @@
   const bool lost = this->hosts[at].cut_off || this->chance(10);
   const int copies = lost ? 0 : (this->chance(10) ? 2 : 1);
   this->report.faults["message lost"] += lost ? 1 : 0;
-  this->report.faults["message doubled"] += copies == 2 ? 1 : 0;
+  this->report.faults["message duplicated"] += copies == 2 ? 1 : 0;
   for (int copy = 0; copy < copies; ++copy) {
     in_flight flight;
     flight.from = this->hosts[at].id;
@@ -123,7 +123,7 @@
     return;
   }
   if (!this->acts(this->hosts[*at])) {
-    // A paused host finds it when it wakes.
+    // A paused host receives it when it resumes.
     this->flights.emplace(this->hosts[*at].paused_until, std::move(item));
     return;
   }
@@ -154,12 +154,13 @@
   const bool applies = this->map == item.expected;
   if (applies) {
     this->map = item.desired;
-    this->note(fmt::format("epoch {} to {}", this->map.at.get(), this->map.owner.host.get()));
+    this->note(
+        fmt::format("epoch {} is owned by {}", this->map.at.get(), this->map.owner.host.get()));
   }
   answer.outcome = applies ? proposal_outcome::applied : proposal_outcome::rejected;
   answer.desired = this->map;
   if (this->chance(50)) {
-    ++this->report.faults["map answer lost"];
+    ++this->report.faults["map response lost"];
     return;
   }
   this->put(std::move(answer));
@@ -175,7 +176,8 @@
       this->violate("ticket " + to_string(item.under) + " was sent twice");
     }
     if (this->refused.contains(item.under)) {
-      this->violate("ticket " + to_string(item.under) + " was sent after not_run");
+      this->violate("ticket " + to_string(item.under) +
+                    " was sent after it was refused with not_run");
     }
     in_flight result = item;
     result.what = in_flight::kind::result;
--- a/scenarios/soak.h
+++ b/scenarios/soak.h
@@ -1,5 +1,5 @@
-// Long randomised runs of real shard cores on virtual time, with invariants
-// asserted after every step.
+// Long randomised runs of real shard cores on virtual time, with invariants checked
+// after every step.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,18 @@
   std::uint64_t steps = 10'000;
   std::size_t hosts = 5;
   ownership_rules rules;
-  /// Prints every step, to follow a failing seed.
+  /// Prints the main events, to trace a failing seed.
   bool trace = false;
 };
 
-/// What happened in a run.
+/// Counts and result of a run.
 struct soak_report {
   std::uint64_t steps = 0;
   std::uint64_t calls = 0;
   std::uint64_t dispatched = 0;
   std::map<std::string, std::uint64_t> faults;
   std::map<std::string, std::uint64_t> answers;
-  /// The first violation and the step it showed at; empty when there was none.
+  /// The first violation and the step that detected it; empty if there was none.
   std::string violation;
   std::uint64_t violation_step = 0;
 };
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -1,4 +1,4 @@
-// Agent programs that use a soaked deployment as callers do.
+// Simulated agent programs that call a deployment during a fault soak.
 #include "soak_callers.h"
 
 #include <fmt/format.h>
@@ -16,18 +16,18 @@
 
 namespace {
 
-/// What callers allow a call, as their `X-Deadline-Ms` says.
+/// Deadline of a call, sent as `X-Deadline-Ms`.
 constexpr auto call_limit = 3000ms;
-/// The routes' own timeouts are shorter; an answer later than this is not awaited.
+/// Wait for a response beyond the deadline; the routes' own timeouts are shorter.
 constexpr auto answer_slack = 500ms;
 constexpr auto connect_limit = 1000ms;
-/// Callers keep an address answer for the time that the played hosts name.
+/// Callers reuse a directory response for the hosts' configured `address_time`.
 constexpr auto address_time = 1000ms;
-/// Turns are kept for 60 s; those that are almost forgotten are not gone on from.
+/// Turns are stored for 60 s; those that are about to expire are not continued.
 constexpr auto remembered = 45s;
 constexpr std::size_t most_remembered = 400;
 constexpr int tries_each_turn = 3;
-/// A turn that is kept reaches a server within so many tries once all is calm.
+/// A stored turn reaches a server within this many attempts when no fault is active.
 constexpr int tries_when_calm = 5;
 constexpr std::size_t turns_verified = 40;
 
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-/// One caller with the connection that it keeps.
+/// One caller with the connection that it reuses.
 struct soak_callers::caller {
   caller(asio::io_context& io, net::deadline_sweeper& alarms, std::uint64_t seed)
       : context(io), sweeper(alarms), random(seed) {}
@@ -50,7 +50,7 @@
   std::string buffer;
   std::vector<std::string> addresses;
   net::steady_time addresses_until{};
-  /// Of the last address that failed, which is not used again at once.
+  /// Last address that failed; not used for the next connection if there is another.
   std::string failed;
   std::string connected_to;
 
@@ -254,7 +254,7 @@
     co_return result;
   }
   sent_call sent = what;
-  // All calls of a program are one account's.
+  // All calls of a program belong to one account.
   const std::string& name = sent.program.empty() ? sent.request.id : sent.program;
   sent.account = soak_accounts[std::hash<std::string>()(name) % soak_accounts.size()];
   sent.request.headers.push_back({"Authorization", "Bearer " + soak_fleet::key_of(sent.account)});
@@ -273,7 +273,7 @@
   const auto ended = steady::now();
   result.took = std::chrono::duration_cast<std::chrono::milliseconds>(ended - began);
   if (!who.buffer.empty() && result.whole) {
-    this->promises.note(fmt::format("bytes follow the answer to {}", sent.request.id));
+    this->promises.note(fmt::format("unexpected bytes after the response to {}", sent.request.id));
   }
   const bool timed_out = ended >= began + call_limit;
   this->promises.on_answer(sent.request.id, result, this->calm(began) && !timed_out);
@@ -286,8 +286,8 @@
   co_return result;
 }
 
-/// Asks one host after another for the newest route: what a process has once had in
-/// force must stay in force.
+/// Requests the newest route from one host after another: a configuration that a process
+/// has once had in force must stay in force.
 asio::awaitable<void> soak_callers::probe_configuration() {
   caller who(this->context, this->sweeper, this->random());
   std::map<std::string, int> in_force;
@@ -309,7 +309,8 @@
     const bool same = process == fmt::format("{}/{}", host.name, host.incarnation) &&
                       newest == this->fleet.version();
     if (result.status == 404 && same && in_force[process] >= newest) {
-      this->promises.note(fmt::format("{} went back behind version {}", process, newest));
+      this->promises.note(
+          fmt::format("{} went back to a configuration older than version {}", process, newest));
     }
     if (result.status == 200) {
       in_force[process] = std::max(in_force[process], newest);
@@ -335,7 +336,8 @@
 
 asio::awaitable<void> soak_callers::verify(bool& done) {
   caller who(this->context, this->sweeper, this->random());
-  co_await this->verify_in_force(who, this->fleet.version(), "the last one before the faults' end");
+  co_await this->verify_in_force(who, this->fleet.version(),
+                                 "the last one before the faults ended");
   const int version = this->fleet.configure();
   soak_backend& leaving = this->fleet.backends.back();
   this->fleet.list(leaving, true);
@@ -344,7 +346,7 @@
   const std::size_t arrivals = leaving.server->arrivals().size();
   co_await this->verify_in_force(who, version, "2 s after it was written");
   if (leaving.server->arrivals().size() != arrivals) {
-    this->promises.note("a leaving server got a new request after 2 s");
+    this->promises.note("a draining server received a new request after 2 s");
   }
   std::size_t verified = 0;
   const std::deque<kept_line> newest(this->lines.rbegin(), this->lines.rend());
@@ -360,7 +362,8 @@
       result = co_await this->call(who, next, 1);
     }
     if (result.status != 200) {
-      this->promises.note(fmt::format("turn {} is lost: {}", line.turn, result.status));
+      this->promises.note(
+          fmt::format("stored turn {} is lost: status {}", line.turn, result.status));
     }
   }
   done = true;
--- a/scenarios/soak_callers.h
+++ b/scenarios/soak_callers.h
@@ -1,4 +1,4 @@
-// Agent programs that use a soaked deployment as callers do.
+// Simulated agent programs that call a deployment during a fault soak.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,7 +15,7 @@
 
 namespace hawthornlane::scenarios {
 
-/// A turn that was answered whole, and all that came before it.
+/// A completely answered turn and the history up to it.
 struct kept_line {
   std::string turn;
   std::string program;
@@ -23,11 +23,11 @@
   net::steady_time ended;
 };
 
-/// Runs programs until `stop`. Callers keep their connections as long as they can.
-/// For one thread.
+/// Runs programs until `stop`. Callers reuse their connections as long as possible.
+/// Not thread-safe.
 class soak_callers {
 public:
-  /// `is_calm` tells whether nothing has been harmed since some seconds before then.
+  /// `is_calm` returns whether no fault was active since some seconds before that time.
   soak_callers(boost::asio::io_context& context, soak_fleet& fleet, promise_checker& checker,
                std::function<bool(net::steady_time)> is_calm, std::uint64_t seed);
   soak_callers(const soak_callers&) = delete;
@@ -35,12 +35,12 @@
   ~soak_callers();
 
   void start(int callers);
-  /// No new programs; those under way end.
+  /// Starts no new programs; running ones finish.
   void stop() { this->stopping = true; }
   [[nodiscard]] bool idle() const { return this->under_way == 0; }
 
-  /// After all faults: every host serves, and turns that were kept go on. Runs until
-  /// `done` is set.
+  /// After all faults: checks that every host serves and that stored turns can be
+  /// continued, then sets `done`.
   boost::asio::awaitable<void> verify(bool& done);
 
 private:
@@ -51,9 +51,9 @@
   boost::asio::awaitable<void> run_budgeted(caller& who);
   boost::asio::awaitable<void> run_tools(caller& who, int calls);
   boost::asio::awaitable<void> probe_configuration();
-  /// Notes each front host that does not serve that version's route.
+  /// Reports each front host that does not serve that version's route.
   boost::asio::awaitable<void> verify_in_force(caller& who, int version, const char* when);
-  /// Sends a call until it is answered with success, or `tries` are used up.
+  /// Sends a call until it succeeds, at most `tries` times.
   boost::asio::awaitable<call_result> call(caller& who, sent_call what, int tries);
   boost::asio::awaitable<call_result> attempt(caller& who, const sent_call& what);
   boost::asio::awaitable<bool> connect(caller& who);
--- a/scenarios/soak_faults.cc
+++ b/scenarios/soak_faults.cc
@@ -1,4 +1,4 @@
-// Random faults and planned work against a soaked deployment.
+// Random faults and planned maintenance during a fault soak.
 #include "soak_faults.h"
 
 #include <fmt/format.h>
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// Hosts that were harmed count as in touch again after this long.
+/// Hosts count as connected again this long after a fault.
 constexpr auto settling = 3s;
-/// Faults that are under way at once, at most.
+/// Maximum number of faults that are active at once.
 constexpr std::size_t most_active = 4;
-/// A planned stop takes up to the hosts' grace of 8 s.
+/// A planned stop takes up to the hosts' grace period of 8 s.
 constexpr auto grace = 8s;
 
-/// For what ends by itself.
+/// Undo function of a fault that ends by itself.
 std::function<void()> nothing() {
   return [] {};
 }
@@ -82,9 +82,9 @@
          this->fleet.cut_power(this->any(this->fleet.disks), this->between(50, 2500));
          return nothing();
        }},
-      {"empty a disk", false,
+      {"wipe a disk", false,
        [this] {
-         // One disk may be lost at a time: not before the set is whole again.
+         // Only one disk may be lost at a time: wait until the ledger set is complete again.
          if (this->fleet.set_is_settled()) {
            this->fleet.wipe(this->any(this->fleet.disks), this->between(50, 2000));
          }
@@ -140,17 +140,17 @@
 
 std::vector<soak_faults::fault_kind> soak_faults::link_faults() {
   return {
-      {"harm the way to a front host's peers port", false,
+      {"disturb the link to a front host's peer port", false,
        [this] { return this->harm(*this->any(this->fleet.fronts).peers); }},
-      {"harm the way to a disk host", false,
+      {"disturb the link to a disk host", false,
        [this] { return this->harm(*this->any(this->fleet.disks).peers); }},
-      {"harm a front host's way to the store", false,
+      {"disturb a front host's link to the store", false,
        [this] { return this->harm(*this->any(this->fleet.fronts).store); }},
-      {"harm a disk host's way to the store", false,
+      {"disturb a disk host's link to the store", false,
        [this] { return this->harm(*this->any(this->fleet.disks).store); }},
-      {"harm callers' way to a front host", false,
+      {"disturb the callers' link to a front host", false,
        [this] { return this->harm(*this->any(this->fleet.fronts).callers); }},
-      {"harm the way to a backend server", false,
+      {"disturb the link to a backend server", false,
        [this] {
          const std::shared_ptr<fault_proxy> proxy =
              this->fleet.backends[this->below(this->fleet.backends.size())].proxy;
@@ -187,7 +187,7 @@
   return {
       {"the store is busy", false, [mood] { return mood(store_mood::busy); }},
       {"the store is silent", false, [mood] { return mood(store_mood::silent); }},
-      {"the store loses answers", false, [mood] { return mood(store_mood::losing_answers); }},
+      {"the store loses responses", false, [mood] { return mood(store_mood::losing_answers); }},
       {"the store drops its history", false,
        [this] {
          this->fleet.store().set_deaf_watches(true);
@@ -213,7 +213,7 @@
          this->fleet.stop(this->fleet.fronts[second], 100ms);
          return nothing();
        }},
-      {"read settings again", true,
+      {"reload the settings", true,
        [this] {
          this->any(this->fleet.fronts).process->signal(SIGHUP);
          return nothing();
@@ -252,7 +252,7 @@
   const auto below = [this](std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(this->growth_random);
   };
-  // A server leaves at each step; the configuration changes at each second one.
+  // Each step replaces a server; every second step changes the configuration.
   ++this->growth_step;
   if (this->growth_step % 2 == 0) {
     this->fleet.grow(static_cast<double>(this->growth_step) / last_step);
--- a/scenarios/soak_faults.h
+++ b/scenarios/soak_faults.h
@@ -1,4 +1,4 @@
-// Random faults and planned work against a soaked deployment.
+// Random faults and planned maintenance during a fault soak.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,27 @@
 
 namespace hawthornlane::scenarios {
 
-/// Begins faults and ends them, several at a time and some in series, in an order
-/// that the seed decides. Planned work comes with them and in spells of its own.
+/// Starts and ends faults, several at a time and some in series, in an order that the
+/// seed determines. Planned maintenance runs between them and in periods of its own.
 class soak_faults {
 public:
   soak_faults(soak_fleet& fleet, std::uint64_t seed);
 
-  /// Goes on to that moment.
+  /// Ends and starts what is due at `now`.
   void tick(net::steady_time now);
-  /// Ends every fault that is under way and begins no other.
+  /// Ends every active fault and starts no other.
   void end_all();
-  /// Nothing has been harmed since some seconds before that moment.
+  /// True if no fault has been active since some seconds before `then`.
   [[nodiscard]] bool calm_since(net::steady_time then) const;
   [[nodiscard]] const std::map<std::string, std::uint64_t>& counts() const { return this->begun; }
-  /// One line a fault, for following a seed.
+  /// One line per fault, to trace a seed.
   [[nodiscard]] const std::vector<std::string>& history() const { return this->lines; }
 
 private:
   using undo = std::function<void()>;
   struct fault_kind {
     const char* name;
-    /// Planned work harms nothing that callers may see.
+    /// Planned maintenance must have no effect that callers may see.
     bool planned;
     std::function<undo()> begin;
   };
@@ -49,9 +49,9 @@
   [[nodiscard]] std::vector<fault_kind> planned_work();
   void begin_one(net::steady_time now);
   void end_due(net::steady_time now);
-  /// A random fault for a link, set at the proxy until undone.
+  /// Sets a random link fault at the proxy; the returned function ends it.
   undo harm(fault_proxy& proxy);
-  /// Goes on with the configuration's growth, or begins one anew.
+  /// Continues the growth of the configuration, or starts it again.
   void grow(net::steady_time now);
   void note(net::steady_time now, const std::string& what);
   undo script(const std::shared_ptr<stand_ins::act_script>& acts);
@@ -70,8 +70,8 @@
   net::steady_time began;
   net::steady_time harmed_until{};
   bool ended = false;
-  /// Growth comes beside all else; with a source of its own, so that a seed's other
-  /// faults are the same whatever it does.
+  /// Growth runs beside everything else and has its own random source, so that it does
+  /// not change a seed's other faults.
   std::mt19937_64 growth_random;
   net::steady_time next_growth{};
   int growth_step = 0;
--- a/scenarios/soak_fleet.cc
+++ b/scenarios/soak_fleet.cc
@@ -1,4 +1,4 @@
-// The real programs as processes on one machine, with stand-ins around them.
+// The real programs as processes on one machine, with stand-ins for the platform.
 #include "soak_fleet.h"
 
 #include <fmt/format.h>
@@ -30,17 +30,17 @@
 address = {}
 )";
 
-/// As the smallest front hosts and as disk hosts have, MB.
+/// Memory limits of the smallest front hosts and of disk hosts, MB.
 constexpr std::uint64_t front_memory_mb = 88;
 constexpr std::uint64_t disk_memory_mb = 130;
-/// Between two looks at the memory of all processes.
+/// Interval between memory checks of all processes.
 constexpr auto memory_pause = std::chrono::milliseconds(100);
 /// Availability zones that hosts of a kind are spread over.
 constexpr int zones = 4;
 
 http::endpoint fresh_endpoint() { return {loopback, free_port()}; }
 
-/// A write that had not been synced when the power went.
+/// Appends a torn write to the newest segment, as a power loss before a sync leaves it.
 void tear_last_segment(const fs::path& folder) {
   fs::path newest;
   for (const auto& item : fs::directory_iterator(folder)) {
@@ -170,7 +170,7 @@
         continue;
       }
       if (!host.end_expected) {
-        this->promises.note(fmt::format("{} ended by itself, status {}", host.name, *status));
+        this->promises.note(fmt::format("{} exited unexpectedly, status {}", host.name, *status));
         host.end_expected = true;
       }
       if (now >= host.start_again) {
@@ -221,7 +221,7 @@
 std::string soak_fleet::key_of(const std::string& account) { return account + "-key"; }
 
 std::string soak_fleet::accounts_text() {
-  // Quotas that no soak reaches: each call asks the disk hosts for its part all the same.
+  // Quotas that no soak reaches; each call still asks the disk hosts for its quota.
   std::string list;
   for (const char* account : soak_accounts) {
     list += fmt::format(R"({}{{"name":"{}","api-keys":["{}"],"rate-per-s":100000,"burst":1000}})",
--- a/scenarios/soak_fleet.h
+++ b/scenarios/soak_fleet.h
@@ -1,5 +1,5 @@
-// The real programs as processes on one machine, with stand-ins around them and
-// every connection between them carried by a proxy that can harm it.
+// The real programs as processes on one machine, with stand-ins for the platform. Every
+// connection between them goes through a proxy that can inject faults.
 #pragma once
 
 #include <array>
@@ -21,7 +21,7 @@
 
 namespace hawthornlane::scenarios {
 
-/// How large a soaked deployment is.
+/// Size of a deployment under a fault soak.
 struct fleet_size {
   int fronts = 4;
   int disks = 3;
@@ -29,35 +29,34 @@
   int apps = 3;
   /// Routes that the configuration grows by; 4000 make it 0.9 MB large.
   int routes = 1500;
-  /// What each front host's link carries from it to other hosts, bytes a second; 0: no
-  /// limit.
+  /// Rate of each front host's link to other hosts, bytes per second; 0: no limit.
   std::uint64_t link_rate = 0;
-  /// The settings say that callers may want more than the servers can do.
+  /// Configures hosts for callers that may ask for more than the servers can serve.
   bool contended = false;
 };
 
-/// One host: its process, and the proxies before it.
+/// One host: its process and the proxies in front of it.
 struct soak_host {
   std::string name;
   /// "front" or "disk".
   std::string kind;
-  /// What its settings allow, or for a disk host what the platform does, MB.
+  /// Memory limit, MB: from its settings, or for a disk host from the platform.
   std::uint64_t memory_mb = 0;
   std::vector<std::string> command;
   std::filesystem::path data_folder;
   std::unique_ptr<fault_proxy> peers;
   std::unique_ptr<fault_proxy> store;
-  /// Only of a front host.
+  /// Only for a front host.
   std::unique_ptr<fault_proxy> callers;
   http::endpoint callers_at;
   http::endpoint ready_at;
   http::endpoint directory_at;
   std::unique_ptr<child_process> process;
-  /// Counts the processes that this host has had.
+  /// Number of processes that this host has had.
   int incarnation = 0;
-  /// The soak ends this process, so its end is no fault of its own.
+  /// The soak ends this process, so its exit is not reported.
   bool end_expected = false;
-  /// Stopped as planned: not started again before `start_again`.
+  /// A host whose process has ended is not restarted before this time.
   net::steady_time start_again{};
 };
 
@@ -68,13 +67,13 @@
   std::shared_ptr<fault_proxy> proxy;
 };
 
-/// The client accounts of a soaked deployment.
+/// Client accounts of a deployment under a fault soak.
 inline constexpr std::array<const char*, 2> soak_accounts{"north", "south"};
 
-/// For one thread, which runs `context`.
+/// Use it only on the thread that runs `context`.
 class soak_fleet {
 public:
-  /// `programs` holds the daemons; everything that is written goes to `folder`.
+  /// `programs` contains the executables; all files are written to `folder`.
   soak_fleet(boost::asio::io_context& context, const std::filesystem::path& programs,
              std::filesystem::path folder, fleet_size size, promise_checker& checker);
   soak_fleet(const soak_fleet&) = delete;
@@ -82,30 +81,30 @@
   ~soak_fleet();
   [[nodiscard]] bool is_contended() const { return this->contended; }
 
-  /// Starts hosts whose process has ended, and notes ends that nobody caused.
+  /// Restarts hosts whose process has ended, and reports unexpected exits.
   void look_after_processes();
-  /// Tells the checker how large the processes are.
+  /// Reports the memory of all processes to the checker.
   void look_at_memory();
   void kill(soak_host& host, std::chrono::milliseconds down);
-  /// A planned stop; the host starts again once it has ended.
+  /// Stops a host as planned; it is restarted once its process has ended.
   void stop(soak_host& host, std::chrono::milliseconds down);
-  /// Kills a disk host as by a loss of power: a write that was not synced is torn.
+  /// Kills a disk host like a power loss, with a torn write that was not synced.
   void cut_power(soak_host& disk, std::chrono::milliseconds down);
-  /// Kills a disk host and empties its disk.
+  /// Kills a disk host and deletes its data.
   void wipe(soak_host& disk, std::chrono::milliseconds down);
-  /// Three disks are in the set, and no change of it is under way.
+  /// True if all disk hosts are in the ledger set and no change of the set is in progress.
   [[nodiscard]] bool set_is_settled() const;
 
   /// Writes the next configuration; returns its version.
   int configure();
-  /// The key that callers of an account show.
+  /// API key that callers of an account send.
   static std::string key_of(const std::string& account);
   [[nodiscard]] int version() const { return this->newest; }
-  /// Writes the next configuration, with that share of the routes that it grows by.
+  /// Writes the next configuration with this share (0 to 1) of the additional routes.
   void grow(double share);
   [[nodiscard]] bool grows() const { return this->most_routes > 0; }
   void list(const soak_backend& backend, bool draining);
-  /// A backend server leaves as planned, and another one takes its place.
+  /// Removes a backend server as planned and adds another one in its place.
   void replace_backend(soak_backend& backend);
 
   std::vector<soak_host> fronts;
@@ -130,13 +129,13 @@
   std::filesystem::path folder;
   promise_checker& promises;
   std::unique_ptr<stand_ins::object_platform> platform;
-  /// Servers that have left; callers may still hold connections to them.
+  /// Removed servers, which may still have open connections from callers.
   std::vector<soak_backend> left;
   int newest = 0;
-  /// What the configuration grows by at most.
   bool contended;
+  /// Maximum number of additional routes.
   int most_routes = 0;
-  /// The routes that the configuration has grown by, as JSON, a comma after each.
+  /// Additional routes of the newest configuration as JSON, a comma after each.
   std::string grown;
   net::steady_time next_look{};
   int backends_made = 0;
--- a/scenarios/soak_main.cc
+++ b/scenarios/soak_main.cc
@@ -17,8 +17,8 @@
   --seeds N     How many seeds, one after the other [default: 1].
   --steps N     Steps of 40 ms in each [default: 20000].
   --hosts N     5 to 9 [default: 5].
-  --break NAME  Take a rule out: fence, intent, seal, charge, refusal, ticket.
-  --trace       Print the main steps.
+  --break NAME  Disable a rule: fence, intent, seal, charge, refusal, ticket.
+  --trace       Print the main events.
 )";
 
 void add(std::map<std::string, std::uint64_t>& sum,
@@ -51,7 +51,7 @@
   if (arguments.at("--break")) {
     const auto rules = soak::rules_without(arguments.at("--break").asString());
     if (!rules) {
-      fmt::print(stderr, "no rule of that name\n");
+      fmt::print(stderr, "--break: unknown rule\n");
       return 2;
     }
     parameters.rules = *rules;
--- a/scenarios/soak_promises.cc
+++ b/scenarios/soak_promises.cc
@@ -1,4 +1,4 @@
-// Callers that repeat themselves, and what must hold after every step.
+// Callers that also repeat used tickets, and the invariants checked after every step.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
   }
   caller& from = this->callers[this->draw(this->callers.size())];
   if (!from.current) {
-    // An ended program makes room for a new one.
+    // Remove an ended program to make room for a new one.
     from = this->callers.back();
     this->callers.pop_back();
     return;
@@ -36,7 +36,7 @@
   request.program = from.program;
   request.account = client_account("one");
   request.presented = *from.current;
-  // Callers also repeat tickets that they used before.
+  // Callers also repeat tickets that they have used before.
   if (!this->used[from.program].empty() && this->chance(150)) {
     const auto& old = this->used[from.program];
     request.presented = old[this->draw(old.size())];
@@ -87,13 +87,14 @@
   if (says_not_run && asked_with != this->asked.end()) {
     this->refused.insert(asked_with->second);
     if (this->executed.contains(asked_with->second)) {
-      this->violate("not_run was told of " + to_string(asked_with->second) + ", which ran");
+      this->violate("not_run was answered for " + to_string(asked_with->second) + ", which ran");
     }
   }
   if (!answer.error && answer.turn && asked_with != this->asked.end()) {
     const std::string expected = "a" + to_string(asked_with->second);
     if (answer.turn->answer != expected) {
-      this->violate("call under " + to_string(asked_with->second) + " got another's answer");
+      this->violate("call under " + to_string(asked_with->second) +
+                    " got the answer of another call");
     }
   }
   for (caller& from : this->callers) {
@@ -124,7 +125,8 @@
 void world::check() {
   for (const auto& [program, tokens] : this->spent) {
     if (tokens > budget) {
-      this->violate(fmt::format("{} spent {} of {}", program.get(), tokens, budget));
+      this->violate(
+          fmt::format("program {} spent {} tokens, budget {}", program.get(), tokens, budget));
     }
   }
   if (this->report.steps % 16 != 0) {
@@ -140,7 +142,7 @@
     }
     epoch& highest = this->highest_sealed[host.id];
     if (host.core->sealed_epoch() < highest) {
-      this->violate("a sealed epoch fell at " + host.id.host.get());
+      this->violate("the sealed epoch decreased at " + host.id.host.get());
     }
     highest = host.core->sealed_epoch();
   }
--- a/scenarios/soak_test.cc
+++ b/scenarios/soak_test.cc
@@ -1,4 +1,4 @@
-// Fixed seeds of the soak, and each faulty part that it must catch.
+// Runs the soak with fixed seeds, and with each rule disabled, which it must detect.
 #include <catch2/catch.hpp>
 
 #include "broken_rules.h"
@@ -6,7 +6,7 @@
 
 using namespace hawthornlane;
 
-TEST_CASE("randomised runs with fixed seeds break no promise") {
+TEST_CASE("randomised runs with fixed seeds violate no invariant") {
   const auto seed = GENERATE(range(1, 21));
   soak::soak_parameters parameters;
   parameters.seed = static_cast<std::uint64_t>(seed);
@@ -18,7 +18,7 @@
   CHECK(report.dispatched > 100);
 }
 
-TEST_CASE("a faulty part is caught within a few seeds") {
+TEST_CASE("each disabled rule is detected within a few seeds") {
   const auto name =
       GENERATE(as<std::string>{}, "fence", "intent", "seal", "charge", "refusal", "ticket");
   std::string caught;
@@ -29,6 +29,6 @@
     parameters.rules = *soak::rules_without(name);
     caught = soak::run(parameters).violation;
   }
-  INFO("part " << name);
+  INFO("rule " << name);
   CHECK_FALSE(caught.empty());
 }
--- a/scenarios/soak_world.h
+++ b/scenarios/soak_world.h
@@ -1,4 +1,4 @@
-// The world of the soak: hosts with real shard cores, what is under way between them, callers.
+// Simulation of the soak: hosts with real shard cores, in-flight messages, and callers.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 constexpr auto step_time = std::chrono::milliseconds(40);
 constexpr auto longest_delay_ms = 600;
 
-/// Something that happens at a moment of virtual time.
+/// An event that is scheduled for a virtual time.
 struct in_flight {
   enum class kind : std::uint8_t { message, map_write, map_answer, send, result };
   kind what = kind::message;
@@ -37,7 +37,7 @@
   bool repeatable = false;
 };
 
-/// One host: alive, paused or restarting, with a core of its present incarnation.
+/// One host: alive, paused or restarting, with the shard core of its current incarnation.
 struct soak_host {
   std::optional<shard_core> core;
   host_incarnation id;
@@ -56,7 +56,7 @@
   std::uint64_t seen_turns = 0;
 };
 
-/// Seeded: the same parameters give the same run.
+/// Deterministic: the same parameters give the same run.
 class world {
 public:
   explicit world(const soak_parameters& with) : parameters(with), random(with.seed) {
@@ -77,7 +77,7 @@
   void put(in_flight item, std::uint64_t extra_ms = 0);
   void note(const std::string& text) const;
 
-  // What cores ask for.
+  // Actions of shard cores.
   void carry_out(std::size_t at, const actions& todo);
   void send(std::size_t at, const send_message& message);
 
@@ -90,12 +90,12 @@
 
   // Time and faults.
   void tick();
-  /// Replaces replicas that have ended, as the ownership duty does.
+  /// Replaces replicas on hosts that have ended, as the ownership manager does.
   void mend_replicas(std::size_t at);
   void maybe_fault();
   std::size_t dead() const;
   std::size_t cut() const;
-  /// Any follower may suspect the owner, rightly or not.
+  /// Any follower may suspect the owner, correctly or not, and claim the shard.
   void maybe_claim();
 
   // Callers.
--- a/scenarios/test_caller.cc
+++ b/scenarios/test_caller.cc
@@ -1,4 +1,4 @@
-// What test callers send and get.
+// Requests and responses of test callers.
 #include "test_caller.h"
 
 #include <fmt/format.h>
@@ -40,13 +40,12 @@
   return holder.find_header(name);
 }
 
-// Below the kernel's own choices for connections, and in a range of this process, so
-// that tests that run side by side do not take each other's between the choice and
-// the use.
+// Ports lie below the kernel's ephemeral range and in a range of this process, so that
+// tests that run in parallel do not take each other's port between its choice and use.
 std::uint16_t free_port() {
   constexpr int first = 10'000;
   constexpr int ranges = 80;
-  // A soak of 40 front hosts takes 206 ports.
+  // A soak with 40 front hosts needs 206 ports.
   constexpr int range_size = 250;
   static int next = first + ::getpid() % ranges * range_size;
   while (true) {
--- a/scenarios/test_caller.h
+++ b/scenarios/test_caller.h
@@ -1,4 +1,4 @@
-// What test callers send and get, and what every played deployment is made of.
+// Requests and responses of test callers, and what all test deployments share.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,25 +13,25 @@
 
 namespace hawthornlane::scenarios {
 
-/// Everything listens here.
+/// Address on which everything listens.
 inline constexpr const char* loopback = "127.0.0.1";
 
-/// What a caller got.
+/// Response as a caller received it.
 struct call_result {
-  /// 0: no answer.
+  /// 0: no response.
   int status = 0;
   std::vector<http::header> headers;
   std::string body;
-  /// The answer came to its proper end.
+  /// The response is complete.
   bool whole = false;
-  /// What came is no answer in the protocol.
+  /// The received bytes are not valid HTTP.
   bool malformed = false;
   std::chrono::milliseconds took{};
 
   [[nodiscard]] std::optional<std::string> header(const std::string& name) const;
 };
 
-/// What a caller sends.
+/// Request as a caller sends it.
 struct call_request {
   std::string method = "POST";
   std::string path;
@@ -40,21 +40,21 @@
   std::string body;
 };
 
-/// Headers and body of one turn of a program, which generates 30 tokens at most.
+/// Request for one turn of a program, which generates at most 30 tokens.
 call_request turn_request_of(const std::string& path, const std::string& id,
                              const std::string& program, const std::string& previous, int budget);
 
-/// The bytes of a request as a caller sends them.
+/// Serializes a request.
 std::string bytes_of(const call_request& what);
 
-/// Reads one answer, as far as it comes; `buffer` keeps what follows it.
+/// Reads one response, or what arrives of it; `buffer` keeps the bytes that follow.
 boost::asio::awaitable<void> read_answer(net::timed_socket& socket, std::string& buffer,
                                          net::steady_time until, call_result& into);
 
-/// A port that nobody listens at, in a range of this process.
+/// A free port, from a range of this process.
 std::uint16_t free_port();
 
-/// The configuration that the operator of the played deployments writes.
+/// Configuration of the test deployments, with this version.
 std::string configuration_of(int version);
 
 }  // namespace hawthornlane::scenarios
