--- a/samples/caller.cc
+++ b/samples/caller.cc
@@ -80,7 +80,7 @@
     if (answer.contains("outcome") && answer.at("outcome").as_string() == "kept") {
       co_return std::string(answer.at("answer").as_string());
     }
-    fmt::print("  not yet: {}\n", json::serialize(answer));
+    fmt::print("  no answer yet: {}\n", json::serialize(answer));
   }
   throw std::runtime_error("no answer after several attempts");
 }
--- a/scenarios/promise_checker.cc
+++ b/scenarios/promise_checker.cc
@@ -78,7 +78,7 @@
     this->note(fmt::format("{} ran {} {} times, at most {} allowed", server, id, call.runs, most));
   }
   if (call.refused != 0) {
-    this->note(fmt::format("{} ran {} after its caller was told {}", server, id, call.refused));
+    this->note(fmt::format("{} ran {} after the call was answered {}", server, id, call.refused));
   }
   if (arrival.request.body != sent.body_at_server) {
     this->note(fmt::format("{} received a wrong body for {}: {} bytes, expected {}", server, id,
