--- a/scenarios/deployment_turns_test.cc
+++ b/scenarios/deployment_turns_test.cc
@@ -7,7 +7,7 @@
 using namespace hawthornlane;
 using namespace hawthornlane::scenarios;
 using namespace std::chrono_literals;
-using stand_ins::backend_act;
+using stand_ins::backend_behavior;
 
 TEST_CASE("a stored turn reaches the server with its whole history, at any front host") {
   deployment all({2, 3, 2, 1});
@@ -90,7 +90,7 @@
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   const std::string first = keep_turn(all, "t1");
-  all.store().set_deaf_watches(true);
+  all.store().set_stalled_watches(true);
   all.kill_disk(0);
   all.start_disk(0, true);
   REQUIRE(all.run_until([&all] {
@@ -99,10 +99,10 @@
   }));
   // Enough for the joining disk host to start copying, too short for a host to read the store.
   all.run_for(150ms);
-  all.store().set_mood(stand_ins::store_mood::silent);
+  all.store().set_behavior(stand_ins::store_behavior::silent);
   const std::string second = keep_turn(all, "t2", first);
-  all.store().set_mood(stand_ins::store_mood::serving);
-  all.store().set_deaf_watches(false);
+  all.store().set_behavior(stand_ins::store_behavior::serving);
+  all.store().set_stalled_watches(false);
   CHECK(all.run_until([&all] {
     const std::string set = all.store().spec_of("hawthornlane-hosts", "ledger-set");
     return set.find("\"epoch\":3") != std::string::npos;
@@ -134,7 +134,7 @@
 TEST_CASE("a turn that has not run is not charged to its budget, even if all disk hosts die") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  all.engine_acts->set({backend_act::shed});
+  all.engine_acts->set({backend_behavior::shed});
   // All disk hosts are killed at the moment when the server refuses the turn.
   bool killed = false;
   all.engines[0]->on_arrival([&](const stand_ins::backend_arrival&) {
@@ -148,7 +148,7 @@
   REQUIRE(killed);
   REQUIRE(refused.status == 503);
   REQUIRE(runs_of(all, "not-run") == 0);
-  all.engine_acts->set({backend_act::answer});
+  all.engine_acts->set({backend_behavior::answer});
   for (int disk = 0; disk < 3; ++disk) {
     all.start_disk(disk);
   }
