--- a/bench/engine_model.cc
+++ b/bench/engine_model.cc
@@ -71,7 +71,7 @@
 }
 
 void engine_model::admit() {
-  while (!this->waiting.empty() && this->running.size() < this->parameters.most_running) {
+  while (!this->waiting.empty() && this->running.size() < this->parameters.max_running) {
     const engine_call call = this->waiting.front();
     const std::int64_t needed = call.prompt + call.answer;
     if (!this->running.empty() && this->running_tokens + needed > this->parameters.cache_tokens) {
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -22,7 +22,7 @@
   /// Prefill is done in chunks of this size, so that decodes go on.
   std::int64_t prefill_chunk = 512;
   /// Calls that run at once; further ones wait in a first-in, first-out queue.
-  std::size_t most_running = 32;
+  std::size_t max_running = 32;
   /// Cache memory in tokens: ten long programs fill it.
   std::int64_t cache_tokens = 300'000;
 };
--- a/bench/experiment.cc
+++ b/bench/experiment.cc
@@ -18,7 +18,7 @@
 constexpr double report_period = 0.5;
 constexpr double late_report = 2.0;
 constexpr double tick_period = 1.0;
-constexpr double fault_at = 0.4;
+constexpr double fault_from = 0.4;
 constexpr double fault_until = 0.7;
 /// A caller whose call is lost sends it again after this long.
 constexpr double lost_call_wait = 1.0;
@@ -50,7 +50,7 @@
   explicit simulation(const run_parameters& with)
       : parameters(with),
         programs(make_programs(with.workload)),
-        chooser(make_policy(with.policy, with.workload.servers)) {
+        compared_policy(make_policy(with.policy, with.workload.servers)) {
     for (std::size_t server = 0; server < with.workload.servers; ++server) {
       this->engines.push_back(std::make_unique<engine_model>(engine_parameters{}));
     }
@@ -111,23 +111,23 @@
     call.asked = this->now;
     const std::uint64_t id = this->next_call++;
     this->calls[id] = call;
-    this->offer(id);
+    this->submit_call(id);
   }
 
-  void offer(std::uint64_t id) {
+  void submit_call(std::uint64_t id) {
     const live_call& call = this->calls.at(id);
     const live_program& program = this->live.at(call.program);
     bench_call seen{id,           call.program,     program.shape->account, call.prompt,
                     call.history, program.attained, program.shape->arrival, this->now};
-    this->decide([&] { return this->chooser->submit(seen); });
+    this->decide([&] { return this->compared_policy->submit(seen); });
   }
 
   template <class Ask>
   void decide(Ask ask) {
     const auto began = std::chrono::steady_clock::now();
     const std::vector<bench_decision> decisions = ask();
-    this->deciding += std::chrono::steady_clock::now() - began;
-    ++this->decided;
+    this->decision_time += std::chrono::steady_clock::now() - began;
+    ++this->decision_count;
     for (const bench_decision& decision : decisions) {
       this->send(decision);
     }
@@ -141,7 +141,7 @@
     if (!this->available[decision.server]) {
       // The connection is refused.
       const std::uint64_t id = decision.id;
-      this->at(this->now + 0.01, [this, id] { this->lose(id); });
+      this->at(this->now + 0.01, [this, id] { this->resend_lost_call(id); });
       return;
     }
     this->engines[decision.server]->submit(
@@ -155,7 +155,7 @@
                            found->second.sent == sent && found->second.first == 0;
         if (stuck) {
           this->engines[found->second.server]->cancel(id);
-          this->lose(id);
+          this->resend_lost_call(id);
         }
       });
     }
@@ -193,7 +193,7 @@
     live_call& call = found->second;
     if (item.what == engine_event::kind::first_token) {
       call.first = this->now;
-      this->chooser->first_token(item.id);
+      this->compared_policy->first_token(item.id);
       return;
     }
     const live_call ended = call;
@@ -202,7 +202,7 @@
     bench_outcome outcome{
         item.id, item.prefilled, ended.answer, ended.first - ended.sent, this->now - ended.sent,
         false};
-    this->decide([&] { return this->chooser->finished(outcome, this->now); });
+    this->decide([&] { return this->compared_policy->finished(outcome, this->now); });
     this->end_turn(ended);
   }
 
@@ -221,14 +221,14 @@
     ++this->finished;
     this->latencies.push_back({program.latency, program.shape->account, program.shape->deadline});
     this->ended.insert(number);
-    for (const std::size_t server : this->chooser->ended(number)) {
+    for (const std::size_t server : this->compared_policy->ended(number)) {
       this->engines[server]->release(number);
     }
     this->live.erase(number);
   }
 
   /// The call's server has failed or did not answer: the caller sends the call again.
-  void lose(std::uint64_t id) {
+  void resend_lost_call(std::uint64_t id) {
     const auto found = this->calls.find(id);
     if (found == this->calls.end()) {
       return;
@@ -238,21 +238,21 @@
     outcome.failed = true;
     live_call call = found->second;
     this->calls.erase(found);
-    this->decide([&] { return this->chooser->finished(outcome, this->now); });
+    this->decide([&] { return this->compared_policy->finished(outcome, this->now); });
     call.at_server = false;
     call.first = 0;
     const std::uint64_t again = this->next_call++;
     this->calls[again] = call;
-    this->at(this->now + lost_call_wait, [this, again] { this->offer(again); });
+    this->at(this->now + lost_call_wait, [this, again] { this->submit_call(again); });
   }
 
   void tick() {
-    this->decide([&] { return this->chooser->tick(this->now); });
-    for (const std::uint64_t id : this->chooser->take_given_up()) {
+    this->decide([&] { return this->compared_policy->tick(this->now); });
+    for (const std::uint64_t id : this->compared_policy->take_given_up()) {
       const auto found = this->calls.find(id);
       if (found != this->calls.end()) {
         this->engines[found->second.server]->cancel(id);
-        this->lose(id);
+        this->resend_lost_call(id);
       }
     }
     for (const auto& engine : this->engines) {
@@ -269,13 +269,14 @@
     const double lag = this->parameters.with == fault::late_reports ? late_report : report_period;
     for (std::size_t server = 0; server < this->engines.size(); ++server) {
       const std::size_t load = this->engines[server]->load();
-      this->at(this->now + lag, [this, server, load] { this->chooser->report(server, load); });
+      this->at(this->now + lag,
+               [this, server, load] { this->compared_policy->report(server, load); });
     }
     this->at(this->now + report_period, [this] { this->report(); });
   }
 
   void plan_fault() {
-    const double from = this->parameters.workload.seconds * fault_at;
+    const double from = this->parameters.workload.seconds * fault_from;
     const double until = this->parameters.workload.seconds * fault_until;
     switch (this->parameters.with) {
       case fault::none:
@@ -297,7 +298,7 @@
         this->at(until, [this] { this->set_zone(true); });
         break;
       case fault::restart:
-        this->at(from, [this] { this->chooser->restart(); });
+        this->at(from, [this] { this->compared_policy->restart(); });
         break;
     }
   }
@@ -311,12 +312,12 @@
       if (!there) {
         for (const engine_call& call : this->engines[server]->crash()) {
           const std::uint64_t id = call.id;
-          this->at(this->now + 0.01, [this, id] { this->lose(id); });
+          this->at(this->now + 0.01, [this, id] { this->resend_lost_call(id); });
         }
       }
       this->at(this->now + list_lag, [this, server, there] {
-        this->chooser->server_listed(server, there, this->now);
-        this->decide([&] { return this->chooser->tick(this->now); });
+        this->compared_policy->server_listed(server, there, this->now);
+        this->decide([&] { return this->compared_policy->tick(this->now); });
       });
     }
   }
@@ -369,8 +370,8 @@
     out.reprefilled_million = this->reprefilled / 1e6;
     out.dead_held_million = this->dead_held / 1e6;
     out.account_spread = worst / best;
-    out.decisions_per_second =
-        static_cast<double>(this->decided) / std::chrono::duration<double>(this->deciding).count();
+    out.decisions_per_second = static_cast<double>(this->decision_count) /
+                               std::chrono::duration<double>(this->decision_time).count();
     return out;
   }
 
@@ -382,7 +383,7 @@
 
   run_parameters parameters;
   std::vector<program_shape> programs;
-  std::unique_ptr<policy> chooser;
+  std::unique_ptr<policy> compared_policy;
   std::vector<std::unique_ptr<engine_model>> engines;
   std::vector<bool> stepping;
   std::vector<bool> available;
@@ -397,8 +398,8 @@
   std::size_t finished = 0;
   double reprefilled = 0;
   double dead_held = 0;
-  std::uint64_t decided = 0;
-  std::chrono::steady_clock::duration deciding{};
+  std::uint64_t decision_count = 0;
+  std::chrono::steady_clock::duration decision_time{};
 };
 
 }  // namespace
--- a/bench/policy.cc
+++ b/bench/policy.cc
@@ -23,11 +23,11 @@
 /// Baselines dispatch at once; calls wait in the engine's own queue.
 class baseline : public policy {
 public:
-  explicit baseline(std::size_t count) : servers(count), there(count, true) {}
+  explicit baseline(std::size_t count) : servers(count), available(count, true) {}
 
   std::vector<bench_decision> submit(const bench_call& call) override {
     std::size_t chosen = this->choose(call);
-    for (std::size_t step = 0; step < this->servers && !this->there[chosen]; ++step) {
+    for (std::size_t step = 0; step < this->servers && !this->available[chosen]; ++step) {
       chosen = (chosen + 1) % this->servers;
     }
     this->last[call.program] = chosen;
@@ -39,14 +39,14 @@
     return {};
   }
   void server_listed(std::size_t server, bool is_there, double) override {
-    this->there[server] = is_there;
+    this->available[server] = is_there;
   }
 
 protected:
   virtual std::size_t choose(const bench_call& call) = 0;
 
   std::size_t servers;
-  std::vector<bool> there;
+  std::vector<bool> available;
   std::map<std::uint64_t, std::size_t> last;
 };
 
@@ -73,8 +73,8 @@
   std::size_t choose(const bench_call&) override {
     std::size_t best = this->servers;
     for (std::size_t server = 0; server < this->servers; ++server) {
-      const bool better =
-          this->there[server] && (best == this->servers || this->load[server] < this->load[best]);
+      const bool better = this->available[server] &&
+                          (best == this->servers || this->load[server] < this->load[best]);
       best = better ? server : best;
     }
     best = best == this->servers ? 0 : best;
@@ -102,9 +102,9 @@
   }
 };
 
-class own_policy final : public policy {
+class product_policy final : public policy {
 public:
-  own_policy(std::size_t count, policy_features chosen) : servers(count), parts(chosen) {
+  product_policy(std::size_t count, policy_features chosen) : servers(count), features(chosen) {
     this->make();
   }
 
@@ -119,7 +119,7 @@
     request.attained = call.attained;
     request.arrived = at(call.now);
     request.began = at(call.began);
-    return numbers(this->core->submit(request, at(call.now)));
+    return to_bench_decisions(this->core->submit(request, at(call.now)));
   }
 
   std::vector<bench_decision> finished(const bench_outcome& outcome, double now) override {
@@ -134,7 +134,7 @@
     if (!outcome.failed) {
       this->mean_answer += share * (static_cast<double>(outcome.answered) - this->mean_answer);
     }
-    return numbers(this->core->finished(ended, at(now)));
+    return to_bench_decisions(this->core->finished(ended, at(now)));
   }
 
   void first_token(std::uint64_t id) override { this->core->first_token(waiting_id(id)); }
@@ -145,8 +145,8 @@
   }
 
   std::vector<bench_decision> tick(double now) override {
-    std::vector<bench_decision> out = std::exchange(this->moved, {});
-    const std::vector<bench_decision> due = numbers(this->core->tick(at(now)));
+    std::vector<bench_decision> out = std::exchange(this->reassigned, {});
+    const std::vector<bench_decision> due = to_bench_decisions(this->core->tick(at(now)));
     out.insert(out.end(), due.begin(), due.end());
     return out;
   }
@@ -161,22 +161,23 @@
 
   void restart() override { this->core->forget_all(); }
 
-  void server_listed(std::size_t server, bool there, double now) override {
-    if (there) {
+  void server_listed(std::size_t server, bool available, double now) override {
+    if (available) {
       this->core->add_server(server_id(server), at(now));
     } else {
-      this->moved = numbers(this->core->remove_server(server_id(server), at(now)));
+      this->reassigned = to_bench_decisions(this->core->remove_server(server_id(server), at(now)));
     }
   }
 
 private:
   void make() {
-    this->core = std::make_unique<scheduler>(window_limits{}, scheduler_settings{}, this->parts);
+    this->core = std::make_unique<scheduler>(window_limits{}, scheduler_settings{}, this->features);
     for (std::size_t server = 0; server < this->servers; ++server) {
       this->core->add_server(server_id(server), timestamp{});
     }
   }
-  static std::vector<bench_decision> numbers(const std::vector<schedule_decision>& decisions) {
+  static std::vector<bench_decision> to_bench_decisions(
+      const std::vector<schedule_decision>& decisions) {
     std::vector<bench_decision> out;
     out.reserve(decisions.size());
     for (const schedule_decision& item : decisions) {
@@ -186,14 +187,14 @@
   }
 
   std::size_t servers;
-  policy_features parts;
+  policy_features features;
   std::unique_ptr<scheduler> core;
   double mean_answer = 200;
   /// Calls of a removed server that were placed elsewhere; sent with the next tick.
-  std::vector<bench_decision> moved;
+  std::vector<bench_decision> reassigned;
 };
 
-const std::map<std::string, bool policy_features::*>& switches() {
+const std::map<std::string, bool policy_features::*>& feature_flags() {
   static const std::map<std::string, bool policy_features::*> table{
       {"window", &policy_features::window},
       {"program-order", &policy_features::program_order},
@@ -210,7 +211,7 @@
 
 std::vector<std::string> policy_names() {
   std::vector<std::string> names{"round-robin", "least-loaded", "affinity", "hawthornlane"};
-  for (const auto& [name, part] : switches()) {
+  for (const auto& [name, part] : feature_flags()) {
     names.push_back("hawthornlane-" + name);
   }
   return names;
@@ -226,19 +227,19 @@
   if (name == "affinity") {
     return std::make_unique<affinity>(servers);
   }
-  policy_features parts;
+  policy_features features;
   if (name == "hawthornlane") {
-    return std::make_unique<own_policy>(servers, parts);
+    return std::make_unique<product_policy>(servers, features);
   }
   const std::string prefix = "hawthornlane-";
-  const auto found =
-      name.starts_with(prefix) ? switches().find(name.substr(prefix.size())) : switches().end();
-  if (found == switches().end()) {
+  const auto found = name.starts_with(prefix) ? feature_flags().find(name.substr(prefix.size()))
+                                              : feature_flags().end();
+  if (found == feature_flags().end()) {
     return nullptr;
   }
   // Each switch inverts its feature: enabled ones are disabled, the rejected one is enabled.
-  parts.*(found->second) = !(parts.*(found->second));
-  return std::make_unique<own_policy>(servers, parts);
+  features.*(found->second) = !(features.*(found->second));
+  return std::make_unique<product_policy>(servers, features);
 }
 
 }  // namespace hawthornlane::bench
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -86,8 +86,8 @@
 void run_all(std::vector<job>& jobs) {
   std::atomic<std::size_t> next{0};
   std::vector<std::jthread> threads;
-  constexpr unsigned most_threads = 7;
-  for (unsigned at = 0; at < most_threads; ++at) {
+  constexpr unsigned max_threads = 7;
+  for (unsigned at = 0; at < max_threads; ++at) {
     threads.emplace_back([&] {
       for (std::size_t mine = next++; mine < jobs.size(); mine = next++) {
         jobs[mine].figures = run(jobs[mine].parameters);
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -31,7 +31,7 @@
 
 /// Mean duration of `count` runs of `work`, microseconds.
 template <class Work>
-double each_us(std::size_t count, Work work) {
+double mean_us(std::size_t count, Work work) {
   const auto began = steady::now();
   for (std::size_t at = 0; at < count; ++at) {
     work(at);
@@ -49,9 +49,9 @@
 }
 
 /// A shard owner and two replicas that answer without delay.
-class trio {
+class replicated_shard {
 public:
-  trio() {
+  replicated_shard() {
     for (std::size_t at = 0; at < 3; ++at) {
       this->cores.emplace_back(shard_id(1), host(at));
     }
@@ -110,12 +110,12 @@
 
 void owner_slopes() {
   for (const std::size_t bytes : {400U, 4000U, 40000U}) {
-    trio shard;
+    replicated_shard shard;
     const program_id program = make_program_id(shard_id(1), 1);
     shard.open(program);
-    const double us = each_us(200, [&](std::size_t) { shard.turn(program, bytes); });
+    const double us = mean_us(200, [&](std::size_t) { shard.turn(program, bytes); });
     print("turn: owner and two replicas, all cores; bytes kept", bytes, "us/turn", us);
-    trio counted;
+    replicated_shard counted;
     counted.open(program);
     counted.count_bytes = true;
     const std::uint64_t before = counted.messages;
@@ -127,7 +127,7 @@
     print("turn: wire; bytes kept", bytes, "bytes/turn", static_cast<double>(counted.bytes) / 50);
   }
   for (const std::size_t programs : {1U, 10U, 100U}) {
-    trio shard;
+    replicated_shard shard;
     for (std::size_t number = 0; number < programs; ++number) {
       const program_id program = make_program_id(shard_id(1), number + 1);
       shard.open(program);
@@ -137,18 +137,18 @@
     }
     const log_snapshot log = *shard.cores[0].log();
     std::string bytes;
-    const double us = each_us(20, [&](std::size_t) { bytes = to_bytes(log); });
+    const double us = mean_us(20, [&](std::size_t) { bytes = to_bytes(log); });
     print("install: 40 kB programs in the shard", programs, "bytes",
           static_cast<double>(bytes.size()));
     print("install: 40 kB programs in the shard", programs, "us encode", us);
-    const double back = each_us(20, [&](std::size_t) { log_snapshot_from_bytes(bytes); });
+    const double back = mean_us(20, [&](std::size_t) { log_snapshot_from_bytes(bytes); });
     print("install: 40 kB programs in the shard", programs, "us decode", back);
-    const double tick = each_us(1000, [&](std::size_t) { shard.cores[0].tick(shard.now); });
+    const double tick = mean_us(1000, [&](std::size_t) { shard.cores[0].tick(shard.now); });
     print("tick of an idle shard: programs", programs, "us", tick);
     std::size_t broken = 0;
     const double whole =
-        each_us(50, [&](std::size_t) { broken += shard.cores[0].broken_invariant().size(); });
-    const double newest = each_us(50, [&](std::size_t) {
+        mean_us(50, [&](std::size_t) { broken += shard.cores[0].broken_invariant().size(); });
+    const double newest = mean_us(50, [&](std::size_t) {
       broken += shard.cores[0].broken_invariant_in_newest_turns().size();
     });
     print("check of whole histories: 40 kB programs", programs, "us", whole);
@@ -177,7 +177,7 @@
     std::uint64_t sent = 0;
     std::uint64_t sequence = 1;
     const std::size_t periods = 400;
-    const double us = each_us(periods, [&](std::size_t period) {
+    const double us = mean_us(periods, [&](std::size_t period) {
       now += membership_times{}.period;
       const auto out = core.tick(now, period);
       // In each period one probe is acknowledged, and one arrives from another host.
@@ -214,7 +214,7 @@
     }
     std::vector<std::uint64_t> inside;
     const std::size_t calls = 20'000;
-    const double us = each_us(calls, [&](std::size_t at) {
+    const double us = mean_us(calls, [&](std::size_t at) {
       now += std::chrono::microseconds(100);
       schedule_request request;
       request.id = waiting_id(at + 1);
@@ -242,7 +242,7 @@
     for (std::size_t at = 0; at < hosts; ++at) {
       all.push_back({host(at), availability_zone("zone-" + std::to_string(at % 20))});
     }
-    const double us = each_us(200, [&](std::size_t at) {
+    const double us = mean_us(200, [&](std::size_t at) {
       choose_replicas(shard_id(static_cast<std::uint32_t>(at)), all[0], all, {}, 2);
     });
     print("placement: hosts", hosts, "us/shard", us);
@@ -285,7 +285,7 @@
     pool.set_utilization(1);
     timestamp now{};
     std::vector<placement> placed;
-    const double us = each_us(10'000, [&](std::size_t at) {
+    const double us = mean_us(10'000, [&](std::size_t at) {
       now += std::chrono::milliseconds(1);
       placement_request request = turn_of(at);
       request.prompt.clear();
@@ -320,7 +320,7 @@
       pool.submit(request, now, placed);
       pool.take_update();
     };
-    const double us = each_us(10'000, [&](std::size_t at) {
+    const double us = mean_us(10'000, [&](std::size_t at) {
       place();
       pool.started(placement_id(at + 1), now);
       pool.finished(placement_id(at + 1), server_outcome::answered, now);
@@ -334,7 +334,7 @@
     }
     const std::size_t failing = 200;
     print("turn without a place: servers", servers, "us/turn",
-          each_us(failing, [&](std::size_t) { place(); }));
+          mean_us(failing, [&](std::size_t) { place(); }));
   }
 }
 
@@ -344,7 +344,7 @@
     for (std::size_t at = 0; at < hosts; ++at) {
       demands.push_back({host(at), 1, static_cast<std::int64_t>(at % 3)});
     }
-    const double us = each_us(1000, [&](std::size_t) { split_window(64, demands); });
+    const double us = mean_us(1000, [&](std::size_t) { split_window(64, demands); });
     print("credits: hosts", hosts, "us/split", us);
   }
   for (const std::size_t accounts : {100U, 1000U, 39000U}) {
@@ -352,7 +352,7 @@
     for (std::size_t at = 0; at < accounts; ++at) {
       queue.add({waiting_id(at), client_account(std::to_string(at)), 1, 0, 1});
     }
-    const double us = each_us(200, [&](std::size_t at) {
+    const double us = mean_us(200, [&](std::size_t at) {
       auto taken = queue.take();
       taken->id = waiting_id(1'000'000 + at);
       queue.add(*taken);
@@ -400,7 +400,7 @@
       keys.push_back(key_of(at * 7919 % accounts, 2));
     }
     std::size_t found = 0;
-    const double us = each_us(calls, [&](std::size_t at) {
+    const double us = mean_us(calls, [&](std::size_t at) {
       found += table->find(keys[at % accounts]) != nullptr ? 1 : 0;
     });
     print("accounts: key look-up", accounts, "us/call", us);
@@ -409,16 +409,16 @@
   for (const std::size_t accounts : {80U, 39'000U}) {
     const account_table_ptr table = table_of(accounts);
     const double before = resident_mb();
-    constexpr std::size_t keepers = 5;
-    quota_manager keeper(quota_tolerance{std::chrono::seconds(5), 0.1, 20});
+    constexpr std::size_t manager_count = 5;
+    quota_manager manager(quota_tolerance{std::chrono::seconds(5), 0.1, 20});
     ledger_set set;
     quota_lease_view lease{disk_id("disk-0"), set, {}, {}};
-    for (std::size_t at = 0; at < keepers; ++at) {
+    for (std::size_t at = 0; at < manager_count; ++at) {
       set.members.emplace_back(fmt::format("disk-{}", at));
       lease.heard.push_back({set.members.back(), {}, {}});
     }
     timestamp now{};
-    keeper.set_share(1.0 / keepers, now);
+    manager.set_share(1.0 / manager_count, now);
     std::size_t granted = 0;
     const auto check = [&](std::size_t at) {
       now += std::chrono::microseconds(100);
@@ -426,18 +426,18 @@
         word.received_at = now;
       }
       const account& caller = table->accounts()[at * 7919 % accounts];
-      quota_round round(keepers);
+      quota_round round(manager_count);
       round.ask_next();
       if (holds_quota_lease(lease, now)) {
-        round.answered(keeper.ask({caller.name, caller.limit, limit_version(1)}, now));
+        round.answered(manager.ask({caller.name, caller.limit, limit_version(1)}, now));
       }
       granted += round.decision() == quota_decision::granted ? 1 : 0;
-      keeper.take_changes(now);
+      manager.take_changes(now);
     };
-    each_us(accounts, check);
+    mean_us(accounts, check);
     print("quotas: a keeper's buckets", accounts, "MB resident", resident_mb() - before);
     print("quotas: check of a call (lease, bucket, record)", accounts, "us/call",
-          each_us(calls, check));
+          mean_us(calls, check));
     print("quotas: calls granted", accounts, "count", static_cast<double>(granted));
   }
 }
@@ -447,10 +447,10 @@
     rollout_core core;
     const std::string text(2000, 'x');
     for (std::size_t at = 0; at < documents; ++at) {
-      core.offer(service_name(std::to_string(at)), generation(1), text, timestamp{});
+      core.submit_call(service_name(std::to_string(at)), generation(1), text, timestamp{});
     }
     std::uint64_t sum = 0;
-    const double us = each_us(100, [&](std::size_t) { sum += core.digest(); });
+    const double us = mean_us(100, [&](std::size_t) { sum += core.digest(); });
     print("rollout digest: documents", documents, "us", us);
     if (sum == 1) {
       fmt::print("\n");
--- a/bench/workload.cc
+++ b/bench/workload.cc
@@ -7,7 +7,7 @@
 namespace hawthornlane::bench {
 namespace {
 
-constexpr std::size_t most_turns = 68;
+constexpr std::size_t max_turns = 68;
 constexpr std::int64_t longest_history = 710'000;
 // Cost per token at a batch of sixteen with the parameters of engine_model.h: steps of
 // 10 + 15 * 0.6 ms give 842 tokens per second; a prefilled token delays the whole batch by
@@ -15,16 +15,16 @@
 constexpr double decode_seconds_per_token = (0.010 + 15 * 0.0006) / 16;
 constexpr double prefill_seconds_per_token = 0.00010;
 
-class shapes {
+class program_generator {
 public:
-  shapes(user_mix chosen, std::uint64_t seed) : mix(chosen), random(seed) {}
+  program_generator(user_mix chosen, std::uint64_t seed) : mix(chosen), random(seed) {}
 
   double lognormal(double median, double sigma) {
     return std::lognormal_distribution<double>(std::log(median), sigma)(this->random);
   }
-  std::int64_t tokens(double median, double sigma, std::int64_t most) {
+  std::int64_t tokens(double median, double sigma, std::int64_t maximum) {
     const auto drawn = static_cast<std::int64_t>(this->lognormal(median, sigma));
-    return std::clamp<std::int64_t>(drawn, 8, most);
+    return std::clamp<std::int64_t>(drawn, 8, maximum);
   }
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(this->random); }
 
@@ -37,7 +37,7 @@
   program_shape diagnosis() {
     program_shape program;
     const auto turns =
-        std::clamp<std::size_t>(static_cast<std::size_t>(this->lognormal(7, 0.8)), 2, most_turns);
+        std::clamp<std::size_t>(static_cast<std::size_t>(this->lognormal(7, 0.8)), 2, max_turns);
     std::int64_t history = 0;
     for (std::size_t at = 0; at < turns; ++at) {
       turn_shape turn;
@@ -60,7 +60,7 @@
     program_shape program;
     program.deadline = 120;
     const auto turns =
-        std::clamp<std::size_t>(static_cast<std::size_t>(this->lognormal(10, 0.6)), 3, most_turns);
+        std::clamp<std::size_t>(static_cast<std::size_t>(this->lognormal(10, 0.6)), 3, max_turns);
     for (std::size_t at = 0; at < turns; ++at) {
       turn_shape turn;
       turn.new_tokens = at == 0 ? this->tokens(6000, 0.8, 120'000) : this->tokens(700, 1.0, 40'000);
@@ -86,7 +86,7 @@
 
 double mean_work(user_mix mix) {
   constexpr int samples = 4000;
-  shapes source(mix, 4711);
+  program_generator source(mix, 4711);
   double sum = 0;
   for (int at = 0; at < samples; ++at) {
     sum += work_of(source.program());
@@ -95,7 +95,7 @@
 }
 
 /// Adds arrivals at `rate` programs per second; summaries arrive in bursts.
-void add_arrivals(const workload_parameters& parameters, shapes& source, double rate,
+void add_arrivals(const workload_parameters& parameters, program_generator& source, double rate,
                   bool only_first_account, std::vector<program_shape>& programs) {
   std::mt19937_64 random(parameters.seed * 7919 + (only_first_account ? 13 : 0));
   std::exponential_distribution<double> gap(rate);
@@ -122,7 +122,7 @@
 }  // namespace
 
 std::vector<program_shape> make_programs(const workload_parameters& parameters) {
-  shapes source(parameters.mix, parameters.seed);
+  program_generator source(parameters.mix, parameters.seed);
   const double capacity = static_cast<double>(parameters.servers);
   const double rate = parameters.load * capacity / mean_work(parameters.mix);
   std::vector<program_shape> programs;
--- a/samples/caller.cc
+++ b/samples/caller.cc
@@ -19,11 +19,11 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-constexpr duration patience = std::chrono::seconds(60);
-constexpr int most_tries = 5;
+constexpr duration fetch_timeout = std::chrono::seconds(60);
+constexpr int max_attempts = 5;
 
 /// State of a program that a caller has to keep between two calls.
-struct program_memory {
+struct program_state {
   http::endpoint host;
   std::string credential;
   std::string program;
@@ -31,28 +31,28 @@
   std::string digest;
 };
 
-http::request request_to(const program_memory& memory, std::string method, std::string target,
+http::request request_to(const program_state& state, std::string method, std::string target,
                          std::string body) {
   http::request ask;
   ask.method = std::move(method);
   ask.target = std::move(target);
   ask.body = std::move(body);
-  ask.headers = {{"Authorization", "Bearer " + memory.credential}};
+  ask.headers = {{"Authorization", "Bearer " + state.credential}};
   return ask;
 }
 
-void remember(program_memory& memory, const json::object& answer) {
+void update_ticket(program_state& state, const json::object& answer) {
   if (answer.contains("ticket")) {
-    memory.ticket = std::string(answer.at("ticket").as_string());
-    memory.digest = std::string(answer.at("digest").as_string());
+    state.ticket = std::string(answer.at("ticket").as_string());
+    state.digest = std::string(answer.at("digest").as_string());
   }
 }
 
-asio::awaitable<json::object> ask(http::client& client, const program_memory& memory,
+asio::awaitable<json::object> ask(http::client& client, const program_state& state,
                                   std::string method, std::string target, std::string body) {
   http::fetch_failure why;
-  http::request what = request_to(memory, std::move(method), std::move(target), std::move(body));
-  const auto answer = co_await client.fetch(memory.host, std::move(what), patience, why);
+  http::request what = request_to(state, std::move(method), std::move(target), std::move(body));
+  const auto answer = co_await client.fetch(state.host, std::move(what), fetch_timeout, why);
   if (!answer) {
     json::object nothing;
     nothing["lost"] = why.detail;
@@ -64,19 +64,19 @@
 
 /// Makes one call. If its answer is lost, the call is repeated with the same ticket: it runs
 /// once, however often it is sent.
-asio::awaitable<std::string> say(http::client& client, program_memory& memory, std::string text) {
+asio::awaitable<std::string> say(http::client& client, program_state& state, std::string text) {
   json::object message;
   message["role"] = "user";
   message["content"] = text;
-  for (int attempt = 0; attempt < most_tries; ++attempt) {
+  for (int attempt = 0; attempt < max_attempts; ++attempt) {
     json::object body;
-    body["ticket"] = memory.ticket;
-    body["digest"] = memory.digest;
+    body["ticket"] = state.ticket;
+    body["digest"] = state.digest;
     body["max_tokens"] = 8;
     body["messages"] = json::array{message};
     const json::object answer = co_await ask(
-        client, memory, "POST", "/v1/programs/" + memory.program + "/calls", json::serialize(body));
-    remember(memory, answer);
+        client, state, "POST", "/v1/programs/" + state.program + "/calls", json::serialize(body));
+    update_ticket(state, answer);
     if (answer.contains("outcome") && answer.at("outcome").as_string() == "kept") {
       co_return std::string(answer.at("answer").as_string());
     }
@@ -85,25 +85,25 @@
   throw std::runtime_error("no answer after several attempts");
 }
 
-asio::awaitable<void> run(http::client& client, program_memory& memory) {
-  const json::object opened = co_await ask(client, memory, "POST", "/v1/programs", "");
+asio::awaitable<void> run(http::client& client, program_state& state) {
+  const json::object opened = co_await ask(client, state, "POST", "/v1/programs", "");
   if (!opened.contains("program")) {
     throw std::runtime_error("opening a program failed: " + json::serialize(opened));
   }
-  memory.program = std::string(opened.at("program").as_string());
-  remember(memory, opened);
+  state.program = std::string(opened.at("program").as_string());
+  update_ticket(state, opened);
   // The first address is the owner of the program's shard; any other host would have to relay
   // the calls.
   const json::object listed =
-      co_await ask(client, memory, "GET", "/v1/addresses?program=" + memory.program, "");
+      co_await ask(client, state, "GET", "/v1/addresses?program=" + state.program, "");
   const json::object& best = listed.at("addresses").as_array().front().as_object();
-  memory.host =
-      http::endpoint_from_string(std::string(best.at("address").as_string())).value_or(memory.host);
+  state.host =
+      http::endpoint_from_string(std::string(best.at("address").as_string())).value_or(state.host);
   for (const char* text : {"The lift sinks. What first?", "The pressure is low. Go on."}) {
-    const std::string answer = co_await say(client, memory, text);
+    const std::string answer = co_await say(client, state, text);
     fmt::print("> {}\n  {}\n", text, answer);
   }
-  co_await ask(client, memory, "DELETE", "/v1/programs/" + memory.program, "");
+  co_await ask(client, state, "DELETE", "/v1/programs/" + state.program, "");
 }
 
 }  // namespace
@@ -115,13 +115,13 @@
     fmt::print(stderr, "usage: sample_caller IP:port CREDENTIAL\n");
     return exit_usage;
   }
-  program_memory memory;
-  memory.host = *host;
-  memory.credential = argv[2];
+  program_state state;
+  state.host = *host;
+  state.credential = argv[2];
   std::exception_ptr fault;
   asio::io_context context;
   http::client client;
-  asio::co_spawn(context, run(client, memory),
+  asio::co_spawn(context, run(client, state),
                  [&fault](const std::exception_ptr& raised) { fault = raised; });
   context.run();
   if (fault) {
--- a/scenarios/child_process.cc
+++ b/scenarios/child_process.cc
@@ -37,9 +37,9 @@
 child_process::~child_process() { this->kill(); }
 
 void child_process::reap(bool wait) {
-  int told = 0;
-  if (!this->ended && ::waitpid(this->id, &told, wait ? 0 : WNOHANG) == this->id) {
-    this->ended = told;
+  int wait_status = 0;
+  if (!this->ended && ::waitpid(this->id, &wait_status, wait ? 0 : WNOHANG) == this->id) {
+    this->ended = wait_status;
   }
 }
 
--- a/scenarios/configuration_spread_test.cc
+++ b/scenarios/configuration_spread_test.cc
@@ -57,7 +57,7 @@
         std::chrono::duration<double>(static_cast<double>(bytes) / link_bytes_per_second));
     this->free_at = std::max(this->free_at, steady::now()) + takes;
     this->waiting += bytes;
-    this->most_waiting = std::max(this->most_waiting, this->waiting);
+    this->max_waiting = std::max(this->max_waiting, this->waiting);
     const auto timer = std::make_shared<asio::steady_timer>(this->context, this->free_at);
     timer->async_wait([this, timer, bytes, sent = std::move(sent)](const net::error_code&) {
       this->waiting -= bytes;
@@ -65,13 +65,13 @@
     });
   }
 
-  [[nodiscard]] std::size_t most_bytes_waiting() const { return this->most_waiting; }
+  [[nodiscard]] std::size_t max_bytes_waiting() const { return this->max_waiting; }
 
 private:
   asio::io_context& context;
   steady::time_point free_at{};
   std::size_t waiting = 0;
-  std::size_t most_waiting = 0;
+  std::size_t max_waiting = 0;
 };
 
 std::string text_of(config_version version, std::size_t bytes) {
@@ -204,12 +204,12 @@
     return copies;
   }
 
-  [[nodiscard]] std::size_t most_bytes_waiting() const {
-    std::size_t most = 0;
+  [[nodiscard]] std::size_t max_bytes_waiting() const {
+    std::size_t maximum = 0;
     for (const auto& host : this->hosts) {
-      most = std::max(most, host->link.most_bytes_waiting());
+      maximum = std::max(maximum, host->link.max_bytes_waiting());
     }
-    return most;
+    return maximum;
   }
 
   asio::io_context context;
@@ -251,7 +251,7 @@
     // Copies that are requested again while in flight would arrive in this second.
     all.run_until([] { return false; }, 1s);
     const std::uint64_t copies = all.copies_given();
-    const std::size_t waiting = all.most_bytes_waiting();
+    const std::size_t waiting = all.max_bytes_waiting();
     WARN(fmt::format("{}: {} copies for {} hosts, {} KB waiting at most, {} ms", item.what, copies,
                      receivers, waiting / 1000, took.count()));
     CHECK(copies <= receivers * item.changes * 5 / 4);
--- a/scenarios/deployment.cc
+++ b/scenarios/deployment.cc
@@ -37,15 +37,16 @@
   *into = std::move(result);
 }
 
-asio::awaitable<void> visit(asio::io_context& context, net::deadline_sweeper& sweeper,
-                            http::endpoint where, std::string bytes, std::chrono::milliseconds stay,
-                            std::shared_ptr<bool> done) {
+asio::awaitable<void> call_and_disconnect(asio::io_context& context, net::deadline_sweeper& sweeper,
+                                          http::endpoint where, std::string bytes,
+                                          std::chrono::milliseconds delay,
+                                          std::shared_ptr<bool> done) {
   net::timed_socket socket(context, sweeper);
   const net::error_code failed = co_await socket.connect(where, steady::now() + call_limit);
   if (!failed) {
     co_await socket.write_all(bytes, steady::now() + call_limit);
     net::async_signal pause(context);
-    co_await pause.wait_until(steady::now() + stay);
+    co_await pause.wait_until(steady::now() + delay);
   }
   socket.close();
   *done = true;
@@ -96,20 +97,21 @@
 }  // namespace
 
 deployment::deployment(deployment_size size)
-    : sweeper(around),
+    : sweeper(environment),
       folder(std::filesystem::temp_directory_path() / fmt::format("hawthornlane-{}", ::getpid())) {
   std::filesystem::remove_all(this->folder);
   std::filesystem::create_directories(this->folder);
   const http::endpoint any{loopback, 0};
-  this->platform = std::make_unique<stand_ins::object_platform>(this->around, any);
+  this->platform = std::make_unique<stand_ins::object_platform>(this->environment, any);
   for (int number = 0; number < size.engines; ++number) {
     this->engines.push_back(std::make_unique<stand_ins::scripted_backend>(
-        this->around, this->sweeper, any, fmt::format("engine-{}", number), this->engine_acts));
+        this->environment, this->sweeper, any, fmt::format("engine-{}", number),
+        this->engine_acts));
     this->list_backend(*this->engines.back(), "models");
   }
   for (int number = 0; number < size.apps; ++number) {
     this->apps.push_back(std::make_unique<stand_ins::scripted_backend>(
-        this->around, this->sweeper, any, fmt::format("app-{}", number), this->app_acts));
+        this->environment, this->sweeper, any, fmt::format("app-{}", number), this->app_acts));
     this->list_backend(*this->apps.back(), "apps");
   }
   this->configure(1);
@@ -141,7 +143,7 @@
     if (steady::now() >= until) {
       return false;
     }
-    std::size_t ran = this->around.poll();
+    std::size_t ran = this->environment.poll();
     for (auto& item : this->fronts) {
       ran += item.context ? item.context->poll() : 0;
     }
@@ -164,9 +166,9 @@
 std::shared_ptr<std::optional<call_result>> deployment::begin_call(int front,
                                                                    const call_request& what) {
   auto result = std::make_shared<std::optional<call_result>>();
-  asio::co_spawn(this->around,
-                 make_call(this->around, this->sweeper, this->front_settings_of(front).callers_at,
-                           bytes_of(what), result),
+  asio::co_spawn(this->environment,
+                 make_call(this->environment, this->sweeper,
+                           this->front_settings_of(front).callers_at, bytes_of(what), result),
                  asio::detached);
   return result;
 }
@@ -177,30 +179,32 @@
   return result->value_or(call_result{});
 }
 
-std::string deployment::talk(int front, const std::string& bytes) {
+std::string deployment::send_raw(int front, const std::string& bytes) {
   const auto result = std::make_shared<std::optional<std::string>>();
-  asio::co_spawn(this->around,
-                 exchange_bytes(this->around, this->sweeper,
+  asio::co_spawn(this->environment,
+                 exchange_bytes(this->environment, this->sweeper,
                                 this->front_settings_of(front).callers_at, bytes, result),
                  asio::detached);
   this->run_until([&result] { return result->has_value(); });
   return result->value_or("");
 }
 
-void deployment::leave_early(int front, const call_request& what, std::chrono::milliseconds stay) {
+void deployment::disconnect_after(int front, const call_request& what,
+                                  std::chrono::milliseconds delay) {
   const auto done = std::make_shared<bool>(false);
-  asio::co_spawn(this->around,
-                 visit(this->around, this->sweeper, this->front_settings_of(front).callers_at,
-                       bytes_of(what), stay, done),
-                 asio::detached);
+  asio::co_spawn(
+      this->environment,
+      call_and_disconnect(this->environment, this->sweeper,
+                          this->front_settings_of(front).callers_at, bytes_of(what), delay, done),
+      asio::detached);
   this->run_until([&done] { return *done; });
 }
 
 void deployment::reset_after(int front, const call_request& what, const std::string& text) {
   const auto done = std::make_shared<bool>(false);
   asio::co_spawn(
-      this->around,
-      read_and_reset(this->around, this->sweeper, this->front_settings_of(front).callers_at,
+      this->environment,
+      read_and_reset(this->environment, this->sweeper, this->front_settings_of(front).callers_at,
                      bytes_of(what), text, done),
       asio::detached);
   this->run_until([&done] { return *done; });
@@ -209,7 +213,7 @@
 http::response deployment::get(const http::endpoint& where, const std::string& target) {
   const auto result = std::make_shared<std::optional<http::response>>();
   http::client client;
-  asio::co_spawn(this->around, fetch(client, where, target, result), asio::detached);
+  asio::co_spawn(this->environment, fetch(client, where, target, result), asio::detached);
   this->run_until([&result] { return result->has_value(); });
   return result->value_or(http::response{0, "", {}, ""});
 }
--- a/scenarios/deployment.h
+++ b/scenarios/deployment.h
@@ -31,7 +31,7 @@
 class deployment {
 private:
   /// Event loop of the callers and stand-ins. Declared first, so that it is destroyed last.
-  boost::asio::io_context around;
+  boost::asio::io_context environment;
   net::deadline_sweeper sweeper;
 
 public:
@@ -49,9 +49,9 @@
   /// Starts a call and returns at once; the result is set when the call ends.
   std::shared_ptr<std::optional<call_result>> begin_call(int front, const call_request& what);
   /// Sends raw bytes and returns everything received until the connection closes.
-  std::string talk(int front, const std::string& bytes);
+  std::string send_raw(int front, const std::string& bytes);
   /// Starts a call and closes the connection after `stay`.
-  void leave_early(int front, const call_request& what, std::chrono::milliseconds stay);
+  void disconnect_after(int front, const call_request& what, std::chrono::milliseconds delay);
 
   /// Starts a call and resets the connection once `text` was received; if `text` is empty,
   /// once the request is sent.
--- a/scenarios/deployment_calls.h
+++ b/scenarios/deployment_calls.h
@@ -51,9 +51,10 @@
 
 /// Sends a turn, and repeats it under a new id while the response is 503 (not run). Other
 /// programs' writes can make a sync take longer than a front host waits for the disk hosts.
-inline decided_turn decide(deployment& all, const std::string& name,
-                           const std::function<call_request(const std::string& id)>& make) {
-  constexpr int most_tries = 8;
+inline decided_turn retry_until_decided(
+    deployment& all, const std::string& name,
+    const std::function<call_request(const std::string& id)>& make) {
+  constexpr int max_attempts = 8;
   decided_turn decided;
   int tries = 0;
   do {
@@ -62,14 +63,14 @@
     if (decided.result.status == 503) {
       CHECK(runs_of(all, decided.id) == 0);
     }
-  } while (decided.result.status == 503 && tries < most_tries);
+  } while (decided.result.status == 503 && tries < max_attempts);
   return decided;
 }
 
 /// Runs a turn that continues `previous` and is stored; returns its id.
-inline std::string keep_turn(deployment& all, const std::string& name,
-                             const std::string& previous = "", int budget = 1000) {
-  const decided_turn kept = decide(
+inline std::string store_turn(deployment& all, const std::string& name,
+                              const std::string& previous = "", int budget = 1000) {
+  const decided_turn kept = retry_until_decided(
       all, name, [&](const std::string& id) { return turn("/kept/x", id, "p", previous, budget); });
   CHECK(kept.result.status == 200);
   CHECK(kept.result.whole);
--- a/scenarios/deployment_test.cc
+++ b/scenarios/deployment_test.cc
@@ -110,7 +110,7 @@
     INFO(item.what);
     // A refused turn reaches no server and uses up no scripted act.
     all.engine_acts->set(item.acts);
-    const auto [id, result] = decide(all, name, [&](const std::string& try_id) {
+    const auto [id, result] = retry_until_decided(all, name, [&](const std::string& try_id) {
       return turn(item.path, try_id, "program-" + name);
     });
     CHECK(result.status == 200);
@@ -158,13 +158,14 @@
       const std::string program = "program-" + name;
       INFO(item.moment << (resumable ? ", resumed" : ", requested again from the start"));
       all.reset_after(0, turn(path, name, program), item.last);
-      const decided_turn again = decide(all, name + "-again", [&](const std::string& id) {
-        call_request call = turn(path, id, program);
-        if (resumable && item.events > 0) {
-          call.headers.push_back({"Last-Event-Id", std::to_string(item.events)});
-        }
-        return call;
-      });
+      const decided_turn again =
+          retry_until_decided(all, name + "-again", [&](const std::string& id) {
+            call_request call = turn(path, id, program);
+            if (resumable && item.events > 0) {
+              call.headers.push_back({"Last-Event-Id", std::to_string(item.events)});
+            }
+            return call;
+          });
       CHECK(again.result.status == 200);
       CHECK(again.result.whole);
       std::string rest;
@@ -177,9 +178,9 @@
       if (!resumable) {
         // The dialog continues from the answer that its caller has received completely, and from
         // no other.
-        const decided_turn next = decide(all, name + "-next", [&](const std::string& id) {
-          return turn(path, id, program, again.id);
-        });
+        const decided_turn next = retry_until_decided(
+            all, name + "-next",
+            [&](const std::string& id) { return turn(path, id, program, again.id); });
         CHECK(next.result.whole);
         CHECK(runs_of(all, next.id) == 1);
       }
@@ -209,7 +210,7 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    const std::string answer = all.talk(0, item.bytes);
+    const std::string answer = all.send_raw(0, item.bytes);
     CHECK(answer.substr(0, 14).find(item.status) != std::string::npos);
     CHECK(answer.find("Connection: close") != std::string::npos);
   }
@@ -223,7 +224,7 @@
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   all.engines[0]->set_events(100, 20ms);
-  all.leave_early(0, turn("/resumed/x", "t1", "p"), 150ms);
+  all.disconnect_after(0, turn("/resumed/x", "t1", "p"), 150ms);
   CHECK(all.run_until([&all] { return all.engines[0]->cancelled() == 1; }, 500ms));
 }
 
--- a/scenarios/deployment_turns_test.cc
+++ b/scenarios/deployment_turns_test.cc
@@ -47,7 +47,7 @@
 TEST_CASE("turns and budgets survive a crash of all disk hosts at once and the loss of one disk") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  const std::string first = keep_turn(all, "t1", "", 70);
+  const std::string first = store_turn(all, "t1", "", 70);
   for (int disk = 0; disk < 3; ++disk) {
     all.kill_disk(disk);
   }
@@ -71,7 +71,7 @@
     return again.status != 503;
   });
   CHECK(again.status == 200);
-  const decided_turn spent = decide(
+  const decided_turn spent = retry_until_decided(
       all, "t4", [&first](const std::string& id) { return turn("/kept/x", id, "p", first, 70); });
   CHECK(spent.result.status == 402);
   if (one_is_empty) {
@@ -89,7 +89,7 @@
   // their deadlines.
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  const std::string first = keep_turn(all, "t1");
+  const std::string first = store_turn(all, "t1");
   all.store().set_stalled_watches(true);
   all.kill_disk(0);
   all.start_disk(0, true);
@@ -100,26 +100,26 @@
   // Enough for the joining disk host to start copying, too short for a host to read the store.
   all.run_for(150ms);
   all.store().set_behavior(stand_ins::store_behavior::silent);
-  const std::string second = keep_turn(all, "t2", first);
+  const std::string second = store_turn(all, "t2", first);
   all.store().set_behavior(stand_ins::store_behavior::serving);
   all.store().set_stalled_watches(false);
   CHECK(all.run_until([&all] {
     const std::string set = all.store().spec_of("hawthornlane-hosts", "ledger-set");
     return set.find("\"epoch\":3") != std::string::npos;
   }));
-  keep_turn(all, "t3", second);
+  store_turn(all, "t3", second);
 }
 
 TEST_CASE("a retiring disk host leaves the ledger set before it reports completion") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  const std::string first = keep_turn(all, "t1");
+  const std::string first = store_turn(all, "t1");
   all.store().put("retirements", "disk-0", R"({"duration-s":10})");
   REQUIRE(all.run_until([&all] {
     return all.store().status_of("retirements", "disk-0").find("completed") != std::string::npos;
   }));
   all.kill_disk(0);
-  const std::string second = keep_turn(all, "t2", first);
+  const std::string second = store_turn(all, "t2", first);
   // One of the two remaining hosts is lost as well: the other one continues alone.
   all.kill_disk(1);
   call_result result;
@@ -152,7 +152,7 @@
   for (int disk = 0; disk < 3; ++disk) {
     all.start_disk(disk);
   }
-  const decided_turn again = decide(all, "again", [&](const std::string& id) {
+  const decided_turn again = retry_until_decided(all, "again", [&](const std::string& id) {
     return turn("/kept/x", id, "p", "", budget_of_one_turn);
   });
   CHECK(again.result.status == 200);
--- a/scenarios/fault_proxy.cc
+++ b/scenarios/fault_proxy.cc
@@ -25,7 +25,7 @@
 
 constexpr std::size_t batch_size = std::size_t{16} * 1024;
 /// Interval at which a held batch checks whether it may be delivered.
-constexpr std::chrono::milliseconds look_pause{5};
+constexpr std::chrono::milliseconds poll_interval{5};
 /// Receive buffer towards a target behind a slow link, bytes: the target has to queue
 /// what exceeds it.
 constexpr int slow_link_window = 64 * 1024;
@@ -37,17 +37,17 @@
 }
 
 /// One forwarded connection.
-struct carried {
-  explicit carried(tcp::socket from)
-      : near_side(std::move(from)), far_side(near_side.get_executor()) {}
+struct proxied_connection {
+  explicit proxied_connection(tcp::socket from)
+      : client_side(std::move(from)), target_side(client_side.get_executor()) {}
 
-  tcp::socket near_side;
-  tcp::socket far_side;
+  tcp::socket client_side;
+  tcp::socket target_side;
   bool silent = false;
 
   void reset() {
     error_code ignored;
-    for (tcp::socket* side : {&this->near_side, &this->far_side}) {
+    for (tcp::socket* side : {&this->client_side, &this->target_side}) {
       side->set_option(asio::socket_base::linger(true, 0), ignored);
       side->close(ignored);
     }
@@ -67,25 +67,27 @@
   /// Bytes per second back from the target; 0: no limit.
   std::uint64_t rate = 0;
   /// When the slow link will have sent everything queued so far.
-  std::chrono::steady_clock::time_point carried_at;
-  std::vector<std::weak_ptr<carried>> links;
+  std::chrono::steady_clock::time_point link_free_at;
+  std::vector<std::weak_ptr<proxied_connection>> links;
 
-  static asio::awaitable<void> carry(std::shared_ptr<state> self, std::shared_ptr<carried> link) {
+  static asio::awaitable<void> forward_connection(std::shared_ptr<state> self,
+                                                  std::shared_ptr<proxied_connection> link) {
     error_code error = asio::error::connection_refused;
     if (!self->fault.refuse) {
-      link->far_side.open(self->target.protocol(), error);
+      link->target_side.open(self->target.protocol(), error);
       if (self->rate > 0) {
-        link->far_side.set_option(asio::socket_base::receive_buffer_size(slow_link_window), error);
+        link->target_side.set_option(asio::socket_base::receive_buffer_size(slow_link_window),
+                                     error);
       }
-      co_await link->far_side.async_connect(self->target,
-                                            asio::redirect_error(asio::use_awaitable, error));
+      co_await link->target_side.async_connect(self->target,
+                                               asio::redirect_error(asio::use_awaitable, error));
     }
-    if (error || !link->near_side.is_open()) {
+    if (error || !link->client_side.is_open()) {
       link->reset();
       co_return;
     }
-    link->near_side.set_option(tcp::no_delay(true), error);
-    link->far_side.set_option(tcp::no_delay(true), error);
+    link->client_side.set_option(tcp::no_delay(true), error);
+    link->target_side.set_option(tcp::no_delay(true), error);
     std::erase_if(self->links, [](const auto& item) { return item.expired(); });
     self->links.push_back(link);
     asio::co_spawn(self->context, pump(self, link, true), asio::detached);
@@ -97,35 +99,35 @@
   }
 
   /// Waits until the slow link has sent these bytes and all bytes queued before them.
-  static asio::awaitable<void> carry_slowly(std::shared_ptr<state> self, std::size_t bytes) {
+  static asio::awaitable<void> wait_for_link(std::shared_ptr<state> self, std::size_t bytes) {
     const auto now = std::chrono::steady_clock::now();
     const std::chrono::duration<double> takes(static_cast<double>(bytes) /
                                               static_cast<double>(self->rate));
-    self->carried_at = std::max(self->carried_at, now) +
-                       std::chrono::duration_cast<std::chrono::steady_clock::duration>(takes);
-    asio::steady_timer timer(self->context, self->carried_at);
+    self->link_free_at = std::max(self->link_free_at, now) +
+                         std::chrono::duration_cast<std::chrono::steady_clock::duration>(takes);
+    asio::steady_timer timer(self->context, self->link_free_at);
     error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 
   /// Forwards one direction until it ends.
-  static asio::awaitable<void> pump(std::shared_ptr<state> self, std::shared_ptr<carried> link,
-                                    bool forward) {
-    tcp::socket& from = forward ? link->near_side : link->far_side;
-    tcp::socket& to = forward ? link->far_side : link->near_side;
+  static asio::awaitable<void> pump(std::shared_ptr<state> self,
+                                    std::shared_ptr<proxied_connection> link, bool forward) {
+    tcp::socket& from = forward ? link->client_side : link->target_side;
+    tcp::socket& to = forward ? link->target_side : link->client_side;
     std::array<char, batch_size> batch{};
     error_code error;
     while (!error) {
       const std::size_t got = co_await from.async_read_some(
           asio::buffer(batch), asio::redirect_error(asio::use_awaitable, error));
       if (self->rate > 0 && !forward) {
-        co_await carry_slowly(self, got);
+        co_await wait_for_link(self, got);
       }
       if (self->fault.delay.count() > 0) {
         co_await pause(self->fault.delay);
       }
       while (self->held(forward) && from.is_open()) {
-        co_await pause(look_pause);
+        co_await pause(poll_interval);
       }
       if (link->silent) {
         continue;
@@ -151,8 +153,8 @@
     : shared(std::make_shared<state>(context, target)) {
   http::listen_on(this->shared->acceptor, {target.address, 0});
   const auto take = [self = this->shared](tcp::socket socket) {
-    const auto link = std::make_shared<carried>(std::move(socket));
-    asio::co_spawn(self->context, state::carry(self, link), asio::detached);
+    const auto link = std::make_shared<proxied_connection>(std::move(socket));
+    asio::co_spawn(self->context, state::forward_connection(self, link), asio::detached);
   };
   asio::co_spawn(context, http::accept_until_closed(this->shared->acceptor, take), asio::detached);
 }
@@ -170,7 +172,9 @@
 
 void fault_proxy::set_fault(const link_fault& fault) { this->shared->fault = fault; }
 
-void fault_proxy::limit_rate(std::uint64_t bytes_a_second) { this->shared->rate = bytes_a_second; }
+void fault_proxy::limit_rate(std::uint64_t bytes_per_second) {
+  this->shared->rate = bytes_per_second;
+}
 
 void fault_proxy::reset_connections() {
   for (const auto& item : this->shared->links) {
--- a/scenarios/fault_proxy.h
+++ b/scenarios/fault_proxy.h
@@ -35,7 +35,7 @@
   void set_fault(const link_fault& fault);
   /// Limits what all connections together carry back from the target, bytes per second, as
   /// if the target's link were that slow. Affects new connections; 0: no limit.
-  void limit_rate(std::uint64_t bytes_a_second);
+  void limit_rate(std::uint64_t bytes_per_second);
   /// Resets every open connection on both sides.
   void reset_connections();
   /// Open connections stay open but deliver nothing any more; new ones work.
--- a/scenarios/fault_proxy_test.cc
+++ b/scenarios/fault_proxy_test.cc
@@ -20,12 +20,12 @@
 namespace {
 
 /// Time to receive 400 KB from a target, half of them over each of two connections.
-std::chrono::duration<double> time_of_bytes(std::uint64_t bytes_a_second) {
+std::chrono::duration<double> time_of_bytes(std::uint64_t bytes_per_second) {
   asio::io_context context;
   const tcp::endpoint anywhere(asio::ip::make_address(loopback), 0);
   tcp::acceptor target(context, anywhere);
   fault_proxy proxy(context, {loopback, target.local_endpoint().port()});
-  proxy.limit_rate(bytes_a_second);
+  proxy.limit_rate(bytes_per_second);
   const std::string half(200'000, 'x');
   std::vector<std::string> received(2, std::string(half.size(), ' '));
   const auto began = steady::now();
@@ -52,15 +52,15 @@
 
 TEST_CASE("all connections back from a target share one rate limit") {
   struct row {
-    std::uint64_t bytes_a_second;
-    std::chrono::duration<double> least;
-    std::chrono::duration<double> most;
+    std::uint64_t bytes_per_second;
+    std::chrono::duration<double> minimum;
+    std::chrono::duration<double> maximum;
   };
   const row rows[] = {{0, 0s, 300ms}, {1'000'000, 400ms, 800ms}, {500'000, 800ms, 1500ms}};
   for (const row& item : rows) {
-    INFO(item.bytes_a_second);
-    const auto took = time_of_bytes(item.bytes_a_second);
-    CHECK(took.count() >= item.least.count());
-    CHECK(took.count() < item.most.count());
+    INFO(item.bytes_per_second);
+    const auto took = time_of_bytes(item.bytes_per_second);
+    CHECK(took.count() >= item.minimum.count());
+    CHECK(took.count() < item.maximum.count());
   }
 }
--- a/scenarios/fault_soak_main.cc
+++ b/scenarios/fault_soak_main.cc
@@ -53,7 +53,7 @@
 struct soak_options {
   fs::path programs;
   fs::path keep;
-  std::chrono::seconds lasts{};
+  std::chrono::seconds fault_duration{};
   fleet_size size;
   int callers = 0;
 };
@@ -74,18 +74,18 @@
 
   /// Returns true if every promise was kept.
   bool play() {
-    if (!this->run_until([this] { return this->fleet.set_is_settled(); }, start_limit)) {
+    if (!this->run_until([this] { return this->fleet.ledger_set_is_stable(); }, start_limit)) {
       this->checker.note("the deployment did not start in time");
     }
     this->run_until([] { return false; }, 1s);
     this->callers.start(this->options.callers);
-    const auto faults_end = steady::now() + this->options.lasts;
+    const auto faults_end = steady::now() + this->options.fault_duration;
     this->run_until(
         [this, faults_end] {
           this->faults.tick(steady::now());
           return steady::now() >= faults_end;
         },
-        this->options.lasts + 1s);
+        this->options.fault_duration + 1s);
     this->faults.end_all();
     this->callers.stop();
     const auto recovered = steady::now() + recovery;
@@ -110,7 +110,7 @@
       if (steady::now() >= until || !this->checker.broken().empty()) {
         return !this->checker.broken().empty();
       }
-      this->fleet.look_after_processes();
+      this->fleet.supervise_processes();
       this->context.run_for(2ms);
     }
     return true;
@@ -121,10 +121,10 @@
     for (const auto& [status, count] : this->checker.statuses()) {
       fmt::print(" {}x{}", status, count);
     }
-    this->fleet.look_at_memory();
+    this->fleet.check_memory();
     constexpr std::uint64_t percent = 100;
     for (const auto& [kind, use] : this->checker.memory()) {
-      fmt::print("; {} hosts up to {} MB, {}% of the limit", kind, use.peak_kb / kb_each_mb,
+      fmt::print("; {} hosts up to {} MB, {}% of the limit", kind, use.peak_kb / kb_per_mb,
                  use.peak_kb * percent / use.limit_kb);
     }
     fmt::print("; {} faults; {}\n", this->faults.history().size(),
@@ -189,11 +189,11 @@
   soak_options options;
   options.programs = arguments.at("--programs").asString();
   options.keep = arguments.at("--keep").asString();
-  options.lasts = std::chrono::seconds(std::stoi(arguments.at("--seconds").asString()));
+  options.fault_duration = std::chrono::seconds(std::stoi(arguments.at("--seconds").asString()));
   options.size.fronts = std::stoi(arguments.at("--fronts").asString());
   options.size.routes = std::stoi(arguments.at("--routes").asString());
-  constexpr std::uint64_t bytes_each_mbit = 125'000;
-  options.size.link_rate = std::stoull(arguments.at("--link-mbps").asString()) * bytes_each_mbit;
+  constexpr std::uint64_t bytes_per_mbit = 125'000;
+  options.size.link_rate = std::stoull(arguments.at("--link-mbps").asString()) * bytes_per_mbit;
   options.callers = std::stoi(arguments.at("--callers").asString());
   options.size.contended = arguments.at("--contended").asBool();
   int failed = 0;
--- a/scenarios/promise_checker.cc
+++ b/scenarios/promise_checker.cc
@@ -10,12 +10,12 @@
 namespace {
 
 /// Values of the stand-in model servers and of the test configuration.
-constexpr int events_each_turn = 3;
-constexpr int tokens_each_event = 10;
+constexpr int events_per_turn = 3;
+constexpr int tokens_per_event = 10;
 /// A call that is cut off this soon after it was sent may have crossed the host's close.
 constexpr std::chrono::milliseconds crossing_slack{200};
 /// Servers at which an idempotent call or a resumable stream may run.
-constexpr int most_runs = 2;
+constexpr int max_runs = 2;
 
 /// Statuses that promise that the request has not run and never will.
 bool promises_not_run(int status) {
@@ -36,7 +36,7 @@
 
 std::string events_of_turn() {
   std::string events;
-  for (int event = 1; event <= events_each_turn; ++event) {
+  for (int event = 1; event <= events_per_turn; ++event) {
     events += fmt::format("id: {}\ndata: piece {}\n\n", event, event);
   }
   return events;
@@ -44,7 +44,7 @@
 
 std::string output_of_turn() {
   std::string output;
-  for (int event = 1; event <= events_each_turn; ++event) {
+  for (int event = 1; event <= events_per_turn; ++event) {
     output += fmt::format("piece {}\n", event);
   }
   return output;
@@ -73,9 +73,10 @@
   known_call& call = found_call->second;
   const sent_call& sent = call.sent;
   ++call.runs;
-  const int most = sent.repeats == repetition::once ? 1 : most_runs;
-  if (call.runs > most) {
-    this->note(fmt::format("{} ran {} {} times, at most {} allowed", server, id, call.runs, most));
+  const int maximum = sent.repeats == repetition::once ? 1 : max_runs;
+  if (call.runs > maximum) {
+    this->note(
+        fmt::format("{} ran {} {} times, at most {} allowed", server, id, call.runs, maximum));
   }
   if (call.refused != 0) {
     this->note(fmt::format("{} ran {} after the call was answered {}", server, id, call.refused));
@@ -112,7 +113,7 @@
     }
   }
   const bool must_be_known =
-      call.sent.goes_on || (!call.sent.is_stream && call.sent.route_is_certain);
+      call.sent.continues_turn || (!call.sent.is_stream && call.sent.route_is_certain);
   if (result.status == not_found && must_be_known) {
     this->note(fmt::format("{} was answered 404", id));
   }
@@ -128,9 +129,9 @@
 
 void promise_checker::on_memory(const std::string& kind, const std::string& process,
                                 memory_use use) {
-  memory_use& most = this->largest.try_emplace(kind, use).first->second;
-  if (use.peak_kb * most.limit_kb > most.peak_kb * use.limit_kb) {
-    most = use;
+  memory_use& maximum = this->largest.try_emplace(kind, use).first->second;
+  if (use.peak_kb * maximum.limit_kb > maximum.peak_kb * use.limit_kb) {
+    maximum = use;
   }
   if (use.peak_kb > use.limit_kb && this->too_large.insert(process).second) {
     this->note(
@@ -164,9 +165,9 @@
     this->note(fmt::format("the stream of {} ended early and looks complete", id));
   }
   int& used = this->tokens[call.sent.program];
-  used += static_cast<int>(events_in(result.body)) * tokens_each_event;
-  const int most_of_a_turn = events_each_turn * tokens_each_event;
-  if (call.sent.budget != 0 && used > call.sent.budget + most_of_a_turn) {
+  used += static_cast<int>(events_in(result.body)) * tokens_per_event;
+  const int max_tokens_per_turn = events_per_turn * tokens_per_event;
+  if (call.sent.budget != 0 && used > call.sent.budget + max_tokens_per_turn) {
     this->note(fmt::format("program {} received {} tokens, budget {}", call.sent.program, used,
                            call.sent.budget));
   }
--- a/scenarios/promise_checker.h
+++ b/scenarios/promise_checker.h
@@ -35,13 +35,13 @@
   /// Tokens that the program may generate; 0: no limit.
   int budget = 0;
   /// Continues a turn that was answered completely and is still stored.
-  bool goes_on = false;
+  bool continues_turn = false;
   bool is_stream = false;
   /// Every configuration that may be in force contains the call's route.
   bool route_is_certain = true;
 };
 
-inline constexpr std::uint64_t kb_each_mb = 1024;
+inline constexpr std::uint64_t kb_per_mb = 1024;
 
 /// Resident memory, KB of 1024 bytes.
 struct memory_use {
--- a/scenarios/promise_checker_test.cc
+++ b/scenarios/promise_checker_test.cc
@@ -26,7 +26,7 @@
   call.body_at_server = "history" + call.request.body;
   call.program = "p";
   call.budget = budget;
-  call.goes_on = true;
+  call.continues_turn = true;
   call.is_stream = true;
   return call;
 }
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -24,12 +24,12 @@
 /// Callers reuse a directory response for the hosts' configured `address_time`.
 constexpr auto address_time = 1000ms;
 /// Turns are stored for 60 s; those that are about to expire are not continued.
-constexpr auto remembered = 45s;
-constexpr std::size_t most_remembered = 400;
-constexpr int tries_each_turn = 3;
+constexpr auto max_turn_age = 45s;
+constexpr std::size_t max_stored_turns = 400;
+constexpr int attempts_per_turn = 3;
 /// A stored turn reaches a server within this many attempts when no fault is active.
-constexpr int tries_when_calm = 5;
-constexpr std::size_t turns_verified = 40;
+constexpr int attempts_when_calm = 5;
+constexpr std::size_t max_turns_verified = 40;
 
 asio::awaitable<void> pause(std::chrono::milliseconds time) {
   asio::steady_timer timer(co_await asio::this_coro::executor, time);
@@ -54,7 +54,7 @@
   std::string failed;
   std::string connected_to;
 
-  std::size_t below(std::size_t count) {
+  std::size_t random_index(std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(this->random);
   }
   bool chance(double share) { return std::bernoulli_distribution(share)(this->random); }
@@ -82,62 +82,63 @@
 
 void soak_callers::start(int callers) {
   for (int number = 0; number < callers; ++number) {
-    ++this->under_way;
+    ++this->active_tasks;
     asio::co_spawn(this->context, this->run_caller(this->random()), asio::detached);
   }
-  ++this->under_way;
+  ++this->active_tasks;
   asio::co_spawn(this->context, this->probe_configuration(), asio::detached);
 }
 
 asio::awaitable<void> soak_callers::run_caller(std::uint64_t seed) {
   caller who(this->context, this->sweeper, seed);
-  co_await pause(std::chrono::milliseconds(who.below(500)));
+  co_await pause(std::chrono::milliseconds(who.random_index(500)));
   while (!this->stopping) {
     constexpr std::size_t kinds = 10;
-    const std::size_t kind = who.below(kinds);
+    const std::size_t kind = who.random_index(kinds);
     if (kind < 5) {
-      kept_line fresh;
+      conversation_state fresh;
       fresh.program = fresh_id();
-      co_await this->run_line(who, fresh, 2 + static_cast<int>(who.below(4)));
+      co_await this->run_conversation(who, fresh, 2 + static_cast<int>(who.random_index(4)));
     } else if (kind < 6 && !this->lines.empty()) {
-      const kept_line old = this->lines[who.below(this->lines.size())];
-      if (steady::now() - old.ended < remembered) {
-        co_await this->run_line(who, old, 1);
+      const conversation_state old = this->lines[who.random_index(this->lines.size())];
+      if (steady::now() - old.ended < max_turn_age) {
+        co_await this->run_conversation(who, old, 1);
       }
     } else if (kind < 7) {
       co_await this->run_budgeted(who);
     } else {
       co_await this->run_tools(who, 3);
     }
-    co_await pause(std::chrono::milliseconds(20 + who.below(60)));
+    co_await pause(std::chrono::milliseconds(20 + who.random_index(60)));
   }
-  --this->under_way;
+  --this->active_tasks;
 }
 
-sent_call soak_callers::turn_of(caller& who, const kept_line& line) {
+sent_call soak_callers::turn_of(caller& who, const conversation_state& line) {
   sent_call call;
   const std::string id = this->fresh_id();
   constexpr int ample_budget = 100'000;
   call.request = turn_request_of("/kept/x", id, line.program, line.turn, ample_budget);
-  call.request.body += std::string(who.below(300), 'i');
+  call.request.body += std::string(who.random_index(300), 'i');
   call.body_at_server = line.history + call.request.body;
   call.program = line.program;
   call.is_stream = true;
-  call.goes_on = !line.turn.empty();
+  call.continues_turn = !line.turn.empty();
   return call;
 }
 
-asio::awaitable<void> soak_callers::run_line(caller& who, kept_line line, int turns) {
+asio::awaitable<void> soak_callers::run_conversation(caller& who, conversation_state line,
+                                                     int turns) {
   for (int number = 0; number < turns; ++number) {
     call_result result;
     sent_call sent;
-    for (int attempt = 0; attempt < tries_each_turn; ++attempt) {
+    for (int attempt = 0; attempt < attempts_per_turn; ++attempt) {
       sent = this->turn_of(who, line);
       result = co_await this->call(who, sent, 1);
       if (result.status == 200 && result.whole) {
         break;
       }
-      co_await pause(std::chrono::milliseconds(100 + who.below(300)));
+      co_await pause(std::chrono::milliseconds(100 + who.random_index(300)));
     }
     if (result.status != 200 || !result.whole) {
       co_return;
@@ -146,10 +147,10 @@
     line.history = sent.body_at_server + output_of_turn();
     line.ended = steady::now();
     this->lines.push_back(line);
-    if (this->lines.size() > most_remembered) {
+    if (this->lines.size() > max_stored_turns) {
       this->lines.pop_front();
     }
-    co_await this->run_tools(who, static_cast<int>(who.below(3)));
+    co_await this->run_tools(who, static_cast<int>(who.random_index(3)));
   }
 }
 
@@ -175,7 +176,7 @@
     sent_call call;
     const bool once = who.chance(0.6);
     call.request.path = once ? "/once/x" : "/safe/x";
-    call.request.body = std::string(1 + who.below(600), 't');
+    call.request.body = std::string(1 + who.random_index(600), 't');
     call.body_at_server = call.request.body;
     call.repeats = once ? repetition::once : repetition::idempotent;
     co_await this->call(who, call, 2);
@@ -201,7 +202,7 @@
 }
 
 asio::awaitable<void> soak_callers::refresh_addresses(caller& who) {
-  const soak_host& host = this->fleet.fronts[who.below(this->fleet.fronts.size())];
+  const soak_host& host = this->fleet.fronts[who.random_index(this->fleet.fronts.size())];
   http::request ask;
   ask.target = "/resolve?name=a.example&region=r&zone=z0";
   http::fetch_failure why;
@@ -235,7 +236,7 @@
   if (choice.empty()) {
     co_return false;
   }
-  who.connected_to = choice[who.below(choice.size())];
+  who.connected_to = choice[who.random_index(choice.size())];
   who.socket = std::make_unique<net::timed_socket>(who.context, who.sweeper);
   const auto where = *http::endpoint_from_string(who.connected_to);
   const net::error_code error = co_await who.socket->connect(where, steady::now() + connect_limit);
@@ -316,7 +317,7 @@
       in_force[process] = std::max(in_force[process], newest);
     }
   }
-  --this->under_way;
+  --this->active_tasks;
 }
 
 asio::awaitable<void> soak_callers::verify_in_force(caller& who, int version, const char* when) {
@@ -349,15 +350,15 @@
     this->promises.note("a draining server received a new request after 2 s");
   }
   std::size_t verified = 0;
-  const std::deque<kept_line> newest(this->lines.rbegin(), this->lines.rend());
-  for (const kept_line& line : newest) {
-    if (steady::now() - line.ended > remembered || ++verified > turns_verified) {
+  const std::deque<conversation_state> newest(this->lines.rbegin(), this->lines.rend());
+  for (const conversation_state& line : newest) {
+    if (steady::now() - line.ended > max_turn_age || ++verified > max_turns_verified) {
       break;
     }
-    const soak_host& host = this->fleet.fronts[who.below(this->fleet.fronts.size())];
+    const soak_host& host = this->fleet.fronts[who.random_index(this->fleet.fronts.size())];
     who.addresses = {http::to_string(host.callers->where())};
     call_result result;
-    for (int attempt = 0; attempt < tries_when_calm && result.status != 200; ++attempt) {
+    for (int attempt = 0; attempt < attempts_when_calm && result.status != 200; ++attempt) {
       const sent_call next = this->turn_of(who, line);
       result = co_await this->call(who, next, 1);
     }
--- a/scenarios/soak_callers.h
+++ b/scenarios/soak_callers.h
@@ -16,7 +16,7 @@
 namespace hawthornlane::scenarios {
 
 /// A completely answered turn and the history up to it.
-struct kept_line {
+struct conversation_state {
   std::string turn;
   std::string program;
   std::string history;
@@ -37,7 +37,7 @@
   void start(int callers);
   /// Starts no new programs; running ones finish.
   void stop() { this->stopping = true; }
-  [[nodiscard]] bool idle() const { return this->under_way == 0; }
+  [[nodiscard]] bool idle() const { return this->active_tasks == 0; }
 
   /// After all faults: checks that every host serves and that stored turns can be
   /// continued, then sets `done`.
@@ -47,7 +47,7 @@
   struct caller;
 
   boost::asio::awaitable<void> run_caller(std::uint64_t seed);
-  boost::asio::awaitable<void> run_line(caller& who, kept_line from, int turns);
+  boost::asio::awaitable<void> run_conversation(caller& who, conversation_state from, int turns);
   boost::asio::awaitable<void> run_budgeted(caller& who);
   boost::asio::awaitable<void> run_tools(caller& who, int calls);
   boost::asio::awaitable<void> probe_configuration();
@@ -58,7 +58,7 @@
   boost::asio::awaitable<call_result> attempt(caller& who, const sent_call& what);
   boost::asio::awaitable<bool> connect(caller& who);
   boost::asio::awaitable<void> refresh_addresses(caller& who);
-  [[nodiscard]] sent_call turn_of(caller& who, const kept_line& line);
+  [[nodiscard]] sent_call turn_of(caller& who, const conversation_state& line);
   [[nodiscard]] std::string fresh_id();
 
   boost::asio::io_context& context;
@@ -68,9 +68,9 @@
   net::deadline_sweeper sweeper;
   http::client directory;
   std::mt19937_64 random;
-  std::deque<kept_line> lines;
+  std::deque<conversation_state> lines;
   bool stopping = false;
-  int under_way = 0;
+  int active_tasks = 0;
   std::uint64_t ids = 0;
 };
 
--- a/scenarios/soak_faults.cc
+++ b/scenarios/soak_faults.cc
@@ -15,14 +15,14 @@
 namespace {
 
 /// Hosts count as connected again this long after a fault.
-constexpr auto settling = 3s;
+constexpr auto reconnect_time = 3s;
 /// Maximum number of faults that are active at once.
-constexpr std::size_t most_active = 4;
+constexpr std::size_t max_active = 4;
 /// A planned stop takes up to the hosts' grace period of 8 s.
 constexpr auto grace = 8s;
 
 /// Undo function of a fault that ends by itself.
-std::function<void()> nothing() {
+std::function<void()> no_undo() {
   return [] {};
 }
 
@@ -31,23 +31,24 @@
 soak_faults::soak_faults(soak_fleet& deployment, std::uint64_t seed)
     : fleet(deployment), random(seed), began(steady::now()), growth_random(seed) {
   const std::vector<fault_kind> groups[] = {this->process_faults(), this->link_faults(),
-                                            this->outside_faults(), this->planned_work()};
+                                            this->environment_faults(),
+                                            this->planned_maintenance()};
   for (const std::vector<fault_kind>& group : groups) {
     this->kinds.insert(this->kinds.end(), group.begin(), group.end());
   }
 }
 
-std::size_t soak_faults::below(std::size_t count) {
+std::size_t soak_faults::random_index(std::size_t count) {
   return std::uniform_int_distribution<std::size_t>(0, count - 1)(this->random);
 }
 
-std::chrono::milliseconds soak_faults::between(int least_ms, int most_ms) {
+std::chrono::milliseconds soak_faults::random_duration(int min_ms, int max_ms) {
   return std::chrono::milliseconds(
-      std::uniform_int_distribution<int>(least_ms, most_ms)(this->random));
+      std::uniform_int_distribution<int>(min_ms, max_ms)(this->random));
 }
 
-soak_host& soak_faults::any(std::vector<soak_host>& hosts) {
-  return hosts[this->below(hosts.size())];
+soak_host& soak_faults::pick_host(std::vector<soak_host>& hosts) {
+  return hosts[this->random_index(hosts.size())];
 }
 
 soak_faults::undo soak_faults::freeze(soak_host& host) {
@@ -57,7 +58,7 @@
 
 std::vector<soak_faults::fault_kind> soak_faults::process_faults() {
   const auto kill_all = [this](std::vector<soak_host>& hosts, bool power) {
-    const auto down = this->between(100, 1500);
+    const auto down = this->random_duration(100, 1500);
     for (soak_host& host : hosts) {
       if (power) {
         this->fleet.cut_power(host, down);
@@ -69,49 +70,50 @@
   return {
       {"kill a front host", false,
        [this] {
-         this->fleet.kill(this->any(this->fleet.fronts), this->between(50, 2000));
-         return nothing();
+         this->fleet.kill(this->pick_host(this->fleet.fronts), this->random_duration(50, 2000));
+         return no_undo();
        }},
       {"kill a disk host", false,
        [this] {
-         this->fleet.kill(this->any(this->fleet.disks), this->between(50, 2500));
-         return nothing();
+         this->fleet.kill(this->pick_host(this->fleet.disks), this->random_duration(50, 2500));
+         return no_undo();
        }},
       {"cut the power of a disk host", false,
        [this] {
-         this->fleet.cut_power(this->any(this->fleet.disks), this->between(50, 2500));
-         return nothing();
+         this->fleet.cut_power(this->pick_host(this->fleet.disks), this->random_duration(50, 2500));
+         return no_undo();
        }},
       {"wipe a disk", false,
        [this] {
          // Only one disk may be lost at a time: wait until the ledger set is complete again.
-         if (this->fleet.set_is_settled()) {
-           this->fleet.wipe(this->any(this->fleet.disks), this->between(50, 2000));
+         if (this->fleet.ledger_set_is_stable()) {
+           this->fleet.wipe(this->pick_host(this->fleet.disks), this->random_duration(50, 2000));
          }
-         return nothing();
+         return no_undo();
        }},
       {"freeze a front host", false,
-       [this] { return this->freeze(this->any(this->fleet.fronts)); }},
-      {"freeze a disk host", false, [this] { return this->freeze(this->any(this->fleet.disks)); }},
+       [this] { return this->freeze(this->pick_host(this->fleet.fronts)); }},
+      {"freeze a disk host", false,
+       [this] { return this->freeze(this->pick_host(this->fleet.disks)); }},
       {"kill all front hosts", false,
        [this, kill_all] {
          kill_all(this->fleet.fronts, false);
-         return nothing();
+         return no_undo();
        }},
       {"cut the power of all disk hosts", false,
        [this, kill_all] {
          kill_all(this->fleet.disks, true);
-         return nothing();
+         return no_undo();
        }},
   };
 }
 
-soak_faults::undo soak_faults::harm(fault_proxy& proxy) {
+soak_faults::undo soak_faults::disturb(fault_proxy& proxy) {
   constexpr std::size_t ways = 7;
   link_fault fault;
-  switch (this->below(ways)) {
+  switch (this->random_index(ways)) {
     case 0:
-      fault.delay = this->between(20, 300);
+      fault.delay = this->random_duration(20, 300);
       break;
     case 1:
       fault.hold_forward = true;
@@ -141,20 +143,20 @@
 std::vector<soak_faults::fault_kind> soak_faults::link_faults() {
   return {
       {"disturb the link to a front host's peer port", false,
-       [this] { return this->harm(*this->any(this->fleet.fronts).peers); }},
+       [this] { return this->disturb(*this->pick_host(this->fleet.fronts).peers); }},
       {"disturb the link to a disk host", false,
-       [this] { return this->harm(*this->any(this->fleet.disks).peers); }},
+       [this] { return this->disturb(*this->pick_host(this->fleet.disks).peers); }},
       {"disturb a front host's link to the store", false,
-       [this] { return this->harm(*this->any(this->fleet.fronts).store); }},
+       [this] { return this->disturb(*this->pick_host(this->fleet.fronts).store); }},
       {"disturb a disk host's link to the store", false,
-       [this] { return this->harm(*this->any(this->fleet.disks).store); }},
+       [this] { return this->disturb(*this->pick_host(this->fleet.disks).store); }},
       {"disturb the callers' link to a front host", false,
-       [this] { return this->harm(*this->any(this->fleet.fronts).callers); }},
+       [this] { return this->disturb(*this->pick_host(this->fleet.fronts).callers); }},
       {"disturb the link to a backend server", false,
        [this] {
          const std::shared_ptr<fault_proxy> proxy =
-             this->fleet.backends[this->below(this->fleet.backends.size())].proxy;
-         const undo end = this->harm(*proxy);
+             this->fleet.backends[this->random_index(this->fleet.backends.size())].proxy;
+         const undo end = this->disturb(*proxy);
          return [proxy, end] { end(); };
        }},
   };
@@ -168,19 +170,19 @@
       answer,       drop_response, unsigned_response};
   std::vector<backend_behavior> order;
   constexpr std::size_t length = 60;
-  const backend_behavior most_of_all = harmful[this->below(harmful.size())];
+  const backend_behavior dominant_act = harmful[this->random_index(harmful.size())];
   for (std::size_t number = 0; number < length; ++number) {
-    const bool harm = this->below(3) == 0;
-    const bool same = this->below(2) == 0;
-    const backend_behavior other = harmful[this->below(harmful.size())];
-    order.push_back(!harm ? answer : same ? most_of_all : other);
+    const bool disturb = this->random_index(3) == 0;
+    const bool same = this->random_index(2) == 0;
+    const backend_behavior other = harmful[this->random_index(harmful.size())];
+    order.push_back(!disturb ? answer : same ? dominant_act : other);
   }
   order.push_back(answer);
   acts->set(order);
   return [acts] { acts->set({answer}); };
 }
 
-std::vector<soak_faults::fault_kind> soak_faults::outside_faults() {
+std::vector<soak_faults::fault_kind> soak_faults::environment_faults() {
   const auto mood = [this](store_behavior how) {
     this->fleet.store().set_behavior(how);
     return [this] { this->fleet.store().set_behavior(store_behavior::serving); };
@@ -200,43 +202,43 @@
   };
 }
 
-std::vector<soak_faults::fault_kind> soak_faults::planned_work() {
+std::vector<soak_faults::fault_kind> soak_faults::planned_maintenance() {
   return {
       {"stop a front host", true,
        [this] {
-         this->fleet.stop(this->any(this->fleet.fronts), this->between(50, 1000));
-         return nothing();
+         this->fleet.stop(this->pick_host(this->fleet.fronts), this->random_duration(50, 1000));
+         return no_undo();
        }},
       {"stop two front hosts", true,
        [this] {
-         const std::size_t first = this->below(this->fleet.fronts.size());
+         const std::size_t first = this->random_index(this->fleet.fronts.size());
          const std::size_t second = (first + 1) % this->fleet.fronts.size();
          this->fleet.stop(this->fleet.fronts[first], 100ms);
          this->fleet.stop(this->fleet.fronts[second], 100ms);
-         return nothing();
+         return no_undo();
        }},
       {"reload the settings", true,
        [this] {
-         this->any(this->fleet.fronts).process->signal(SIGHUP);
-         return nothing();
+         this->pick_host(this->fleet.fronts).process->signal(SIGHUP);
+         return no_undo();
        }},
       {"change the configuration", true,
        [this] {
          this->fleet.configure();
-         return nothing();
+         return no_undo();
        }},
       {"change the configuration three times", true,
        [this] {
          this->fleet.configure();
          this->fleet.configure();
          this->fleet.configure();
-         return nothing();
+         return no_undo();
        }},
       {"replace a backend server", true,
        [this] {
          this->fleet.replace_backend(
-             this->fleet.backends[this->below(this->fleet.backends.size())]);
-         return nothing();
+             this->fleet.backends[this->random_index(this->fleet.backends.size())]);
+         return no_undo();
        }},
   };
 }
@@ -251,7 +253,7 @@
     return;
   }
   constexpr int last_step = 8;
-  const auto below = [this](std::size_t count) {
+  const auto random_index = [this](std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(this->growth_random);
   };
   // Each step replaces a server; every second step changes the configuration.
@@ -259,7 +261,7 @@
   if (this->growth_step % 2 == 0) {
     this->fleet.grow(static_cast<double>(this->growth_step) / last_step);
   }
-  this->fleet.replace_backend(this->fleet.backends[below(this->fleet.backends.size())]);
+  this->fleet.replace_backend(this->fleet.backends[random_index(this->fleet.backends.size())]);
   if (this->growth_step == 1) {
     ++this->begun["the configuration grows"];
     this->note(now, "the configuration grows");
@@ -267,14 +269,14 @@
   this->next_growth = now + 500ms;
   if (this->growth_step == last_step) {
     this->growth_step = 0;
-    this->next_growth += std::chrono::milliseconds(below(4000));
+    this->next_growth += std::chrono::milliseconds(random_index(4000));
   }
 }
 
-void soak_faults::begin_one(net::steady_time now) {
+void soak_faults::start_fault(net::steady_time now) {
   std::vector<const fault_kind*> choice;
   for (const fault_kind& kind : this->kinds) {
-    const bool fits = kind.planned || !this->planned_spell;
+    const bool fits = kind.planned || !this->maintenance_only;
     const bool running = std::any_of(this->active.begin(), this->active.end(), [&](auto& item) {
       return std::string_view(item.name) == kind.name;
     });
@@ -282,14 +284,15 @@
       choice.push_back(&kind);
     }
   }
-  const fault_kind& kind = *choice[this->below(choice.size())];
-  const auto lasts = kind.planned ? std::chrono::milliseconds(grace) : this->between(200, 5000);
-  this->note(now, fmt::format("{} ({} ms)", kind.name, lasts.count()));
+  const fault_kind& kind = *choice[this->random_index(choice.size())];
+  const auto fault_duration =
+      kind.planned ? std::chrono::milliseconds(grace) : this->random_duration(200, 5000);
+  this->note(now, fmt::format("{} ({} ms)", kind.name, fault_duration.count()));
   ++this->begun[kind.name];
-  this->active.push_back({kind.name, kind.planned, now + lasts, kind.begin()});
+  this->active.push_back({kind.name, kind.planned, now + fault_duration, kind.begin()});
 }
 
-void soak_faults::end_due(net::steady_time now) {
+void soak_faults::end_expired(net::steady_time now) {
   for (auto item = this->active.begin(); item != this->active.end();) {
     if (item->until > now) {
       ++item;
@@ -301,11 +304,11 @@
 }
 
 void soak_faults::tick(net::steady_time now) {
-  this->end_due(now);
-  const bool harming = std::any_of(this->active.begin(), this->active.end(),
-                                   [](const under_way& item) { return !item.planned; });
-  if (harming) {
-    this->harmed_until = now;
+  this->end_expired(now);
+  const bool fault_active = std::any_of(this->active.begin(), this->active.end(),
+                                        [](const active_fault& item) { return !item.planned; });
+  if (fault_active) {
+    this->fault_active_until = now;
   }
   if (this->ended) {
     return;
@@ -313,29 +316,29 @@
   if (this->fleet.grows()) {
     this->grow(now);
   }
-  if (now >= this->spell_ends) {
-    this->planned_spell = this->below(3) == 0;
-    this->spell_ends = now + this->between(4000, 9000);
+  if (now >= this->period_ends) {
+    this->maintenance_only = this->random_index(3) == 0;
+    this->period_ends = now + this->random_duration(4000, 9000);
   }
-  if (now >= this->next && this->active.size() < most_active) {
-    this->begin_one(now);
-    this->next = now + this->between(100, 1500);
+  if (now >= this->next && this->active.size() < max_active) {
+    this->start_fault(now);
+    this->next = now + this->random_duration(100, 1500);
   }
 }
 
 void soak_faults::end_all() {
   this->ended = true;
-  for (under_way& item : this->active) {
+  for (active_fault& item : this->active) {
     item.end();
   }
   this->active.clear();
-  this->harmed_until = steady::now();
+  this->fault_active_until = steady::now();
 }
 
 bool soak_faults::calm_since(net::steady_time then) const {
-  const bool harming = std::any_of(this->active.begin(), this->active.end(),
-                                   [](const under_way& item) { return !item.planned; });
-  return !harming && this->harmed_until + settling < then;
+  const bool fault_active = std::any_of(this->active.begin(), this->active.end(),
+                                        [](const active_fault& item) { return !item.planned; });
+  return !fault_active && this->fault_active_until + reconnect_time < then;
 }
 
 }  // namespace hawthornlane::scenarios
--- a/scenarios/soak_faults.h
+++ b/scenarios/soak_faults.h
@@ -36,7 +36,7 @@
     bool planned;
     std::function<undo()> begin;
   };
-  struct under_way {
+  struct active_fault {
     const char* name;
     bool planned;
     net::steady_time until;
@@ -45,30 +45,30 @@
 
   [[nodiscard]] std::vector<fault_kind> process_faults();
   [[nodiscard]] std::vector<fault_kind> link_faults();
-  [[nodiscard]] std::vector<fault_kind> outside_faults();
-  [[nodiscard]] std::vector<fault_kind> planned_work();
-  void begin_one(net::steady_time now);
-  void end_due(net::steady_time now);
+  [[nodiscard]] std::vector<fault_kind> environment_faults();
+  [[nodiscard]] std::vector<fault_kind> planned_maintenance();
+  void start_fault(net::steady_time now);
+  void end_expired(net::steady_time now);
   /// Sets a random link fault at the proxy; the returned function ends it.
-  undo harm(fault_proxy& proxy);
+  undo disturb(fault_proxy& proxy);
   /// Continues the growth of the configuration, or starts it again.
   void grow(net::steady_time now);
   void note(net::steady_time now, const std::string& what);
   undo script(const std::shared_ptr<stand_ins::behavior_script>& acts);
   undo freeze(soak_host& host);
-  soak_host& any(std::vector<soak_host>& hosts);
-  std::chrono::milliseconds between(int least_ms, int most_ms);
-  std::size_t below(std::size_t count);
+  soak_host& pick_host(std::vector<soak_host>& hosts);
+  std::chrono::milliseconds random_duration(int min_ms, int max_ms);
+  std::size_t random_index(std::size_t count);
 
   soak_fleet& fleet;
   std::mt19937_64 random;
   std::vector<fault_kind> kinds;
-  std::vector<under_way> active;
+  std::vector<active_fault> active;
   net::steady_time next{};
-  net::steady_time spell_ends{};
-  bool planned_spell = false;
+  net::steady_time period_ends{};
+  bool maintenance_only = false;
   net::steady_time began;
-  net::steady_time harmed_until{};
+  net::steady_time fault_active_until{};
   bool ended = false;
   /// Growth runs beside everything else and has its own random source, so that it does
   /// not change a seed's other faults.
--- a/scenarios/soak_fleet.cc
+++ b/scenarios/soak_fleet.cc
@@ -34,7 +34,7 @@
 constexpr std::uint64_t front_memory_mb = 88;
 constexpr std::uint64_t disk_memory_mb = 130;
 /// Interval between memory checks of all processes.
-constexpr auto memory_pause = std::chrono::milliseconds(100);
+constexpr auto memory_check_interval = std::chrono::milliseconds(100);
 /// Availability zones that hosts of a kind are spread over.
 constexpr int zones = 4;
 
@@ -67,7 +67,7 @@
       folder(std::move(into)),
       promises(checker),
       contended(size.contended),
-      most_routes(size.routes) {
+      max_routes(size.routes) {
   fs::create_directories(this->folder);
   this->platform = std::make_unique<stand_ins::object_platform>(io, http::endpoint{loopback, 0});
   for (int number = 0; number < size.engines; ++number) {
@@ -142,26 +142,26 @@
       std::make_unique<child_process>(host.command, (this->folder / (host.name + ".log")).string());
 }
 
-void soak_fleet::look_at_memory(const soak_host& host) {
+void soak_fleet::check_memory(const soak_host& host) {
   if (const auto peak = host.process->peak_memory_kb()) {
     this->promises.on_memory(host.kind, fmt::format("{}/{}", host.name, host.incarnation),
-                             {*peak, host.memory_mb * kb_each_mb});
+                             {*peak, host.memory_mb * kb_per_mb});
   }
 }
 
-void soak_fleet::look_at_memory() {
+void soak_fleet::check_memory() {
   for (const std::vector<soak_host>* group : {&this->fronts, &this->disks}) {
     for (const soak_host& host : *group) {
-      this->look_at_memory(host);
+      this->check_memory(host);
     }
   }
 }
 
-void soak_fleet::look_after_processes() {
+void soak_fleet::supervise_processes() {
   const net::steady_time now = steady::now();
-  if (now >= this->next_look) {
-    this->next_look = now + memory_pause;
-    this->look_at_memory();
+  if (now >= this->next_memory_check) {
+    this->next_memory_check = now + memory_check_interval;
+    this->check_memory();
   }
   for (std::vector<soak_host>* group : {&this->fronts, &this->disks}) {
     for (soak_host& host : *group) {
@@ -173,7 +173,7 @@
         this->promises.note(fmt::format("{} exited unexpectedly, status {}", host.name, *status));
         host.end_expected = true;
       }
-      if (now >= host.start_again) {
+      if (now >= host.restart_at) {
         this->start(host);
       }
     }
@@ -182,14 +182,14 @@
 
 void soak_fleet::kill(soak_host& host, std::chrono::milliseconds down) {
   host.end_expected = true;
-  host.start_again = steady::now() + down;
-  this->look_at_memory(host);
+  host.restart_at = steady::now() + down;
+  this->check_memory(host);
   host.process->kill();
 }
 
 void soak_fleet::stop(soak_host& host, std::chrono::milliseconds down) {
   host.end_expected = true;
-  host.start_again = steady::now() + down;
+  host.restart_at = steady::now() + down;
   host.process->signal(SIGTERM);
 }
 
@@ -204,7 +204,7 @@
   fs::create_directories(disk.data_folder);
 }
 
-bool soak_fleet::set_is_settled() const {
+bool soak_fleet::ledger_set_is_stable() const {
   const std::string set = this->platform->spec_of("hawthornlane-hosts", "ledger-set");
   const std::size_t members = set.find("\"members\":[");
   const std::size_t next = set.find("\"next\":[");
@@ -238,7 +238,7 @@
                   R"("timeout-ms":1500,"service":"apps","max-attempts":2,"priority":2}},)",
                   this->newest);
   constexpr std::string_view routes = "\"routes\":[";
-  text.insert(text.find(routes) + routes.size(), route + this->grown);
+  text.insert(text.find(routes) + routes.size(), route + this->extra_routes);
   text.insert(text.find("\"limits\":"), accounts_text());
   this->platform->put("config", "main", text);
   return this->newest;
@@ -246,9 +246,9 @@
 
 void soak_fleet::grow(double share) {
   constexpr int host_names = 20;
-  this->grown.clear();
-  for (int number = 0; number < static_cast<int>(share * this->most_routes); ++number) {
-    this->grown += fmt::format(
+  this->extra_routes.clear();
+  for (int number = 0; number < static_cast<int>(share * this->max_routes); ++number) {
+    this->extra_routes += fmt::format(
         R"({{"name":"grown-{0:04}","host":"tenant-{1:02}.example","path-prefix":"/grown/{0:04}/",)"
         R"("kind":"safe","timeout-ms":1500,"target-latency-ms":400,"gap-aim-ms":100,)"
         R"("service":"apps","max-attempts":2,"priority":2,"kept":false,"retain-s":60}},)",
--- a/scenarios/soak_fleet.h
+++ b/scenarios/soak_fleet.h
@@ -57,7 +57,7 @@
   /// The soak ends this process, so its exit is not reported.
   bool end_expected = false;
   /// A host whose process has ended is not restarted before this time.
-  net::steady_time start_again{};
+  net::steady_time restart_at{};
 };
 
 /// One backend server with its proxy.
@@ -82,9 +82,9 @@
   [[nodiscard]] bool is_contended() const { return this->contended; }
 
   /// Restarts hosts whose process has ended, and reports unexpected exits.
-  void look_after_processes();
+  void supervise_processes();
   /// Reports the memory of all processes to the checker.
-  void look_at_memory();
+  void check_memory();
   void kill(soak_host& host, std::chrono::milliseconds down);
   /// Stops a host as planned; it is restarted once its process has ended.
   void stop(soak_host& host, std::chrono::milliseconds down);
@@ -93,7 +93,7 @@
   /// Kills a disk host and deletes its data.
   void wipe(soak_host& disk, std::chrono::milliseconds down);
   /// True if all disk hosts are in the ledger set and no change of the set is in progress.
-  [[nodiscard]] bool set_is_settled() const;
+  [[nodiscard]] bool ledger_set_is_stable() const;
 
   /// Writes the next configuration; returns its version.
   int configure();
@@ -102,7 +102,7 @@
   [[nodiscard]] int version() const { return this->newest; }
   /// Writes the next configuration with this share (0 to 1) of the additional routes.
   void grow(double share);
-  [[nodiscard]] bool grows() const { return this->most_routes > 0; }
+  [[nodiscard]] bool grows() const { return this->max_routes > 0; }
   void list(const soak_backend& backend, bool draining);
   /// Removes a backend server as planned and adds another one in its place.
   void replace_backend(soak_backend& backend);
@@ -124,7 +124,7 @@
   void add_front(int number, const std::filesystem::path& program);
   void add_disk(int number, const std::filesystem::path& program);
   void start(soak_host& host);
-  void look_at_memory(const soak_host& host);
+  void check_memory(const soak_host& host);
 
   boost::asio::io_context& context;
   net::deadline_sweeper sweeper;
@@ -136,10 +136,10 @@
   int newest = 0;
   bool contended;
   /// Maximum number of additional routes.
-  int most_routes = 0;
+  int max_routes = 0;
   /// Additional routes of the newest configuration as JSON, a comma after each.
-  std::string grown;
-  net::steady_time next_look{};
+  std::string extra_routes;
+  net::steady_time next_memory_check{};
   int backends_made = 0;
 };
 
--- a/scenarios/soak_invariants.cc
+++ b/scenarios/soak_invariants.cc
@@ -4,13 +4,13 @@
 #include <algorithm>
 
 #include "hawthornlane/errors/error_kind.h"
-#include "soak_world.h"
+#include "soak_simulation.h"
 
 namespace hawthornlane::soak {
 
 // --- callers -------------------------------------------------------------
 
-void world::maybe_call() {
+void simulation::maybe_call() {
   if (!this->chance(300)) {
     return;
   }
@@ -18,15 +18,15 @@
     this->open();
     return;
   }
-  caller& from = this->callers[this->draw(this->callers.size())];
+  caller& from = this->callers[this->random_below(this->callers.size())];
   if (!from.current) {
     // Remove an ended program to make room for a new one.
     from = this->callers.back();
     this->callers.pop_back();
     return;
   }
-  const std::size_t at = this->draw(this->hosts.size());
-  if (!this->acts(this->hosts[at])) {
+  const std::size_t at = this->random_below(this->hosts.size());
+  if (!this->is_running(this->hosts[at])) {
     return;
   }
   ++this->report.calls;
@@ -39,12 +39,12 @@
   // Callers also repeat tickets that they have used before.
   if (!this->used[from.program].empty() && this->chance(150)) {
     const auto& old = this->used[from.program];
-    request.presented = old[this->draw(old.size())];
+    request.presented = old[this->random_below(old.size())];
   }
   request.repeatable = from.repeatable;
   request.reserved = token_count(reserved);
   this->calls[request.call] = from.program;
-  this->asked[request.call] = request.presented;
+  this->presented_tickets[request.call] = request.presented;
   this->used[from.program].push_back(request.presented);
   if (core.serving() && this->chance(80)) {
     const auto early = core.check_call(request, this->random());
@@ -56,10 +56,10 @@
   this->carry_out(at, core.begin_call(request, this->random(), this->now));
 }
 
-void world::open() {
+void simulation::open() {
   for (std::size_t at = 0; at < this->hosts.size(); ++at) {
     soak_host& host = this->hosts[at];
-    if (!this->acts(host) || !host.core->serving()) {
+    if (!this->is_running(host) || !host.core->serving()) {
       continue;
     }
     program_opened record;
@@ -77,24 +77,25 @@
   }
 }
 
-void world::take_answer(call_id call, const call_answer& answer) {
+void simulation::take_answer(call_id call, const call_answer& answer) {
   const std::string name =
       answer.error ? std::string(answer_for(*answer.error).name) : std::string("kept");
   ++this->report.answers[name];
   const bool says_not_run =
       answer.error && answer_for(*answer.error).outcome == run_outcome::not_run;
-  const auto asked_with = this->asked.find(call);
-  if (says_not_run && asked_with != this->asked.end()) {
+  const auto asked_with = this->presented_tickets.find(call);
+  if (says_not_run && asked_with != this->presented_tickets.end()) {
     this->refused.insert(asked_with->second);
     if (this->executed.contains(asked_with->second)) {
-      this->violate("not_run was answered for " + to_string(asked_with->second) + ", which ran");
+      this->report_violation("not_run was answered for " + to_string(asked_with->second) +
+                             ", which ran");
     }
   }
-  if (!answer.error && answer.turn && asked_with != this->asked.end()) {
+  if (!answer.error && answer.turn && asked_with != this->presented_tickets.end()) {
     const std::string expected = "a" + to_string(asked_with->second);
     if (answer.turn->answer != expected) {
-      this->violate("call under " + to_string(asked_with->second) +
-                    " got the answer of another call");
+      this->report_violation("call under " + to_string(asked_with->second) +
+                             " got the answer of another call");
     }
   }
   for (caller& from : this->callers) {
@@ -116,16 +117,16 @@
 
 // --- invariants ----------------------------------------------------------
 
-void world::violate(const std::string& what) {
+void simulation::report_violation(const std::string& what) {
   if (this->report.violation.empty()) {
     this->report.violation = what;
   }
 }
 
-void world::check() {
+void simulation::check() {
   for (const auto& [program, tokens] : this->spent) {
     if (tokens > budget) {
-      this->violate(
+      this->report_violation(
           fmt::format("program {} spent {} tokens, budget {}", program.get(), tokens, budget));
     }
   }
@@ -138,11 +139,11 @@
     }
     const std::string broken = host.core->broken_invariant();
     if (!broken.empty()) {
-      this->violate(broken);
+      this->report_violation(broken);
     }
     epoch& highest = this->highest_sealed[host.id];
     if (host.core->sealed_epoch() < highest) {
-      this->violate("the sealed epoch decreased at " + host.id.host.get());
+      this->report_violation("the sealed epoch decreased at " + host.id.host.get());
     }
     highest = host.core->sealed_epoch();
   }
--- a/scenarios/soak_world.h
+++ b/scenarios/soak_simulation.h
@@ -22,7 +22,7 @@
 constexpr auto longest_delay_ms = 600;
 
 /// An event that is scheduled for a virtual time.
-struct in_flight {
+struct scheduled_event {
   enum class kind : std::uint8_t { message, map_write, map_answer, send, result };
   kind what = kind::message;
   std::size_t host = 0;
@@ -57,9 +57,9 @@
 };
 
 /// Deterministic: the same parameters give the same run.
-class world {
+class simulation {
 public:
-  explicit world(const soak_parameters& with) : parameters(with), random(with.seed) {
+  explicit simulation(const soak_parameters& with) : parameters(with), random(with.seed) {
     for (std::size_t at = 0; at < with.hosts; ++at) {
       this->hosts.emplace_back();
       this->start(at);
@@ -69,12 +69,12 @@
   soak_report run();
 
 private:
-  std::uint64_t draw(std::uint64_t below) { return this->random() % below; }
-  bool chance(std::uint64_t per_thousand) { return this->draw(1000) < per_thousand; }
+  std::uint64_t random_below(std::uint64_t bound) { return this->random() % bound; }
+  bool chance(std::uint64_t per_thousand) { return this->random_below(1000) < per_thousand; }
   void start(std::size_t at);
-  bool acts(const soak_host& host) const;
+  bool is_running(const soak_host& host) const;
   std::optional<std::size_t> find(const host_incarnation& id) const;
-  void put(in_flight item, std::uint64_t extra_ms = 0);
+  void schedule(scheduled_event item, std::uint64_t extra_ms = 0);
   void note(const std::string& text) const;
 
   // Actions of shard cores.
@@ -83,15 +83,15 @@
 
   // Deliveries.
   void deliver_due();
-  void deliver(in_flight item);
-  void write_map(const in_flight& item);
-  void send_call(std::size_t at, shard_core& core, const in_flight& item);
-  void end_call(std::size_t at, shard_core& core, const in_flight& item);
+  void deliver(scheduled_event item);
+  void write_map(const scheduled_event& item);
+  void send_call(std::size_t at, shard_core& core, const scheduled_event& item);
+  void end_call(std::size_t at, shard_core& core, const scheduled_event& item);
 
   // Time and faults.
   void tick();
   /// Replaces replicas on hosts that have ended, as the ownership manager does.
-  void mend_replicas(std::size_t at);
+  void replace_ended_replicas(std::size_t at);
   void maybe_fault();
   std::size_t dead() const;
   std::size_t cut() const;
@@ -104,7 +104,7 @@
   void take_answer(call_id call, const call_answer& answer);
 
   // Invariants.
-  void violate(const std::string& what);
+  void report_violation(const std::string& what);
   void check();
 
   soak_parameters parameters;
@@ -114,16 +114,16 @@
   std::vector<soak_host> hosts;
   assignment map;
   bool platform_down = false;
-  std::multimap<timestamp, in_flight> flights;
+  std::multimap<timestamp, scheduled_event> scheduled_events;
   std::vector<caller> callers;
   std::map<call_id, program_id> calls;
-  std::map<call_id, ticket> asked;
+  std::map<call_id, ticket> presented_tickets;
   std::map<program_id, std::vector<ticket>> used;
   std::map<ticket, int> executed;
   std::set<ticket> refused;
   std::map<program_id, std::int64_t> spent;
   std::map<host_incarnation, epoch> highest_sealed;
-  std::uint64_t next_start = 1;
+  std::uint64_t next_incarnation = 1;
   std::uint64_t next_call = 1;
 };
 
