--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -19,7 +19,7 @@
   double step_seconds_per_call = 0.0006;
   /// Prefill work done within a step delays all decodes of that step.
   double step_seconds_per_prefill_token = 0.00010;
-  /// Prefill is done in chunks of this size, so that decodes go on.
+  /// Prefill is done in chunks of this size, so that decodes continue.
   std::int64_t prefill_chunk = 512;
   /// Calls that run at once; further ones wait in a first-in, first-out queue.
   std::size_t max_running = 32;
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -447,7 +447,7 @@
     rollout_core core;
     const std::string text(2000, 'x');
     for (std::size_t at = 0; at < documents; ++at) {
-      core.submit_call(service_name(std::to_string(at)), generation(1), text, timestamp{});
+      core.offer(service_name(std::to_string(at)), generation(1), text, timestamp{});
     }
     std::uint64_t sum = 0;
     const double us = mean_us(100, [&](std::size_t) { sum += core.digest(); });
--- a/scenarios/deployment.cc
+++ b/scenarios/deployment.cc
@@ -106,12 +106,12 @@
   for (int number = 0; number < size.engines; ++number) {
     this->engines.push_back(std::make_unique<stand_ins::scripted_backend>(
         this->environment, this->sweeper, any, fmt::format("engine-{}", number),
-        this->engine_acts));
+        this->engine_behaviors));
     this->list_backend(*this->engines.back(), "models");
   }
   for (int number = 0; number < size.apps; ++number) {
     this->apps.push_back(std::make_unique<stand_ins::scripted_backend>(
-        this->environment, this->sweeper, any, fmt::format("app-{}", number), this->app_acts));
+        this->environment, this->sweeper, any, fmt::format("app-{}", number), this->app_behaviors));
     this->list_backend(*this->apps.back(), "apps");
   }
   this->configure(1);
--- a/scenarios/deployment_test.cc
+++ b/scenarios/deployment_test.cc
@@ -16,7 +16,7 @@
     const char* what;
     const char* path;
     /// Of whichever server gets the first attempt, and of the next ones.
-    std::vector<backend_behavior> acts;
+    std::vector<backend_behavior> behaviors;
     int status;
     const char* body;
     int runs;
@@ -73,7 +73,7 @@
   for (const row& item : rows) {
     const std::string id = "call-" + std::to_string(++number);
     INFO(item.what);
-    all.app_acts->set(item.acts);
+    all.app_behaviors->set(item.behaviors);
     const call_result result = all.call(0, plain(item.path, id));
     CHECK(result.status == item.status);
     CHECK(result.body.find(item.status == 200 ? item.body : "error") != std::string::npos);
@@ -93,7 +93,7 @@
   struct row {
     const char* what;
     const char* path;
-    std::vector<backend_behavior> acts;
+    std::vector<backend_behavior> behaviors;
     bool whole;
     int runs;
   };
@@ -108,8 +108,8 @@
   for (const row& item : rows) {
     const std::string name = "stream-" + std::to_string(++number);
     INFO(item.what);
-    // A refused turn reaches no server and uses up no scripted act.
-    all.engine_acts->set(item.acts);
+    // A refused turn reaches no server and uses up no scripted behavior.
+    all.engine_behaviors->set(item.behaviors);
     const auto [id, result] = retry_until_decided(all, name, [&](const std::string& try_id) {
       return turn(item.path, try_id, "program-" + name);
     });
@@ -297,14 +297,14 @@
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
   // The fifth consecutive failure excludes the server for 4 s, longer than a call waits.
-  all.app_acts->set({backend_behavior::send_garbage});
+  all.app_behaviors->set({backend_behavior::send_garbage});
   int attempt = 0;
   for (int number = 0; number < 5; ++number) {
     REQUIRE(all.run_until([&all, &attempt] {
       return all.call(0, plain("/once/x", "f-" + std::to_string(++attempt))).status == 502;
     }));
   }
-  all.app_acts->set({backend_behavior::answer});
+  all.app_behaviors->set({backend_behavior::answer});
   all.restart_backend(*all.apps[0], "apps", 1'790'000'000'000);
   all.run_for(1500ms);
   const call_result restarted = all.call(0, plain("/safe/x", "restarted"));
--- a/scenarios/deployment_turns_test.cc
+++ b/scenarios/deployment_turns_test.cc
@@ -134,7 +134,7 @@
 TEST_CASE("a turn that has not run is not charged to its budget, even if all disk hosts die") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  all.engine_acts->set({backend_behavior::shed});
+  all.engine_behaviors->set({backend_behavior::shed});
   // All disk hosts are killed at the moment when the server refuses the turn.
   bool killed = false;
   all.engines[0]->on_arrival([&](const stand_ins::backend_arrival&) {
@@ -148,7 +148,7 @@
   REQUIRE(killed);
   REQUIRE(refused.status == 503);
   REQUIRE(runs_of(all, "not-run") == 0);
-  all.engine_acts->set({backend_behavior::answer});
+  all.engine_behaviors->set({backend_behavior::answer});
   for (int disk = 0; disk < 3; ++disk) {
     all.start_disk(disk);
   }
--- a/scenarios/refusal_test.cc
+++ b/scenarios/refusal_test.cc
@@ -103,7 +103,7 @@
                                     call_shape::resumable_stream);
   struct row {
     const char* what;
-    std::vector<backend_behavior> acts;
+    std::vector<backend_behavior> behaviors;
     /// Expected status of a call that may run once, and of one that may run again.
     int once;
     int again;
@@ -120,11 +120,11 @@
       {"full, then response lost", {shed, drop_response}, 502, 502},
       {"invalid response, then full", {send_garbage, shed_as_too_many}, 502, 502},
       {"misdirected, then unsigned response", {misdirect, unsigned_response}, 502, 502},
-      {"408 that does not say not run", {fail_408, answer}, 502, 200},
-      {"429 that does not say not run", {fail_429, answer}, 502, 200},
-      {"503 that does not say not run", {fail_503, answer}, 502, 200},
-      {"503 that does not say not run, then full", {fail_503, shed}, 502, 502},
-      {"full, then 429 that does not say not run", {shed, fail_429}, 502, 502},
+      {"408 without a run state", {fail_408, answer}, 502, 200},
+      {"429 without a run state", {fail_429, answer}, 502, 200},
+      {"503 without a run state", {fail_503, answer}, 502, 200},
+      {"503 without a run state, then full", {fail_503, shed}, 502, 502},
+      {"full, then 429 without a run state", {shed, fail_429}, 502, 502},
       {"500 from the server", {fail_500, answer}, 500, 500},
       {"full, then 500 from the server", {shed, fail_500}, 500, 500},
       {"504 from the server", {fail_504, answer}, 504, 504},
@@ -137,7 +137,7 @@
   for (const row& item : rows) {
     const std::string id = fmt::format("call-{}", answered.size());
     INFO(name_of(shape) << ": " << item.what);
-    (is_stream(shape) ? all.engine_acts : all.app_acts)->set(item.acts);
+    (is_stream(shape) ? all.engine_behaviors : all.app_behaviors)->set(item.behaviors);
     const call_result result = all.call(0, request_of(shape, id));
     CHECK(result.status == (may_repeat ? item.again : item.once));
     CHECK(runs_of(all, id) <= (may_repeat ? 2 : 1));
@@ -233,7 +233,7 @@
 TEST_CASE("a refusal without a call id on a reused connection may belong to an earlier call") {
   deployment all({1, 3, 1, 1});
   REQUIRE(is_up(all));
-  all.app_acts->set({backend_behavior::answer, backend_behavior::refuse_then_respond});
+  all.app_behaviors->set({backend_behavior::answer, backend_behavior::refuse_then_respond});
   REQUIRE(all.call(0, plain("/once/x", "first")).status == 200);
   const call_result result = all.call(0, plain("/once/x", "second"));
   REQUIRE(runs_of(all, "second") == 1);
@@ -245,7 +245,7 @@
   const backend_behavior second = GENERATE(fail_500, fail_503, fail_504, shed);
   deployment all({1, 3, 2, 1});
   REQUIRE(is_up(all));
-  all.engine_acts->set({truncate, second});
+  all.engine_behaviors->set({truncate, second});
   const call_result result = all.call(0, request_of(call_shape::resumable_stream, "cut"));
   CHECK(result.status == 200);
   CHECK_FALSE(result.whole);
--- a/scenarios/soak_faults.cc
+++ b/scenarios/soak_faults.cc
@@ -162,7 +162,8 @@
   };
 }
 
-soak_faults::undo soak_faults::script(const std::shared_ptr<stand_ins::behavior_script>& acts) {
+soak_faults::undo soak_faults::script(
+    const std::shared_ptr<stand_ins::behavior_script>& behaviors) {
   using enum backend_behavior;
   constexpr std::array harmful{
       shed,         drop_response, truncate,         respond_twice, respond_to_other_call_first,
@@ -170,16 +171,16 @@
       answer,       drop_response, unsigned_response};
   std::vector<backend_behavior> order;
   constexpr std::size_t length = 60;
-  const backend_behavior dominant_act = harmful[this->random_index(harmful.size())];
+  const backend_behavior dominant_behavior = harmful[this->random_index(harmful.size())];
   for (std::size_t number = 0; number < length; ++number) {
     const bool disturb = this->random_index(3) == 0;
     const bool same = this->random_index(2) == 0;
     const backend_behavior other = harmful[this->random_index(harmful.size())];
-    order.push_back(!disturb ? answer : same ? dominant_act : other);
+    order.push_back(!disturb ? answer : same ? dominant_behavior : other);
   }
   order.push_back(answer);
-  acts->set(order);
-  return [acts] { acts->set({answer}); };
+  behaviors->set(order);
+  return [behaviors] { behaviors->set({answer}); };
 }
 
 std::vector<soak_faults::fault_kind> soak_faults::environment_faults() {
@@ -197,8 +198,9 @@
          this->fleet.store().set_stalled_watches(true);
          return [this] { this->fleet.store().set_stalled_watches(false); };
        }},
-      {"model servers fail", false, [this] { return this->script(this->fleet.engine_acts); }},
-      {"application servers fail", false, [this] { return this->script(this->fleet.app_acts); }},
+      {"model servers fail", false, [this] { return this->script(this->fleet.engine_behaviors); }},
+      {"application servers fail", false,
+       [this] { return this->script(this->fleet.app_behaviors); }},
   };
 }
 
--- a/scenarios/soak_faults.h
+++ b/scenarios/soak_faults.h
@@ -54,7 +54,7 @@
   /// Continues the growth of the configuration, or starts it again.
   void grow(net::steady_time now);
   void note(net::steady_time now, const std::string& what);
-  undo script(const std::shared_ptr<stand_ins::behavior_script>& acts);
+  undo script(const std::shared_ptr<stand_ins::behavior_script>& behaviors);
   undo freeze(soak_host& host);
   soak_host& pick_host(std::vector<soak_host>& hosts);
   std::chrono::milliseconds random_duration(int min_ms, int max_ms);
--- a/scenarios/soak_fleet.cc
+++ b/scenarios/soak_fleet.cc
@@ -264,7 +264,7 @@
   made.server = std::make_unique<stand_ins::scripted_backend>(
       this->context, this->sweeper, http::endpoint{loopback, 0},
       fmt::format("{}-{}", service, this->backends_made++),
-      is_engine ? this->engine_acts : this->app_acts);
+      is_engine ? this->engine_behaviors : this->app_behaviors);
   made.proxy = std::make_shared<fault_proxy>(this->context, made.server->where());
   const std::string name = made.server->instance();
   made.server->on_arrival([this, name](const stand_ins::backend_arrival& arrival) {
--- a/scenarios/soak_fleet.h
+++ b/scenarios/soak_fleet.h
@@ -110,9 +110,9 @@
   std::vector<soak_host> fronts;
   std::vector<soak_host> disks;
   std::vector<soak_backend> backends;
-  std::shared_ptr<stand_ins::behavior_script> engine_acts =
+  std::shared_ptr<stand_ins::behavior_script> engine_behaviors =
       std::make_shared<stand_ins::behavior_script>();
-  std::shared_ptr<stand_ins::behavior_script> app_acts =
+  std::shared_ptr<stand_ins::behavior_script> app_behaviors =
       std::make_shared<stand_ins::behavior_script>();
   [[nodiscard]] stand_ins::object_platform& store() { return *this->platform; }
 
