--- a/scenarios/fault_proxy_test.cc
+++ b/scenarios/fault_proxy_test.cc
@@ -1,4 +1,4 @@
-// What a proxy of the fault soak does to the bytes that it carries.
+// Tests of the fault proxy's rate limit.
 #include "fault_proxy.h"
 
 #include <boost/asio/buffer.hpp>
@@ -19,13 +19,13 @@
 
 namespace {
 
-/// How long 400 KB from a target take, half of them over each of two connections.
-std::chrono::duration<double> time_of_bytes(std::uint64_t bytes_a_second) {
+/// Time to receive 400 KB from a target, half of them over each of two connections.
+std::chrono::duration<double> time_of_bytes(std::uint64_t bytes_per_second) {
   asio::io_context context;
   const tcp::endpoint anywhere(asio::ip::make_address(loopback), 0);
   tcp::acceptor target(context, anywhere);
   fault_proxy proxy(context, {loopback, target.local_endpoint().port()});
-  proxy.limit_rate(bytes_a_second);
+  proxy.limit_rate(bytes_per_second);
   const std::string half(200'000, 'x');
   std::vector<std::string> received(2, std::string(half.size(), ' '));
   const auto began = steady::now();
@@ -50,17 +50,17 @@
 
 }  // namespace
 
-TEST_CASE("connections back from a target share the rate of its link") {
+TEST_CASE("all connections back from a target share one rate limit") {
   struct row {
-    std::uint64_t bytes_a_second;
-    std::chrono::duration<double> least;
-    std::chrono::duration<double> most;
+    std::uint64_t bytes_per_second;
+    std::chrono::duration<double> minimum;
+    std::chrono::duration<double> maximum;
   };
   const row rows[] = {{0, 0s, 300ms}, {1'000'000, 400ms, 800ms}, {500'000, 800ms, 1500ms}};
   for (const row& item : rows) {
-    INFO(item.bytes_a_second);
-    const auto took = time_of_bytes(item.bytes_a_second);
-    CHECK(took.count() >= item.least.count());
-    CHECK(took.count() < item.most.count());
+    INFO(item.bytes_per_second);
+    const auto took = time_of_bytes(item.bytes_per_second);
+    CHECK(took.count() >= item.minimum.count());
+    CHECK(took.count() < item.maximum.count());
   }
 }
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -1,4 +1,4 @@
-// Agent programs that use a soaked deployment as callers do.
+// Simulated agent programs that call a deployment during a fault soak.
 #include "soak_callers.h"
 
 #include <fmt/format.h>
@@ -16,20 +16,20 @@
 
 namespace {
 
-/// What callers allow a call, as their `X-Deadline-Ms` says.
+/// Deadline of a call, sent as `X-Deadline-Ms`.
 constexpr auto call_limit = 3000ms;
-/// The routes' own timeouts are shorter; an answer later than this is not awaited.
+/// Wait for a response beyond the deadline; the routes' own timeouts are shorter.
 constexpr auto answer_slack = 500ms;
 constexpr auto connect_limit = 1000ms;
-/// Callers keep an address answer for the time that the played hosts name.
+/// Callers reuse a directory response for the hosts' configured `address_time`.
 constexpr auto address_time = 1000ms;
-/// Turns are kept for 60 s; those that are almost forgotten are not gone on from.
-constexpr auto remembered = 45s;
-constexpr std::size_t most_remembered = 400;
-constexpr int tries_each_turn = 3;
-/// A turn that is kept reaches a server within so many tries once all is calm.
-constexpr int tries_when_calm = 5;
-constexpr std::size_t turns_verified = 40;
+/// Turns are stored for 60 s; those that are about to expire are not continued.
+constexpr auto max_turn_age = 45s;
+constexpr std::size_t max_stored_turns = 400;
+constexpr int attempts_per_turn = 3;
+/// A stored turn reaches a server within this many attempts when no fault is active.
+constexpr int attempts_when_calm = 5;
+constexpr std::size_t max_turns_verified = 40;
 
 asio::awaitable<void> pause(std::chrono::milliseconds time) {
   asio::steady_timer timer(co_await asio::this_coro::executor, time);
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-/// One caller with the connection that it keeps.
+/// One caller with the connection that it reuses.
 struct soak_callers::caller {
   caller(asio::io_context& io, net::deadline_sweeper& alarms, std::uint64_t seed)
       : context(io), sweeper(alarms), random(seed) {}
@@ -50,11 +50,11 @@
   std::string buffer;
   std::vector<std::string> addresses;
   net::steady_time addresses_until{};
-  /// Of the last address that failed, which is not used again at once.
+  /// Last address that failed; not used for the next connection if there is another.
   std::string failed;
   std::string connected_to;
 
-  std::size_t below(std::size_t count) {
+  std::size_t random_index(std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(this->random);
   }
   bool chance(double share) { return std::bernoulli_distribution(share)(this->random); }
@@ -82,62 +82,63 @@
 
 void soak_callers::start(int callers) {
   for (int number = 0; number < callers; ++number) {
-    ++this->under_way;
+    ++this->active_tasks;
     asio::co_spawn(this->context, this->run_caller(this->random()), asio::detached);
   }
-  ++this->under_way;
+  ++this->active_tasks;
   asio::co_spawn(this->context, this->probe_configuration(), asio::detached);
 }
 
 asio::awaitable<void> soak_callers::run_caller(std::uint64_t seed) {
   caller who(this->context, this->sweeper, seed);
-  co_await pause(std::chrono::milliseconds(who.below(500)));
+  co_await pause(std::chrono::milliseconds(who.random_index(500)));
   while (!this->stopping) {
     constexpr std::size_t kinds = 10;
-    const std::size_t kind = who.below(kinds);
+    const std::size_t kind = who.random_index(kinds);
     if (kind < 5) {
-      kept_line fresh;
+      conversation_state fresh;
       fresh.program = fresh_id();
-      co_await this->run_line(who, fresh, 2 + static_cast<int>(who.below(4)));
+      co_await this->run_conversation(who, fresh, 2 + static_cast<int>(who.random_index(4)));
     } else if (kind < 6 && !this->lines.empty()) {
-      const kept_line old = this->lines[who.below(this->lines.size())];
-      if (steady::now() - old.ended < remembered) {
-        co_await this->run_line(who, old, 1);
+      const conversation_state old = this->lines[who.random_index(this->lines.size())];
+      if (steady::now() - old.ended < max_turn_age) {
+        co_await this->run_conversation(who, old, 1);
       }
     } else if (kind < 7) {
       co_await this->run_budgeted(who);
     } else {
       co_await this->run_tools(who, 3);
     }
-    co_await pause(std::chrono::milliseconds(20 + who.below(60)));
+    co_await pause(std::chrono::milliseconds(20 + who.random_index(60)));
   }
-  --this->under_way;
+  --this->active_tasks;
 }
 
-sent_call soak_callers::turn_of(caller& who, const kept_line& line) {
+sent_call soak_callers::turn_of(caller& who, const conversation_state& line) {
   sent_call call;
   const std::string id = this->fresh_id();
   constexpr int ample_budget = 100'000;
   call.request = turn_request_of("/kept/x", id, line.program, line.turn, ample_budget);
-  call.request.body += std::string(who.below(300), 'i');
+  call.request.body += std::string(who.random_index(300), 'i');
   call.body_at_server = line.history + call.request.body;
   call.program = line.program;
   call.is_stream = true;
-  call.goes_on = !line.turn.empty();
+  call.continues_turn = !line.turn.empty();
   return call;
 }
 
-asio::awaitable<void> soak_callers::run_line(caller& who, kept_line line, int turns) {
+asio::awaitable<void> soak_callers::run_conversation(caller& who, conversation_state line,
+                                                     int turns) {
   for (int number = 0; number < turns; ++number) {
     call_result result;
     sent_call sent;
-    for (int attempt = 0; attempt < tries_each_turn; ++attempt) {
+    for (int attempt = 0; attempt < attempts_per_turn; ++attempt) {
       sent = this->turn_of(who, line);
       result = co_await this->call(who, sent, 1);
       if (result.status == 200 && result.whole) {
         break;
       }
-      co_await pause(std::chrono::milliseconds(100 + who.below(300)));
+      co_await pause(std::chrono::milliseconds(100 + who.random_index(300)));
     }
     if (result.status != 200 || !result.whole) {
       co_return;
@@ -146,10 +147,10 @@
     line.history = sent.body_at_server + output_of_turn();
     line.ended = steady::now();
     this->lines.push_back(line);
-    if (this->lines.size() > most_remembered) {
+    if (this->lines.size() > max_stored_turns) {
       this->lines.pop_front();
     }
-    co_await this->run_tools(who, static_cast<int>(who.below(3)));
+    co_await this->run_tools(who, static_cast<int>(who.random_index(3)));
   }
 }
 
@@ -175,7 +176,7 @@
     sent_call call;
     const bool once = who.chance(0.6);
     call.request.path = once ? "/once/x" : "/safe/x";
-    call.request.body = std::string(1 + who.below(600), 't');
+    call.request.body = std::string(1 + who.random_index(600), 't');
     call.body_at_server = call.request.body;
     call.repeats = once ? repetition::once : repetition::idempotent;
     co_await this->call(who, call, 2);
@@ -201,7 +202,7 @@
 }
 
 asio::awaitable<void> soak_callers::refresh_addresses(caller& who) {
-  const soak_host& host = this->fleet.fronts[who.below(this->fleet.fronts.size())];
+  const soak_host& host = this->fleet.fronts[who.random_index(this->fleet.fronts.size())];
   http::request ask;
   ask.target = "/resolve?name=a.example&region=r&zone=z0";
   http::fetch_failure why;
@@ -235,7 +236,7 @@
   if (choice.empty()) {
     co_return false;
   }
-  who.connected_to = choice[who.below(choice.size())];
+  who.connected_to = choice[who.random_index(choice.size())];
   who.socket = std::make_unique<net::timed_socket>(who.context, who.sweeper);
   const auto where = *http::endpoint_from_string(who.connected_to);
   const net::error_code error = co_await who.socket->connect(where, steady::now() + connect_limit);
@@ -254,7 +255,7 @@
     co_return result;
   }
   sent_call sent = what;
-  // All calls of a program are one account's.
+  // All calls of a program belong to one account.
   const std::string& name = sent.program.empty() ? sent.request.id : sent.program;
   sent.account = soak_accounts[std::hash<std::string>()(name) % soak_accounts.size()];
   sent.request.headers.push_back({"Authorization", "Bearer " + soak_fleet::key_of(sent.account)});
@@ -273,7 +274,7 @@
   const auto ended = steady::now();
   result.took = std::chrono::duration_cast<std::chrono::milliseconds>(ended - began);
   if (!who.buffer.empty() && result.whole) {
-    this->promises.note(fmt::format("bytes follow the answer to {}", sent.request.id));
+    this->promises.note(fmt::format("unexpected bytes after the response to {}", sent.request.id));
   }
   const bool timed_out = ended >= began + call_limit;
   this->promises.on_answer(sent.request.id, result, this->calm(began) && !timed_out);
@@ -286,8 +287,8 @@
   co_return result;
 }
 
-/// Asks one host after another for the newest route: what a process has once had in
-/// force must stay in force.
+/// Requests the newest route from one host after another: a configuration that a process
+/// has once had in force must stay in force.
 asio::awaitable<void> soak_callers::probe_configuration() {
   caller who(this->context, this->sweeper, this->random());
   std::map<std::string, int> in_force;
@@ -309,13 +310,14 @@
     const bool same = process == fmt::format("{}/{}", host.name, host.incarnation) &&
                       newest == this->fleet.version();
     if (result.status == 404 && same && in_force[process] >= newest) {
-      this->promises.note(fmt::format("{} went back behind version {}", process, newest));
+      this->promises.note(
+          fmt::format("{} went back to a configuration older than version {}", process, newest));
     }
     if (result.status == 200) {
       in_force[process] = std::max(in_force[process], newest);
     }
   }
-  --this->under_way;
+  --this->active_tasks;
 }
 
 asio::awaitable<void> soak_callers::verify_in_force(caller& who, int version, const char* when) {
@@ -335,7 +337,8 @@
 
 asio::awaitable<void> soak_callers::verify(bool& done) {
   caller who(this->context, this->sweeper, this->random());
-  co_await this->verify_in_force(who, this->fleet.version(), "the last one before the faults' end");
+  co_await this->verify_in_force(who, this->fleet.version(),
+                                 "the last one before the faults ended");
   const int version = this->fleet.configure();
   soak_backend& leaving = this->fleet.backends.back();
   this->fleet.list(leaving, true);
@@ -344,23 +347,24 @@
   const std::size_t arrivals = leaving.server->arrivals().size();
   co_await this->verify_in_force(who, version, "2 s after it was written");
   if (leaving.server->arrivals().size() != arrivals) {
-    this->promises.note("a leaving server got a new request after 2 s");
+    this->promises.note("a draining server received a new request after 2 s");
   }
   std::size_t verified = 0;
-  const std::deque<kept_line> newest(this->lines.rbegin(), this->lines.rend());
-  for (const kept_line& line : newest) {
-    if (steady::now() - line.ended > remembered || ++verified > turns_verified) {
+  const std::deque<conversation_state> newest(this->lines.rbegin(), this->lines.rend());
+  for (const conversation_state& line : newest) {
+    if (steady::now() - line.ended > max_turn_age || ++verified > max_turns_verified) {
       break;
     }
-    const soak_host& host = this->fleet.fronts[who.below(this->fleet.fronts.size())];
+    const soak_host& host = this->fleet.fronts[who.random_index(this->fleet.fronts.size())];
     who.addresses = {http::to_string(host.callers->where())};
     call_result result;
-    for (int attempt = 0; attempt < tries_when_calm && result.status != 200; ++attempt) {
+    for (int attempt = 0; attempt < attempts_when_calm && result.status != 200; ++attempt) {
       const sent_call next = this->turn_of(who, line);
       result = co_await this->call(who, next, 1);
     }
     if (result.status != 200) {
-      this->promises.note(fmt::format("turn {} is lost: {}", line.turn, result.status));
+      this->promises.note(
+          fmt::format("stored turn {} is lost: status {}", line.turn, result.status));
     }
   }
   done = true;
