--- a/libs/document/include/hawthornlane/document/service_document.h
+++ b/libs/document/include/hawthornlane/document/service_document.h
@@ -1,4 +1,4 @@
-// The service document: the one thing that operators write.
+// The service document: the configuration of one service, written by its operators.
 #pragma once
 
 #include <cstdint>
@@ -14,37 +14,39 @@
 
 namespace hawthornlane {
 
-/// A client account's part in a service.
+/// The settings of one client account of a service.
 struct account_terms {
   client_account account;
   std::string credential;
   /// Share of the service under contention, relative to other accounts.
   double weight = 1;
-  /// Calls of this account that may be under way at once, fleet-wide.
+  /// Maximum number of this account's calls in flight, over the whole fleet.
   std::int64_t concurrent_calls = 0;
 };
 
-/// A plain service that programs may call.
+/// The settings of a tool: a plain service that programs may call.
 struct tool_terms {
   std::string name;
-  /// False: a call runs at most once.
+  /// Whether a call may run more than once; if not, it runs at most once.
   bool repeatable = false;
+  /// Time limit of one call.
   duration timeout{};
 };
 
-/// Everything a service's owners decide. No value switches a guarantee off.
+/// Everything that the owners of a service configure. No value disables a guarantee.
 struct service_document {
   service_name service;
   std::string owner_team;
-  /// Empty when the service only calls tools.
+  /// Empty when the service calls tools only.
   model_name model;
   token_count max_answer_tokens{0};
-  /// 1: only program latency counts; 0: only wasted cache counts.
+  /// Weight of program latency against wasted cache: 1 counts only latency, 0 only cache.
   double latency_weight = 0.5;
-  /// How late an answer is still of use, from the arrival of its call.
+  /// How long after its call's arrival an answer is still useful.
   duration call_deadline{};
-  /// A program without calls for longer is ended and its cache released.
+  /// A program without calls for longer than this is ended and its cache released.
   duration idle_time{};
+  /// Maximum number of calls in flight, over the whole fleet.
   std::int64_t concurrent_calls = 0;
   token_count budget_tokens{0};
   std::int64_t budget_turns = 0;
@@ -57,24 +59,24 @@
   [[nodiscard]] const account_terms* find_credential(std::string_view credential) const;
 };
 
-/// The keys that a document may hold.
+/// The keys that a document may contain.
 const std::vector<key_rule>& document_schema();
 
-/// Reads and checks a document's text; on failure nothing, and every problem with
-/// its line is in `problems`.
+/// Reads and checks a document's text. On failure it returns nothing and appends every
+/// problem, with its line, to `problems`.
 std::optional<service_document> read_document(std::string_view text,
                                               std::vector<ini_problem>& problems);
 
-/// Digest of a document's text, as operators repeat it to confirm a change.
+/// Digest of a document's text. Operators send it to confirm a dangerous change.
 std::string document_digest(std::string_view text);
 
-/// What a document would act on, as one host sees the fleet.
+/// The servers and programs that a document affects, as known to one host.
 struct fleet_view {
   /// Live backend servers by the model that they hold.
   std::map<model_name, std::int64_t> servers_by_model;
-  /// Live backend servers by the plain service that they offer.
+  /// Live backend servers by the tool that they offer.
   std::map<std::string, std::int64_t> servers_by_tool;
-  /// For each running program of the service: tokens charged and turns run.
+  /// Usage of one running program of the service.
   struct running_program {
     token_count charged{0};
     std::int64_t turns = 0;
@@ -82,15 +84,15 @@
   std::vector<running_program> running;
 };
 
-/// What a change would do to the running fleet.
+/// One effect that a change of a document has on the running fleet.
 struct change_effect {
   int line = 0;
   std::string message;
-  /// Dangerous effects need the digest of the checked text repeated.
+  /// A dangerous effect must be confirmed with the digest of the checked text.
   bool dangerous = false;
 };
 
-/// Effects of replacing `before` (if there is one) by `after`.
+/// The effects of replacing `before`, if there is one, by `after`.
 std::vector<change_effect> effects_of(const std::optional<service_document>& before,
                                       const service_document& after, const fleet_view& fleet);
 
--- a/libs/document/src/service_document.cc
+++ b/libs/document/src/service_document.cc
@@ -1,4 +1,4 @@
-// Reading service documents and judging what they would do.
+// Reads service documents and lists the effects of changing them.
 #include "hawthornlane/document/service_document.h"
 
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 constexpr double second = 1e6;
 constexpr double hour = 3600 * second;
 constexpr double day = 24 * hour;
-// Ceilings of the fleet, which no document raises.
+// Limits of the fleet, which no document may exceed.
 constexpr double most_budget_tokens = 2e6;
 constexpr double most_turns = 500;
 constexpr double most_concurrent_calls = 100'000;
@@ -24,17 +24,18 @@
   return {
       {"service", "name", name, true, "", 0, 0, "name of the service"},
       {"service", "owner_team", name, true, "", 0, 0, "team that owns this document"},
-      {"service", "model", name, false, "", 0, 0, "model that answers; none for tools only"},
+      {"service", "model", name, false, "", 0, 0,
+       "model that answers; empty when the service calls tools only"},
       {"service", "max_answer_tokens", integer, false, "1024", 1, 65536,
        "longest answer of one call, tokens"},
       {"service", "latency_weight", number, false, "0.5", 0, 1,
-       "1: only program latency counts; 0: only wasted cache"},
+       "weight of program latency against wasted cache; 1: only latency, 0: only cache"},
       {"service", "call_deadline", time, false, "2 min", second, hour,
-       "how late an answer is still of use"},
+       "how long after its call's arrival an answer is still useful"},
       {"service", "idle_time", time, false, "8 h", 10 * second, 7 * day,
-       "a program without calls for longer is ended"},
+       "a program without calls for longer than this is ended"},
       {"service", "concurrent_calls", integer, false, "1000", 1, most_concurrent_calls,
-       "calls under way at once, whole fleet"},
+       "maximum calls in flight, whole fleet"},
       {"budget", "tokens", integer, true, "", 1, most_budget_tokens,
        "tokens that one program may use"},
       {"budget", "turns", integer, true, "", 1, most_turns, "calls that one program may make"},
@@ -45,7 +46,7 @@
       {"account *", "credential", text, true, "", 0, 0, "secret that the account's callers send"},
       {"account *", "weight", number, false, "1", 0.01, 100, "share under contention"},
       {"account *", "concurrent_calls", integer, false, "100", 1, most_concurrent_calls,
-       "calls under way at once, whole fleet"},
+       "maximum calls in flight, whole fleet"},
       {"tool *", "repeatable", yes_no, true, "", 0, 0, "whether a call may run twice"},
       {"tool *", "timeout", time, false, "30 s", second / 100, hour, "how long one call may take"},
   };
@@ -54,7 +55,7 @@
 void check_accounts(const service_document& document, const checked_values& values,
                     std::vector<ini_problem>& problems) {
   if (document.accounts.empty()) {
-    problems.push_back({0, "no [account NAME] section: nobody could call the service"});
+    problems.push_back({0, "no [account NAME] section: no caller could use the service"});
   }
   std::set<std::string> credentials;
   for (const account_terms& terms : document.accounts) {
@@ -65,7 +66,8 @@
                                             section, shortest_credential)});
     }
     if (!terms.credential.empty() && !credentials.insert(terms.credential).second) {
-      problems.push_back({line, fmt::format("[{}] credential is another account's too", section)});
+      problems.push_back(
+          {line, fmt::format("[{}] credential is already used by another account", section)});
     }
     if (terms.concurrent_calls > document.concurrent_calls) {
       problems.push_back({values.line_of(section, "concurrent_calls"),
@@ -93,10 +95,11 @@
   }
   if (document.budget_tool_calls > document.budget_turns) {
     problems.push_back({values.line_of("budget", "tool_calls"),
-                        "[budget] tool_calls exceeds turns, of which tool calls are a part"});
+                        "[budget] tool_calls exceeds turns, which include the tool calls"});
   }
   if (document.model.get().empty() && document.tools.empty()) {
-    problems.push_back({0, "neither a model nor a [tool NAME] section: nothing could be called"});
+    problems.push_back(
+        {0, "neither a model nor a [tool NAME] section: the service could not be used"});
   }
   for (const tool_terms& tool : document.tools) {
     if (tool.timeout > document.call_deadline) {
@@ -139,8 +142,8 @@
                       std::vector<change_effect>& effects) {
   if (after.concurrent_calls * 2 <= before.concurrent_calls) {
     effects.push_back({0,
-                       fmt::format("cuts concurrent_calls from {} to {}", before.concurrent_calls,
-                                   after.concurrent_calls),
+                       fmt::format("reduces concurrent_calls from {} to {}",
+                                   before.concurrent_calls, after.concurrent_calls),
                        true});
   }
   for (const account_terms& old_terms : before.accounts) {
@@ -149,13 +152,13 @@
         [&old_terms](const account_terms& terms) { return terms.account == old_terms.account; });
     if (kept == after.accounts.end()) {
       effects.push_back(
-          {0, fmt::format("shuts out client account '{}'", old_terms.account.get()), true});
+          {0, fmt::format("removes client account '{}'", old_terms.account.get()), true});
     }
   }
   for (const tool_terms& old_tool : before.tools) {
     const tool_terms* kept = after.find_tool(old_tool.name);
     if (kept == nullptr) {
-      effects.push_back({0, fmt::format("takes tool '{}' away", old_tool.name), true});
+      effects.push_back({0, fmt::format("removes tool '{}'", old_tool.name), true});
     } else if (kept->repeatable && !old_tool.repeatable) {
       effects.push_back(
           {0, fmt::format("lets calls of tool '{}' run more than once", old_tool.name), true});
--- a/libs/document/test/service_document_test.cc
+++ b/libs/document/test/service_document_test.cc
@@ -1,4 +1,4 @@
-// Tests of the service document: every kind of mistake, with its line.
+// Tests of reading service documents and of the effects of changing them.
 #include "hawthornlane/document/service_document.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Lines 1 to 14 of a good document.
+/// Lines 1 to 14 of a valid document.
 const std::vector<std::string> good_lines{
     "[service]",      "name = diagnosis",       "owner_team = workshop",
     "model = small",  "max_answer_tokens = 64", "call_deadline = 1 min",
@@ -40,7 +40,8 @@
 
 }  // namespace
 
-TEST_CASE("a good document is read with defaults filled in") {
+// Guards against refused valid documents and against values lost on reading.
+TEST_CASE("a valid document is read with defaults filled in") {
   std::vector<ini_problem> problems;
   const auto document = read_document(text_of(good_lines), problems);
   INFO(to_string(problems));
@@ -51,6 +52,7 @@
   CHECK(document->call_deadline == std::chrono::minutes(1));
 }
 
+// Guards against a mistake that is accepted, or reported at the wrong line or without its reason.
 TEST_CASE("each kind of mistake is refused with its line and its reason") {
   struct mistake {
     std::size_t at;
@@ -92,7 +94,7 @@
       {12,
        "credential = north-workshop-secret\n[account south]\n"
        "credential = north-workshop-secret",
-       14, "is another account's too"},
+       14, "is already used by another account"},
       {12, "credential = north-workshop-secret\nconcurrent_calls = 1001", 13,
        "exceeds the service's 1000"},
       {14, "repeatable = maybe", 14, "is neither yes nor no"},
@@ -109,6 +111,7 @@
   CHECK(mentions(problems, row.reported_at, row.reason));
 }
 
+// Guards against reading that stops at the first mistake, and against unsorted reports.
 TEST_CASE("all mistakes of a document are reported at once, in order of their lines") {
   std::vector<ini_problem> problems;
   const auto document =
@@ -120,7 +123,8 @@
   }
 }
 
-TEST_CASE("dangerous effects on the running fleet are named") {
+// Guards against a change that harms running programs or accounts without a confirmation.
+TEST_CASE("dangerous effects on the running fleet are reported") {
   std::vector<ini_problem> problems;
   const auto before = read_document(text_of(good_lines), problems);
   service_document after = *before;
@@ -128,7 +132,7 @@
   fleet.servers_by_model[model_name("small")] = 2;
   fleet.servers_by_tool["claims"] = 1;
   std::string expected;
-  SECTION("the model is nowhere") {
+  SECTION("no server holds the model") {
     after.model = model_name("large");
     expected = "no backend server holds model 'large'";
   }
@@ -139,11 +143,11 @@
   }
   SECTION("capacity is halved") {
     after.concurrent_calls = 400;
-    expected = "cuts concurrent_calls from 1000 to 400";
+    expected = "reduces concurrent_calls from 1000 to 400";
   }
-  SECTION("an account is shut out") {
+  SECTION("an account is removed") {
     after.accounts.clear();
-    expected = "shuts out client account 'north'";
+    expected = "removes client account 'north'";
   }
   SECTION("a tool becomes repeatable") {
     after.tools.front().repeatable = true;
@@ -155,7 +159,8 @@
   CHECK(effects.front().dangerous);
 }
 
-TEST_CASE("a document that changes nothing has no effects") {
+// Guards against a confirmation asked for a change that has no effects.
+TEST_CASE("an unchanged document has no effects") {
   std::vector<ini_problem> problems;
   const auto document = read_document(text_of(good_lines), problems);
   fleet_view fleet;
--- a/libs/node/include/hawthornlane/node/admin_routes.h
+++ b/libs/node/include/hawthornlane/node/admin_routes.h
@@ -14,7 +14,7 @@
 
 namespace hawthornlane {
 
-/// Everything that the operators' interface reaches.
+/// References to the parts of the host that the operators' interface uses.
 struct admin_parts {
   runtime& time;
   shard_table& shards;
@@ -24,11 +24,11 @@
   audit_log& audit;
   object_store& platform;
   std::string credential;
-  /// Begins the planned stop of this host.
+  /// Starts a planned shutdown of this host; `who` is the operator's name for the audit trail.
   std::function<void(const std::string& who)> drain;
 };
 
-/// Handles operators' requests, below "/v1/admin/".
+/// Handles operators' requests, whose paths start with "/v1/admin/".
 class admin_routes {
 public:
   explicit admin_routes(admin_parts parts);
--- a/libs/node/include/hawthornlane/node/audit_log.h
+++ b/libs/node/include/hawthornlane/node/audit_log.h
@@ -1,4 +1,4 @@
-// The audit trail: who changed what, with what result.
+// The audit trail: who changed what, and with what result.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 namespace hawthornlane {
 
-/// One change, refusal, takeover, drain or order.
+/// One audited action: a change, refusal, takeover, drain or operator's command.
 struct audit_entry {
-  /// Wall clock, milliseconds since 1970.
+  /// Wall clock, milliseconds since the Unix epoch.
   std::int64_t at_ms = 0;
   std::string host;
-  /// An operator's name, or "hawthornlane" for the system's own acts.
+  /// An operator's name, or "hawthornlane" for actions of the system itself.
   std::string who;
   /// E.g. "document.apply", "shard.takeover", "host.drain".
   std::string what;
@@ -25,15 +25,17 @@
   std::string result;
 };
 
-/// Entries of this host: those not yet stored, and the latest ones.
+/// The audit entries of this host that the platform has not stored yet. Thread-safe.
 ///
-/// Promise: an entry stays until `stored` confirms it, up to a bound that is
-/// counted when exceeded; a platform outage loses nothing within it.
+/// Guarantee: an entry stays until `stored` confirms it, so a platform outage loses
+/// nothing while the number of entries is within its limit. Beyond the limit the
+/// oldest entry is dropped and counted in `dropped`.
 class audit_log {
 public:
   void add(audit_entry entry);
-  /// Entries to store next, oldest first.
+  /// At most `most` entries to store next, oldest first.
   [[nodiscard]] std::vector<audit_entry> unstored(std::size_t most) const;
+  /// Removes the oldest `count` entries; call it once the platform has stored them.
   void stored(std::size_t count);
   [[nodiscard]] std::uint64_t dropped() const;
 
--- a/libs/node/include/hawthornlane/node/backend_table.h
+++ b/libs/node/include/hawthornlane/node/backend_table.h
@@ -1,4 +1,4 @@
-// Backend servers as this host knows them: what they serve and how they do.
+// The backend servers known to this host: what they serve, their load and their failures.
 #pragma once
 
 #include <map>
@@ -16,39 +16,45 @@
 /// One backend server.
 struct backend_server {
   backend_server_id id;
-  /// A model engine when set, else a plain service.
+  /// Set for a model engine; empty for a plain service, which `tool` names.
   model_name model;
   std::string tool;
   http::endpoint address;
   availability_zone zone;
   bool leaving = false;
   bool checks_fencing = false;
-  /// Calls that this host has in it.
+  /// Calls of this host that are in flight at the server.
   std::int64_t outstanding = 0;
-  /// Failures since the last success.
+  /// Consecutive failures since the last success.
   std::int64_t failures = 0;
   timestamp excluded_until;
 };
 
-/// What a call needs of a server.
+/// The model or tool that a call needs from a server.
 struct backend_need {
   model_name model;
   std::string tool;
 };
 
-/// Thread-safe. Servers come from the platform's objects "servers/ID".
+/// The backend servers listed in the platform's objects "servers/ID". Thread-safe.
 class backend_table {
 public:
-  /// The server that the object describes, if it is one.
+  /// Adds or updates the server that the object describes and returns it; nothing when
+  /// the object does not describe a server.
   std::optional<backend_server> take_object(const stored_object& object);
   [[nodiscard]] std::optional<backend_server> find(const backend_server_id& server) const;
-  /// A server that was chosen elsewhere is in use from now on.
+  /// Counts a call in flight at a server that the scheduler has chosen; nothing when the
+  /// server is unknown.
   std::optional<backend_server> take_chosen(const backend_server_id& server);
-  /// The server to use, counted as taken until `give_back`; nothing if none can.
+  /// Chooses the matching server with the fewest calls in flight, leaving out `except`,
+  /// leaving servers and excluded ones. The call counts as in flight until `give_back`.
+  /// Nothing when no server matches.
   std::optional<backend_server> take(const backend_need& need,
                                      const std::vector<backend_server_id>& except, timestamp now);
+  /// Ends a call's use of the server; excludes the server for a while after repeated failures.
   void give_back(const backend_server_id& server, const backend_result& result, timestamp now);
   [[nodiscard]] std::vector<backend_server> all() const;
+  /// Adds the servers that are not leaving to the counts in `fleet`.
   void count_for(fleet_view& fleet) const;
 
 private:
--- a/libs/node/include/hawthornlane/node/call_runner.h
+++ b/libs/node/include/hawthornlane/node/call_runner.h
@@ -1,4 +1,4 @@
-// Sending dispatched calls to backend servers and bringing their results back.
+// Sends dispatched calls to backend servers and returns their results to the shard.
 #pragma once
 
 #include <atomic>
@@ -19,41 +19,43 @@
 
 namespace hawthornlane {
 
-/// A call with everything that its dispatch needs.
+/// A call with everything needed to dispatch it.
 struct prepared_call {
   shard_id shard;
   call_request request;
   backend_need need;
   backend_call call;
-  /// What the call adds to the history, as the log keeps it.
+  /// What the call adds to the program's history, in the form that the log stores.
   std::string history_request;
   token_count prompt_growth{0};
-  /// Tokens of the history that the prompt begins with.
+  /// Estimated tokens of the history that the prompt starts with.
   token_count history{0};
+  /// The account's share under contention.
   double weight = 1;
+  /// Time from arrival after which a queued call is refused.
   duration deadline{};
   timestamp arrived;
   std::optional<backend_server> server;
 };
 
-/// Queues calls for servers, begins them when a server is theirs, and runs them
-/// once their intent is logged.
+/// Queues calls for servers, begins a call when the scheduler assigns a server to it, and
+/// sends it once its intent is logged.
 class call_runner {
 public:
   call_runner(runtime& time, shard_table& shards, backend_table& backends, call_table& calls);
 
-  /// Why the call cannot be queued at all; nothing when it can.
+  /// The reason why the call cannot be queued; nothing when it can.
   std::optional<failure> refusal(const prepared_call& call) const;
-  /// Queues the call; its outcome comes through the call table.
+  /// Queues the call; its result is delivered through the call table.
   void enqueue(prepared_call call);
   void server_listed(const backend_server& server);
-  /// Refuses calls whose deadline passed in the queue; looks after hung servers.
+  /// Refuses queued calls whose deadline has passed; lets the scheduler check for hung servers.
   void tick();
-  /// The call was answered before it was dispatched.
+  /// Removes a call that was answered before it was dispatched.
   void drop(call_id call);
-  /// Starts a dispatch; never waits.
+  /// Starts sending a call; does not block.
   void dispatch(shard_id shard, const dispatch_call& order);
-  /// Gives back the engine memory of a program, with retries; never waits.
+  /// Releases a program's cache at the engine that holds it, with retries; does not block.
   void release(const program_id& program);
 
   [[nodiscard]] std::uint64_t tokens_relayed() const { return this->relayed; }
@@ -78,7 +80,7 @@
   backend_client client;
   mutable std::mutex mutex;
   std::map<call_id, std::shared_ptr<prepared_call>> prepared;
-  /// Server time that each live program has had, and when it was first seen here.
+  /// Server time in seconds that each live program has used, and when this host first saw it.
   struct program_record {
     double attained = 0;
     timestamp began;
--- a/libs/node/include/hawthornlane/node/call_table.h
+++ b/libs/node/include/hawthornlane/node/call_table.h
@@ -1,4 +1,4 @@
-// Callers that wait, and the channel that each hears its own call through.
+// Waiting callers, and the channel that delivers each caller's events.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,7 +13,7 @@
 
 namespace hawthornlane {
 
-/// A piece of text, or the answer that ends the call.
+/// A piece of streamed text, or the answer that ends the call.
 struct call_event {
   std::string text;
   std::optional<call_answer> answer;
@@ -22,10 +22,10 @@
 using call_channel =
     boost::asio::experimental::concurrent_channel<void(boost::system::error_code, call_event)>;
 
-/// Open calls of this host by their id.
+/// Open calls of this host by id. Thread-safe.
 ///
-/// Promise: an event reaches only the channel made for its own call. A caller
-/// too slow to take text loses pieces of the stream, never the answer.
+/// Guarantee: an event reaches only the channel created for its own call. A caller that
+/// reads too slowly loses pieces of the stream, but never the answer.
 class call_table {
 public:
   struct entry {
@@ -36,7 +36,7 @@
   entry add(const boost::asio::any_io_executor& executor);
   void push_text(call_id call, std::string text);
   void complete(call_id call, call_answer answer);
-  /// The caller has gone; later events are dropped.
+  /// Removes a call whose caller has gone; later events for it are dropped.
   void remove(call_id call);
   [[nodiscard]] std::size_t size() const;
 
--- a/libs/node/include/hawthornlane/node/document_keeper.h
+++ b/libs/node/include/hawthornlane/node/document_keeper.h
@@ -1,5 +1,5 @@
-// Service documents on one host: in force, offered by platform and peers, applied
-// by operators.
+// The service documents of one host: those in force, those offered by the platform and by
+// peers, and those applied by operators.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,7 +21,7 @@
 
 namespace hawthornlane {
 
-/// A caller's credential, resolved.
+/// The account and service that a caller's credential belongs to.
 struct caller_identity {
   client_account account;
   service_name service;
@@ -36,18 +36,18 @@
   duration in_force_for{};
 };
 
-/// An operator's wish to replace a document.
+/// An operator's request to replace a document.
 struct apply_request {
   service_name service;
   std::string text;
   std::string who;
-  /// The generation that the operator read; 0 for a new document.
+  /// The generation that the operator last read; 0 for a new document.
   generation expected;
-  /// Digest of the checked text, repeated back when effects are dangerous.
+  /// Digest of the checked text; the operator sends it to confirm dangerous effects.
   std::string confirmed_digest;
 };
 
-/// What became of it.
+/// The result of an `apply_request`.
 struct apply_result {
   std::optional<error_kind> error;
   std::string detail;
@@ -57,18 +57,20 @@
   std::vector<change_effect> effects;
 };
 
-/// Thread-safe. Documents are read through snapshots that never change.
+/// Thread-safe. Readers get immutable snapshots of documents.
 class document_keeper {
 public:
   document_keeper(runtime& time, object_store& platform, audit_log& audit, std::string host);
 
   void take_object(const stored_object& object);
+  /// All current documents have been offered; see `rollout_core`.
   void heard_all();
   [[nodiscard]] bool ready() const;
 
-  // Exchange with peers.
+  // Gossip with peers.
   [[nodiscard]] std::uint64_t digest() const;
   [[nodiscard]] std::vector<document_generation> document_generations() const;
+  /// Copies of the documents whose generation here is newer than in `theirs`.
   [[nodiscard]] std::vector<document_copy> lacking(
       const std::vector<document_generation>& theirs) const;
   void take_copies(const std::vector<document_copy>& copies);
@@ -79,9 +81,10 @@
   [[nodiscard]] std::optional<std::string> text_of(const service_name& service,
                                                    generation& at) const;
 
-  /// Checks, compares with the version read, writes, and puts in force here.
+  /// Checks the document, compares the stored generation with the one that the operator
+  /// read, writes the document to the platform and puts it in force on this host.
   boost::asio::awaitable<apply_result> apply(apply_request request, fleet_view fleet);
-  /// Checks only.
+  /// Only checks the document and lists its effects.
   apply_result check(const apply_request& request, const fleet_view& fleet) const;
 
 private:
@@ -97,8 +100,8 @@
   rollout_core rollout;
   /// Invariant: holds the parsed form of each document in force that parses.
   std::map<service_name, std::shared_ptr<const service_document>> parsed;
-  /// Invariant: names exactly the credentials of `parsed`; of two services with
-  /// the same one, the first in order of names.
+  /// Invariant: contains exactly the credentials of `parsed`. A credential that two
+  /// services share belongs to the one whose name sorts first.
   std::unordered_map<std::string, caller_identity> by_credential;
 };
 
--- a/libs/node/include/hawthornlane/node/front_routes.h
+++ b/libs/node/include/hawthornlane/node/front_routes.h
@@ -14,7 +14,7 @@
 
 namespace hawthornlane {
 
-/// Everything that the callers' interface reaches.
+/// References to the parts of the host that the callers' interface uses.
 struct front_parts {
   runtime& time;
   shard_table& shards;
@@ -22,22 +22,22 @@
   document_keeper& documents;
   call_runner& runner;
   call_table& calls;
-  /// Where addresses stay good; see `node_settings::address_time`.
+  /// How long callers may keep an address answer; see `node_settings::address_time`.
   duration address_time;
-  /// Passes a request on to the owner.
+  /// Forwards a request to the owner of its shard.
   std::function<void(const std::string& address, const forwarded_request&, forward_reply)> forward;
-  /// Whether the host takes new programs.
+  /// Whether the host accepts new programs.
   std::function<bool()> accepting;
 };
 
-/// Handles callers' requests. Every answer is made from the error table.
+/// Handles callers' requests. Every error response comes from the error table.
 class front_routes {
 public:
   explicit front_routes(front_parts parts);
 
-  /// True when the path belongs to callers.
+  /// Whether the path belongs to the callers' interface.
   [[nodiscard]] static bool owns(const std::string& path);
-  /// `forwarded`: came from another host, and is not passed on again.
+  /// `forwarded`: the request came from another host and is not forwarded again.
   boost::asio::awaitable<void> handle(const http::request& ask, http::exchange& reply,
                                       bool forwarded);
 
@@ -68,16 +68,17 @@
                          const struct call_fields& fields, failure& reason);
   std::optional<std::string> conversation(const program_id& program,
                                           const std::string& new_messages);
-  /// A shard of this host that can take a new program.
+  /// A random shard served by this host that has a replica in sync and so can take a new
+  /// program; nothing when there is none.
   std::optional<shard_id> own_shard();
   std::optional<member> owner_of(shard_id shard);
 
   front_parts parts;
 };
 
-/// The response that the error table gives for `kind`.
+/// The response that the error table defines for `kind`.
 http::response error_response(error_kind kind, std::string_view detail);
-/// The bearer credential of a request, or an empty text.
+/// The bearer token of a request, or an empty string.
 std::string credential_of(const http::request& ask);
 
 }  // namespace hawthornlane
--- a/libs/node/include/hawthornlane/node/host_view.h
+++ b/libs/node/include/hawthornlane/node/host_view.h
@@ -1,4 +1,4 @@
-// What this host knows of the other hosts, behind one lock.
+// This host's view of the other hosts.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace hawthornlane {
 
-/// A thread-safe shell round the membership core.
+/// A thread-safe wrapper around the membership core.
 class host_view {
 public:
   host_view(member self, membership_times times) : core(std::move(self), times) {}
@@ -27,9 +27,9 @@
   [[nodiscard]] std::vector<member> all() const;
   [[nodiscard]] std::vector<member> usable() const;
   [[nodiscard]] std::optional<member> find(const host_id& host) const;
-  /// The member if that incarnation is alive or leaving.
+  /// The member, if that incarnation of it is alive or leaving.
   [[nodiscard]] std::optional<member> find_live(const host_incarnation& host) const;
-  /// Whether that incarnation is known to have ended.
+  /// Whether that incarnation has ended: it is gone, or a later one has started.
   [[nodiscard]] bool has_ended(const host_incarnation& host) const;
 
 private:
--- a/libs/node/include/hawthornlane/node/map_keeper.h
+++ b/libs/node/include/hawthornlane/node/map_keeper.h
@@ -1,4 +1,4 @@
-// Reading and writing the shard map in the platform.
+// Reads and writes the shard map in the platform.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,8 +14,8 @@
 
 namespace hawthornlane {
 
-/// The shard map as a few objects "shard-map/NUMBER", each with the entries of
-/// `shards_per_block` shards. Writes of one block that fall together are one
+/// Stores the shard map as a few objects "shard-map/NUMBER", each with the entries of
+/// `shards_per_block` shards. Proposals for one block that arrive close together share one
 /// conditional update.
 class map_keeper {
 public:
@@ -27,15 +27,15 @@
 
   map_keeper(runtime& time, object_store& platform, std::uint32_t shards);
 
-  /// Set once, before the first use.
+  /// Both hooks are set once, before the first use.
   void on_entry(entry_seen hook) { this->seen = std::move(hook); }
   void on_proposal(proposal_done hook) { this->done = std::move(hook); }
 
-  /// Takes a block as read or watched.
+  /// Reports the entries of a block that was read or watched to the `on_entry` hook.
   void take_object(const stored_object& object);
-  /// Writes the proposal; the result comes through `on_proposal`. Never waits.
+  /// Queues the proposal for writing; the result goes to the `on_proposal` hook. Does not block.
   void propose(shard_id shard, const propose_assignment& proposal);
-  /// Whether the map has been read at least once.
+  /// Whether the whole map has been read at least once.
   [[nodiscard]] bool has_read() const;
   void mark_read();
 
@@ -58,7 +58,7 @@
   bool read_once = false;
 };
 
-/// Entries of one block as text, and back; nothing when it is not a block.
+/// Converts the entries of one block to JSON and back; nothing when the text is not a block.
 std::string block_to_json(const std::map<shard_id, assignment>& entries);
 std::optional<std::map<shard_id, assignment>> block_from_json(const std::string& text);
 
--- a/libs/node/include/hawthornlane/node/model_queue.h
+++ b/libs/node/include/hawthornlane/node/model_queue.h
@@ -1,4 +1,4 @@
-// The schedulers of all models on this host, behind one lock.
+// The schedulers of all models on this host.
 #pragma once
 
 #include <functional>
@@ -11,8 +11,8 @@
 
 namespace hawthornlane {
 
-/// Thread-safe shell round one scheduler a model. Decisions go to `start`, which
-/// is called without the lock held.
+/// A thread-safe wrapper around one scheduler per model. Decisions go to the `on_start`
+/// hook, which is called without the lock held.
 class model_queue {
 public:
   using start_hook = std::function<void(const schedule_decision&)>;
@@ -21,16 +21,18 @@
   model_queue(start_hook on_start, given_up_hook on_given_up)
       : start(std::move(on_start)), give_up(std::move(on_given_up)) {}
 
+  /// Adds a server that the platform lists; `there` is false for one to remove.
   void server_listed(const model_name& model, const backend_server_id& server, bool there,
                      timestamp now);
   void submit(const model_name& model, const schedule_request& request, timestamp now);
   void cancel(const model_name& model, waiting_id id, timestamp now);
   void finished(const model_name& model, const schedule_outcome& outcome, timestamp now);
   void first_token(const model_name& model, waiting_id id);
-  /// The server that holds the program's prefix, forgotten from now on.
+  /// Forgets the program and returns the server that holds its cached prefix, if any.
   std::optional<backend_server_id> forget(const program_id& program);
-  /// Takes hung servers out and returns to recovered ones; about once a second.
+  /// Takes hung servers out of use and uses recovered ones again; call about once a second.
   void tick(timestamp now);
+  /// Predicted wait of a new call, seconds.
   [[nodiscard]] double predicted_wait(const model_name& model) const;
   [[nodiscard]] bool has_servers(const model_name& model) const;
   [[nodiscard]] std::size_t waiting() const;
--- a/libs/node/include/hawthornlane/node/node.h
+++ b/libs/node/include/hawthornlane/node/node.h
@@ -1,4 +1,4 @@
-// One host: decisions wired to edges.
+// One host: connects the decision libraries to network, clock and platform.
 #pragma once
 
 #include <atomic>
@@ -15,22 +15,23 @@
 
 namespace hawthornlane {
 
-/// A whole daemon, apart from its process: its threads, signals and settings
-/// file belong to the program round it.
+/// The whole daemon without its process: threads, signals and the settings file belong to
+/// the program that contains it.
 ///
-/// Lock order: a shard's lock, then one of: call table, prepared calls, host
-/// view, map keeper, backend table, audit log. The latter are leaves.
+/// Lock order: first a shard's lock, then one of the call table, the prepared calls, the host
+/// view, the shard map, the backend table or the audit log. No other lock is taken while one
+/// of the latter is held.
 class node {
 public:
-  /// Listens at once; throws when it cannot. `on_stopped` is called once from a
-  /// worker when a planned stop has ended.
+  /// Starts listening; throws when it cannot. `on_stopped` is called once, on a worker
+  /// thread, when a planned shutdown is complete.
   node(boost::asio::io_context& context, node_settings settings, std::function<void()> on_stopped);
   ~node();
   node(const node&) = delete;
   node& operator=(const node&) = delete;
 
-  /// Begins a planned stop: no new programs, shards handed over, calls under way
-  /// served to their end.
+  /// Starts a planned shutdown: the host accepts no new programs, hands its shards over and
+  /// serves the calls in flight to their end. `who` goes into the audit trail.
   void stop(const std::string& who);
 
   [[nodiscard]] http::endpoint front_address() const;
@@ -49,8 +50,9 @@
   void carry_out(const membership_actions& todo);
   void send_documents(const probe_message& asked);
 
-  /// Starts the coroutines that talk to the platform.
+  /// Starts the coroutines that read from and write to the platform.
   void follow_platform();
+  /// Lists the objects below `prefix`, then watches them for changes.
   boost::asio::awaitable<void> follow(std::string prefix);
   boost::asio::awaitable<void> announce();
   boost::asio::awaitable<void> probe_hosts();
@@ -83,7 +85,8 @@
   std::atomic<bool> stopped{false};
   std::atomic<std::uint64_t> takeovers{0};
   std::atomic<std::uint64_t> broken{0};
-  /// Progress of each program and since when it stands there; one duty's own.
+  /// Each program's progress and the time of its last change; used only by
+  /// `end_idle_programs`.
   std::map<program_id, std::pair<std::size_t, timestamp>> activity;
 };
 
--- a/libs/node/include/hawthornlane/node/node_settings.h
+++ b/libs/node/include/hawthornlane/node/node_settings.h
@@ -15,16 +15,16 @@
 
 namespace hawthornlane {
 
-/// Everything that one daemon is told at its start.
+/// The settings of one daemon, read at its start.
 struct node_settings {
   host_id host;
   availability_zone zone;
-  /// Where callers and operators connect.
+  /// Listening address for callers and operators.
   http::endpoint listen;
-  /// Where other hosts connect, "IP:port".
+  /// Listening address for other hosts, "IP:port".
   std::string peer_listen;
   http::endpoint platform;
-  /// Other hosts' peer addresses, for a start while the platform is down.
+  /// Peer addresses of other hosts, tried at a start while the platform is down.
   std::vector<std::string> seeds;
   std::string operator_credential;
   std::uint32_t workers = 2;
@@ -32,18 +32,20 @@
   std::uint32_t replicas = 2;
   /// How long callers may keep an address answer.
   duration address_time{};
-  /// How long answers of an ended program can still be fetched.
+  /// How long the answers of an ended program can still be fetched.
   duration keep_answers{};
-  /// How long a leaving backend server may still get the calls of a batch.
+  /// How long a silent host is suspected before it counts as gone.
   duration suspicion{};
+  /// Largest request body, bytes.
   std::uint64_t largest_body = 0;
   log_format log = log_format::text;
 };
 
-/// The keys that a settings file may hold.
+/// The keys that a settings file may contain.
 const std::vector<key_rule>& node_schema();
 
-/// Reads and checks a settings text; on failure nothing, with every problem.
+/// Reads and checks the text of a settings file. On failure it returns nothing and appends
+/// every problem to `problems`.
 std::optional<node_settings> read_node_settings(std::string_view text,
                                                 std::vector<ini_problem>& problems);
 
--- a/libs/node/include/hawthornlane/node/ownership_duty.h
+++ b/libs/node/include/hawthornlane/node/ownership_duty.h
@@ -1,4 +1,4 @@
-// The periodic duty that claims, replicates and moves shards.
+// The periodic task that claims, replicates and moves shards.
 #pragma once
 
 #include <map>
@@ -11,21 +11,21 @@
 
 namespace hawthornlane {
 
-/// Looks at every shard now and then; all decisions are the placement library's
-/// and the shard cores'. Used from one thread at a time.
+/// Checks every shard periodically. The decisions are made by the placement functions and
+/// the shard cores. Not thread-safe: use it from one thread at a time.
 class ownership_duty {
 public:
   ownership_duty(runtime& time, shard_table& shards, host_view& hosts, std::size_t replicas);
 
-  /// Claims shards whose owners ended; call about twice a second.
+  /// Claims shards whose owners have ended; call about twice a second.
   void claim_orphans();
-  /// Brings replica sets to their size and replaces ended hosts.
+  /// Keeps the replica sets of owned shards at their size and replaces ended hosts.
   void keep_replicas();
   /// Moves at most `most` shards to hosts that own fewer.
   void even_out(std::size_t most);
-  /// Hands every owned shard to a replica; the number still owned.
+  /// Starts handing every owned shard to a usable replica; returns the number still owned.
   std::size_t hand_all_over();
-  /// Ticks every core that has work.
+  /// Ticks every shard core and checks the invariants of the next shard.
   void tick();
   [[nodiscard]] std::size_t owned() const;
 
@@ -37,7 +37,7 @@
   shard_table& shards;
   host_view& hosts;
   std::size_t replicas;
-  /// Since when a shard has been seen without an owner.
+  /// When each shard without a live owner was first seen so.
   std::map<shard_id, timestamp> orphaned_since;
 };
 
--- a/libs/node/include/hawthornlane/node/runtime.h
+++ b/libs/node/include/hawthornlane/node/runtime.h
@@ -1,4 +1,4 @@
-// Time and randomness for the parts of a host that face the outside.
+// Clocks and random numbers for the parts of a host that do I/O.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,7 +11,8 @@
 
 namespace hawthornlane {
 
-/// The one place where a host reads clocks and draws random numbers.
+/// The only place where a host reads clocks and draws random numbers, apart from its
+/// incarnation number.
 class runtime {
 public:
   explicit runtime(boost::asio::io_context& io) : context(io), engine(std::random_device{}()) {}
@@ -20,7 +21,7 @@
     const auto since = std::chrono::steady_clock::now().time_since_epoch();
     return timestamp(std::chrono::duration_cast<duration>(since));
   }
-  /// Milliseconds since 1970.
+  /// Milliseconds since the Unix epoch.
   [[nodiscard]] std::int64_t wall_clock_ms() const {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
--- a/libs/node/include/hawthornlane/node/shard_table.h
+++ b/libs/node/include/hawthornlane/node/shard_table.h
@@ -1,4 +1,4 @@
-// All shards of the region as this host sees them, each behind its own lock.
+// All shards of the region as known to this host, each with its own lock.
 #pragma once
 
 #include <atomic>
@@ -13,8 +13,8 @@
 
 namespace hawthornlane {
 
-/// Where the actions of shard cores go. Called with the shard's lock held, so
-/// that order is kept; none of them may wait or touch the shard table.
+/// Callbacks that carry out the actions of shard cores. They are called with the shard's
+/// lock held to keep the order of the actions, so they must not block or use the shard table.
 struct shard_hooks {
   std::function<void(shard_id, const send_message&)> send;
   std::function<void(shard_id, const propose_assignment&)> propose;
@@ -25,8 +25,8 @@
   std::function<void(shard_id, const std::string&)> broken;
 };
 
-/// Lock order: a shard's lock comes before every other lock of the host, and no
-/// thread holds two of them.
+/// Lock order: a shard's lock is taken before any other lock of the host, and no thread
+/// holds two shard locks.
 class shard_table {
 public:
   shard_table(std::uint32_t count, const host_incarnation& self, ownership_times times);
@@ -40,11 +40,11 @@
 
   /// Runs `change` on the shard's core and carries out the actions it returns.
   void change(shard_id shard, const std::function<actions(shard_core&)>& change);
-  /// Checks the whole histories of one shard, the next one at each call.
+  /// Checks the invariants of one shard's whole history; each call checks the next shard.
   void check_next();
   /// Runs `read` on the shard's core.
   void read(shard_id shard, const std::function<void(const shard_core&)>& read) const;
-  /// Reads every shard in turn.
+  /// Runs `read` on every shard's core in turn, locking one shard at a time.
   void read_all(const std::function<void(const shard_core&)>& read) const;
 
 private:
--- a/libs/node/src/admin_routes.cc
+++ b/libs/node/src/admin_routes.cc
@@ -1,4 +1,4 @@
-// Answering operators.
+// Handles operators' requests.
 #include "hawthornlane/node/admin_routes.h"
 
 #include <fmt/format.h>
--- a/libs/node/src/audit_log.cc
+++ b/libs/node/src/audit_log.cc
@@ -1,4 +1,4 @@
-// Keeping audit entries until the platform has them.
+// Buffers audit entries until the platform has stored them.
 #include "hawthornlane/node/audit_log.h"
 
 #include <boost/json.hpp>
--- a/libs/node/src/backend_table.cc
+++ b/libs/node/src/backend_table.cc
@@ -1,4 +1,4 @@
-// Choosing backend servers and noting how they do.
+// Chooses backend servers and tracks their load and failures.
 #include "hawthornlane/node/backend_table.h"
 
 #include <algorithm>
--- a/libs/node/src/call_runner.cc
+++ b/libs/node/src/call_runner.cc
@@ -1,4 +1,4 @@
-// Running calls at backend servers.
+// Sends calls to backend servers.
 #include "hawthornlane/node/call_runner.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -42,7 +42,7 @@
       calls(open_calls),
       queue(
           [this](const schedule_decision& decision) {
-            // Posted, since a decision can come out of another shard's lock.
+            // Posted, since a decision may be made while another shard's lock is held.
             asio::post(this->time.context, [this, decision] {
               this->start(call_id(decision.id.get()), decision.server);
             });
@@ -60,13 +60,13 @@
     return std::nullopt;
   }
   if (!this->queue.has_servers(call.need.model)) {
-    return failure{error_kind::no_backend_server, "no server holds the model"};
+    return failure{error_kind::no_backend_server, "no backend server holds the model"};
   }
   const double wait = this->queue.predicted_wait(call.need.model);
   if (wait > to_seconds(call.deadline)) {
     return failure{error_kind::over_limit, "predicted wait of " +
                                                std::to_string(static_cast<int>(wait)) +
-                                               " s is beyond the call's deadline"};
+                                               " s exceeds the call's deadline"};
   }
   return std::nullopt;
 }
@@ -115,7 +115,7 @@
   });
 }
 
-/// The call has a place in a server's window: log its intent.
+/// Called when the scheduler has given the call a slot in a server's window: logs its intent.
 void call_runner::start(call_id id, const backend_server_id& chosen) {
   const auto call = this->find(id);
   if (!call) {
@@ -128,7 +128,8 @@
   });
 }
 
-/// Refuses a call that waits; one that was sent ends with its connection.
+/// Refuses a queued call. A call already assigned to a server is left alone: it ends with its
+/// connection.
 void call_runner::give_up(call_id id) {
   const auto call = this->find(id);
   if (!call || call->server) {
@@ -137,7 +138,7 @@
   call_answer refused;
   this->shards.change(call->shard, [&](shard_core& core) {
     refused = core.refuse_call(call->request, error_kind::no_backend_server,
-                               "no server took the call in time", this->time.random());
+                               "no backend server was available in time", this->time.random());
     return actions{};
   });
   this->drop(id);
@@ -246,8 +247,8 @@
   });
 }
 
-/// Goes on to another server only while it is certain that none took the call, or
-/// when the call may run twice and nothing of it was passed on yet.
+/// Retries at another server only when it is certain that no server has started the call, or
+/// when the call may run twice and no part of its answer was relayed yet.
 asio::awaitable<backend_result> call_runner::try_servers(prepared_call& call) {
   std::vector<backend_server_id> tried;
   {
--- a/libs/node/src/call_table.cc
+++ b/libs/node/src/call_table.cc
@@ -1,4 +1,4 @@
-// Handing events to waiting callers.
+// Delivers events to waiting callers.
 #include "hawthornlane/node/call_table.h"
 
 namespace hawthornlane {
@@ -7,7 +7,7 @@
 }
 
 call_table::entry call_table::add(const boost::asio::any_io_executor& executor) {
-  // One place more than text may take, so that the answer always fits.
+  // One slot more than text needs, for the answer; `complete` handles a channel full of text.
   auto channel = std::make_shared<call_channel>(executor, channel_capacity + 1);
   const std::lock_guard lock(this->mutex);
   const call_id id(this->next++);
@@ -37,8 +37,8 @@
   call_event event;
   event.answer = std::move(answer);
   if (!channel->try_send(boost::system::error_code{}, event)) {
-    // Full of text that the caller does not take: close, so that the reader ends;
-    // the answer is kept and can be fetched by its ticket.
+    // The channel is full of text that the caller does not read. Close it, so that the reader
+    // ends; the answer is kept and can be fetched by its ticket.
     channel->close();
   }
   this->remove(call);
--- a/libs/node/src/document_keeper.cc
+++ b/libs/node/src/document_keeper.cc
@@ -1,4 +1,4 @@
-// Applying, adopting and looking up service documents.
+// Applies, adopts and looks up service documents.
 #include "hawthornlane/node/document_keeper.h"
 
 #include <boost/json.hpp>
@@ -15,7 +15,7 @@
 const std::string key_prefix = "documents/";
 constexpr int store_attempts = 5;
 
-/// A document object as it stands in the platform.
+/// A document object as stored in the platform.
 struct stored_document {
   generation at;
   std::string text;
@@ -60,7 +60,7 @@
   std::vector<ini_problem> problems;
   const auto document = read_document(text, problems);
   if (!document || document->service != service) {
-    // Never adopted: what was accepted parses at every host of this version.
+    // Never adopted. A document that was accepted parses at every host of this version.
     log(event::document_refused, {{"service", service.get()}, {"detail", to_string(problems)}});
     return;
   }
@@ -151,7 +151,7 @@
   return found->second;
 }
 
-/// Called with the lock held.
+/// The caller holds `mutex`.
 void document_keeper::index_credentials() {
   this->by_credential.clear();
   for (const auto& [service, document] : this->parsed) {
@@ -187,8 +187,8 @@
   result.digest = document_digest(request.text);
   const auto document = read_document(request.text, result.problems);
   if (document && document->service != request.service) {
-    result.problems.push_back(
-        {0, "[service] name is '" + document->service.get() + "', not the document's own"});
+    result.problems.push_back({0, "[service] name is '" + document->service.get() +
+                                      "', but the document is for another service"});
   }
   if (!result.problems.empty()) {
     result.error = error_kind::document_invalid;
@@ -235,7 +235,7 @@
     const auto stored = stored_from(object->value);
     const generation at = stored ? stored->at : generation(0);
     if (stored && stored->change_id == change_id) {
-      // An earlier attempt took effect, only its answer was lost.
+      // An earlier attempt took effect; only its response was lost.
       checked.error.reset();
       checked.at = at;
       this->offer(request.service, at, request.text);
--- a/libs/node/src/front_answers.cc
+++ b/libs/node/src/front_answers.cc
@@ -1,4 +1,4 @@
-// Making answers for callers.
+// Builds responses to callers.
 #include "front_answers.h"
 
 #include <fmt/format.h>
--- a/libs/node/src/front_answers.h
+++ b/libs/node/src/front_answers.h
@@ -1,4 +1,4 @@
-// Answers to callers as JSON, all made from the error table.
+// Responses to callers as JSON; errors come from the error table.
 #pragma once
 
 #include <boost/json.hpp>
@@ -12,12 +12,12 @@
 
 namespace hawthornlane {
 
-/// A digest as callers see it: 16 hexadecimal digits, and back.
+/// Converts a digest to the form that callers see, 16 hexadecimal digits, and back.
 std::string hex(std::uint64_t value);
 std::optional<std::uint64_t> from_hex(const std::string& text);
 
 http::response json_response(const boost::json::object& body, int status = 200);
-/// Adds what the table says of `kind` to a body.
+/// Adds the error table's entry for `kind` to a body.
 void put_error(boost::json::object& body, error_kind kind, std::string_view detail);
 boost::json::object to_json(const call_answer& answer);
 http::response to_response(const call_answer& answer);
--- a/libs/node/src/front_calls.cc
+++ b/libs/node/src/front_calls.cc
@@ -1,4 +1,4 @@
-// A caller's call: read, prepared for its backend server, begun, and its answer relayed.
+// Handles a caller's call: reads and prepares it, queues it and relays the answer.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-/// The body of a call as the caller wrote it.
+/// The fields of a call's request body.
 struct call_fields {
   std::string ticket_text;
   std::optional<std::string> digest;
@@ -67,7 +67,7 @@
   return fields;
 }
 
-/// Puts one finished turn at the end of a conversation.
+/// Appends a finished turn to a conversation.
 void append_turn(json::array& conversation, const finished_turn& turn) {
   boost::system::error_code error;
   const json::value request = json::parse(turn.request, error);
@@ -161,7 +161,8 @@
     return false;
   }
   if (!fields.path.starts_with("/") || fields.path.find_first_of(" \r\n") != std::string::npos) {
-    reason = {error_kind::bad_request, "'path' does not begin with '/' or holds blanks"};
+    reason = {error_kind::bad_request,
+              "'path' does not begin with '/' or contains spaces or line breaks"};
     return false;
   }
   json::object described;
@@ -190,7 +191,7 @@
     return std::nullopt;
   }
   if (!presented || presented->shard != *shard_of(program)) {
-    reason = {error_kind::wrong_ticket, "'ticket' is malformed or another shard's"};
+    reason = {error_kind::wrong_ticket, "'ticket' is malformed or belongs to another shard"};
     return std::nullopt;
   }
   const auto document = this->parts.documents.find(caller.service);
@@ -278,7 +279,7 @@
     const call_event event =
         co_await channel.async_receive(asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-      // The caller took its text too slowly; the answer is kept.
+      // The channel was closed because the caller read too slowly; the answer is kept.
       if (started) {
         co_await reply.finish_stream();
       }
--- a/libs/node/src/front_forward.cc
+++ b/libs/node/src/front_forward.cc
@@ -1,4 +1,4 @@
-// Passing a request on to the host that owns the program.
+// Forwards a request to the host that owns the program.
 #include <boost/asio/this_coro.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
@@ -81,7 +81,8 @@
     if (streaming) {
       if (!item.whole) {
         json::object broken;
-        put_error(broken, error_kind::may_have_run, "the owner broke off; fetch the answer");
+        put_error(broken, error_kind::may_have_run,
+                  "the connection to the owner broke; fetch the answer");
         const std::string notice = server_sent_event("answer", broken);
         co_await reply.write(notice);
       }
@@ -89,10 +90,10 @@
       co_return;
     }
     if (!answered || !item.whole) {
-      // The owner may have begun: nothing may be claimed of the call.
+      // The owner may have started the call, so its outcome is unknown.
       head = error_response(
           ask.method == "POST" ? error_kind::may_have_run : error_kind::peer_unavailable,
-          "the owner did not answer; ask again with the same ticket");
+          "the owner did not answer; retry with the same ticket");
     }
     co_await reply.respond(std::move(head));
     co_return;
--- a/libs/node/src/front_routes.cc
+++ b/libs/node/src/front_routes.cc
@@ -1,4 +1,4 @@
-// Answering callers: their programs, and where to send calls; the calls are in front_calls.cc.
+// Handles callers' requests for programs and addresses; calls are in front_calls.cc.
 #include "hawthornlane/node/front_routes.h"
 
 #include <boost/asio/redirect_error.hpp>
@@ -16,7 +16,7 @@
 
 const std::string programs_path = "/v1/programs";
 
-/// "/v1/programs/ID[/calls[/TICKET]]" in its parts.
+/// The parts of a path "/v1/programs/ID[/calls[/TICKET]]".
 struct program_path {
   program_id program;
   std::string rest;
@@ -145,7 +145,7 @@
   }
   std::vector<member> usable = this->parts.hosts.usable();
   if (!usable.empty()) {
-    // Spread callers that ask without a program evenly.
+    // Spreads callers that ask without a program evenly over the hosts.
     std::rotate(
         usable.begin(),
         usable.begin() + static_cast<std::ptrdiff_t>(this->parts.time.random() % usable.size()),
@@ -189,7 +189,7 @@
   if (!this->parts.accepting() || !shard || !document) {
     const error_kind kind =
         this->parts.accepting() ? error_kind::not_ready : error_kind::host_leaving;
-    http::response refusal = error_response(kind, "no shard of this host can take a program");
+    http::response refusal = error_response(kind, "no shard of this host can accept a program");
     co_await reply.respond(std::move(refusal));
     co_return;
   }
--- a/libs/node/src/host_view.cc
+++ b/libs/node/src/host_view.cc
@@ -1,4 +1,4 @@
-// The membership core behind a lock.
+// Locks around the membership core.
 #include "hawthornlane/node/host_view.h"
 
 namespace hawthornlane {
--- a/libs/node/src/map_keeper.cc
+++ b/libs/node/src/map_keeper.cc
@@ -1,4 +1,4 @@
-// The shard map in the platform: conditional updates, read back when in doubt.
+// Writes the shard map by conditional updates and reads it back when a result is unknown.
 #include "hawthornlane/node/map_keeper.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -17,11 +17,11 @@
 
 const std::string key_prefix = "shard-map/";
 constexpr auto retry_wait = std::chrono::milliseconds(300);
-/// Proposals that come within this time share one write.
+/// Proposals that arrive within this time share one write.
 constexpr auto gather_wait = std::chrono::milliseconds(20);
 
 json::object to_json(const host_incarnation& host) {
-  // 64-bit numbers go as text: JSON readers elsewhere may round them.
+  // 64-bit numbers are written as text, since other JSON readers may round them.
   return {{"host", host.host.get()}, {"start", std::to_string(host.start.get())}};
 }
 
@@ -143,9 +143,9 @@
   }
 }
 
-/// True once every proposal in `todo` has its outcome. A write whose answer was
-/// lost is found in the block when it is read again: either as it was proposed,
-/// or not, and then the same proposal is written once more under a newer version.
+/// Returns true once every proposal in `todo` has its outcome. When the response to a write
+/// was lost, the next attempt reads the block again: either it contains the proposal, or the
+/// same proposal is written once more under a newer version.
 asio::awaitable<bool> map_keeper::try_block(std::uint32_t block, block_proposals& todo) {
   failure reason;
   const std::string key = key_prefix + std::to_string(block);
@@ -155,7 +155,8 @@
   }
   const auto read = block_from_json(object->value);
   if (!read) {
-    log(event::platform_unreachable, {{"key", key}, {"detail", "the block cannot be read"}});
+    log(event::platform_unreachable,
+        {{"key", key}, {"detail", "the shard map block cannot be parsed"}});
     co_return false;
   }
   std::map<shard_id, assignment> entries = *read;
--- a/libs/node/src/model_queue.cc
+++ b/libs/node/src/model_queue.cc
@@ -1,4 +1,4 @@
-// Schedulers behind a lock.
+// Locks around the schedulers.
 #include "hawthornlane/node/model_queue.h"
 
 namespace hawthornlane {
--- a/libs/node/src/node.cc
+++ b/libs/node/src/node.cc
@@ -1,4 +1,4 @@
-// Wiring a host together, and its periodic duties.
+// Connects the parts of a host and runs its periodic tasks.
 #include "hawthornlane/node/node.h"
 
 #include <fmt/format.h>
@@ -22,7 +22,7 @@
 constexpr duration idle_check = std::chrono::seconds(1);
 constexpr duration leave_check = std::chrono::milliseconds(200);
 constexpr duration longest_leave = std::chrono::minutes(10);
-/// When every host of the region stops, there is nobody to hand shards to.
+/// When every host of the region shuts down, no host is left to hand shards to.
 constexpr duration longest_without_successor = std::chrono::seconds(2);
 constexpr std::size_t moves_per_round = 4;
 constexpr std::size_t rounds_per_move = 5;
@@ -39,7 +39,7 @@
   return times;
 }
 
-/// Carries a handler's answer back over the peer network.
+/// Sends a handler's response back over the peer network.
 class forwarded_exchange final : public http::exchange {
 public:
   explicit forwarded_exchange(forward_reply to) : reply(std::move(to)) {}
@@ -118,7 +118,7 @@
 }
 
 node::~node() {
-  // Messages that still arrive must find every part alive.
+  // Messages may arrive until the network is closed, and their handlers use the other members.
   this->peers.reset();
 }
 
@@ -468,14 +468,14 @@
       log(event::stopped_with_shards, {{"shards", std::to_string(owned)}});
       break;
     }
-    // This request under way is an operator's; callers' calls are counted apart.
+    // An operator's request may still be in flight here; only callers' calls count.
     const bool quiet = this->calls.size() == 0 && this->runner->running() == 0;
     if (owned == 0 && quiet) {
       break;
     }
     co_await this->wait(leave_check);
   }
-  // Callers may keep this host's address for a while; it goes on answering them.
+  // Callers may keep this host's address for `address_time`, so it answers them until then.
   const timestamp handed_over = this->time.now();
   while (this->time.now() - handed_over < this->settings.address_time || this->calls.size() > 0 ||
          this->server->active() > 0) {
--- a/libs/node/src/node_platform.cc
+++ b/libs/node/src/node_platform.cc
@@ -1,4 +1,4 @@
-// A host's dealings with the platform: what it follows, announces and stores.
+// How a host uses the platform: the objects that it watches, announces and stores.
 #include <fmt/format.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -115,7 +115,7 @@
         log(event::platform_unreachable, {{"prefix", prefix}, {"detail", reason.detail}});
       }
       reachable = false;
-      // Changes may have been missed, and a restored store counts from anew.
+      // Changes may have been missed, and a restored store restarts its revisions: list again.
       listed = false;
       co_await this->wait(watch_retry);
       continue;
@@ -154,8 +154,8 @@
     const std::string key = fmt::format("audit/{:020}-{}-{:06}", this->self.start.get(),
                                         this->self.host.get(), sequence);
     const write_result written = co_await this->platform.put(key, 0, json::serialize(entries));
-    // A conflict means that an earlier try with a lost answer took effect; the
-    // batch may have grown since, so only a fresh key is certain.
+    // A conflict means that an earlier attempt took effect and its response was lost. The batch
+    // may have grown since, so it is written again under a new key.
     if (written.outcome == write_result::kind::applied) {
       this->audit.stored(batch.size());
     }
--- a/libs/node/src/node_settings.cc
+++ b/libs/node/src/node_settings.cc
@@ -1,4 +1,4 @@
-// The daemon's settings and their checks.
+// The schema of the daemon's settings, and the checks across them.
 #include "hawthornlane/node/node_settings.h"
 
 namespace hawthornlane {
@@ -16,16 +16,17 @@
       {"host", "workers", integer, false, "2", 1, 64, "worker threads"},
       {"platform", "address", address, true, "", 0, 0, "the platform's object API"},
       {"peers", "seeds", list, false, "", 0, 0,
-       "peer addresses tried at a start while the platform is down"},
+       "peer addresses to contact at a start while the platform is down"},
       {"peers", "suspicion", time, false, "3 s", second / 10, 60 * second,
        "how long a silent host is suspected before it counts as gone"},
       {"shards", "count", integer, false, "64", 1, 4096,
-       "shards of the region; the same at all hosts, for ever"},
-      {"shards", "replicas", integer, false, "2", 1, 4, "copies of a log besides the owner's"},
+       "shards of the region; the same at all hosts, and never changed"},
+      {"shards", "replicas", integer, false, "2", 1, 4,
+       "copies of a shard's log in addition to the owner's"},
       {"callers", "address_time", time, false, "30 s", second, 3600 * second,
        "how long callers may keep an address answer"},
       {"callers", "keep_answers", time, false, "2 min", second, 24 * 3600 * second,
-       "how long answers of an ended program can be fetched"},
+       "how long the answers of an ended program can be fetched"},
       {"callers", "largest_body", integer, false, "4194304", 1024, 16777216,
        "largest request body, bytes"},
       {"operators", "credential", text, true, "", 0, 0, "secret that operators' clients send"},
--- a/libs/node/src/ownership_duty.cc
+++ b/libs/node/src/ownership_duty.cc
@@ -1,4 +1,4 @@
-// Claiming, replicating and moving shards.
+// Claims, replicates and moves shards.
 #include "hawthornlane/node/ownership_duty.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr duration claim_stagger = std::chrono::milliseconds(800);
-/// A shard is watched this long before the first claim, so that the map and the
-/// members have been heard.
+/// A shard must be without an owner for this long before it is claimed, so that the map and
+/// the member list have arrived.
 constexpr duration settle_time = std::chrono::milliseconds(300);
 
 bool same_set(std::vector<host_incarnation> a, std::vector<host_incarnation> b) {
@@ -83,14 +83,14 @@
       const std::vector<host_incarnation>& current = core.known_assignment().replicas;
       std::vector<host_incarnation> next =
           choose_replicas(shard, self, candidates, current, this->replicas);
-      // A replica that is only suspected stays: dropping it is a loss of copies.
+      // A replica that is only suspected stays: dropping it would lose a copy.
       for (const host_incarnation& replica : current) {
         const bool kept = std::find(next.begin(), next.end(), replica) != next.end();
         if (!kept && next.size() < this->replicas && !this->hosts.has_ended(replica)) {
           next.push_back(replica);
         }
       }
-      // Additions first; what is to go leaves once the new ones are in step.
+      // Adds new replicas first; old ones are removed once enough replicas are in sync.
       const bool in_step = core.in_sync_replicas() >= std::min(next.size(), current.size());
       if (!in_step) {
         for (const host_incarnation& replica : current) {
--- a/libs/node/src/shard_table.cc
+++ b/libs/node/src/shard_table.cc
@@ -1,4 +1,4 @@
-// Running shard cores and carrying out what they ask for.
+// Runs shard cores and carries out the actions that they return.
 #include "hawthornlane/node/shard_table.h"
 
 namespace hawthornlane {
@@ -13,7 +13,7 @@
   slot& target = *this->slots.at(shard.get());
   const std::lock_guard lock(target.mutex);
   actions todo = change(target.core);
-  // Every change of a history asks for something to be done.
+  // Every change of a history returns at least one action, so there is nothing to check.
   if (todo.empty()) {
     return;
   }
--- a/libs/node/test/node_settings_test.cc
+++ b/libs/node/test/node_settings_test.cc
@@ -1,4 +1,4 @@
-// Tests of the daemon's settings and of the shard map's text form.
+// Tests of the daemon's settings and of the shard map's JSON form.
 #include "hawthornlane/node/node_settings.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-TEST_CASE("good settings are read with their defaults") {
+// Guards against refused valid settings and against changed defaults.
+TEST_CASE("valid settings are read with their defaults") {
   std::vector<ini_problem> problems;
   const auto settings = read_node_settings(good, problems);
   INFO(to_string(problems));
@@ -26,7 +27,8 @@
   CHECK(settings->address_time == std::chrono::seconds(30));
 }
 
-TEST_CASE("each wrong setting is named with its line") {
+// Guards against a mistake that is accepted, or reported without its line and reason.
+TEST_CASE("each wrong setting is reported with its line") {
   struct mistake {
     std::string added;
     std::string reason;
@@ -45,7 +47,9 @@
   CHECK(to_string(problems).find(row.reason) != std::string::npos);
 }
 
-TEST_CASE("a block of the shard map reads back as it was written") {
+// Guards against numbers rounded in JSON (the incarnation and nonce need all 64 bits) and
+// against accepting text that is not a block.
+TEST_CASE("a shard map block reads back as it was written") {
   assignment entry;
   entry.at = epoch(7);
   entry.owner = {host_id("a"), incarnation(1796234949575734)};
--- a/libs/peer/src/peer_network.cc
+++ b/libs/peer/src/peer_network.cc
@@ -1,4 +1,4 @@
-// The network between hosts, on gRPC's callback interface.
+// Implements the network between hosts with gRPC's callback API.
 #include "hawthornlane/peer/peer_network.h"
 
 #include <grpcpp/grpcpp.h>
@@ -28,7 +28,7 @@
   target->set_start(value.start.get());
 }
 
-/// Streams a forwarded answer; lives until gRPC says that it is done.
+/// Streams the response to a forwarded request. Owns itself until gRPC calls `OnDone`.
 class forward_writer final : public grpc::ServerWriteReactor<wire::ForwardEvent>,
                              public std::enable_shared_from_this<forward_writer> {
 public:
@@ -61,7 +61,7 @@
   }
 
 private:
-  /// Called with the lock held.
+  /// The caller holds `mutex`.
   void write_next() {
     if (this->writing || this->finished) {
       return;
@@ -75,8 +75,9 @@
     }
     if (this->ending) {
       this->finished = true;
-      this->Finish(this->whole ? grpc::Status::OK
-                               : grpc::Status(grpc::StatusCode::ABORTED, "broken off"));
+      this->Finish(this->whole
+                       ? grpc::Status::OK
+                       : grpc::Status(grpc::StatusCode::ABORTED, "the response is incomplete"));
     }
   }
 
@@ -91,7 +92,7 @@
   std::shared_ptr<forward_writer> self;
 };
 
-/// Reads a forwarded answer; deletes itself when gRPC says that it is done.
+/// Reads the response to a forwarded request. Deletes itself when gRPC calls `OnDone`.
 class forward_reader final : public grpc::ClientReadReactor<wire::ForwardEvent> {
 public:
   forward_reader(wire::Peer::Stub& stub, std::shared_ptr<grpc::Channel> held_channel,
@@ -200,7 +201,7 @@
   host_incarnation self;
 };
 
-/// One unary call under way; owns everything that gRPC needs until the end.
+/// One unary call in flight; owns everything that gRPC needs until the call ends.
 template <class Request, class Response>
 struct pending_call {
   grpc::ClientContext context;
@@ -298,7 +299,7 @@
 void peer_network::forward(const std::string& address, const forwarded_request& request,
                            duration limit, forward_reply reply) {
   const state::link link = this->inner->link_to(address);
-  // Deletes itself when done.
+  // Deletes itself in `OnDone`.
   new forward_reader(*link.stub, link.channel, request, limit, std::move(reply));
 }
 
--- a/libs/peer/src/wire.cc
+++ b/libs/peer/src/wire.cc
@@ -1,4 +1,4 @@
-// Messages in cereal's portable binary form.
+// Converts messages to and from cereal's portable binary form.
 #include "hawthornlane/peer/wire.h"
 
 #include <cereal/archives/portable_binary.hpp>
@@ -16,7 +16,7 @@
 std::string encode(const Value& value) {
   std::ostringstream out;
   cereal::PortableBinaryOutputArchive archive(out);
-  // The members' serialize functions serve both ways and are not const.
+  // The serialize functions are used for reading too and therefore are not const.
   Value copy = value;
   archive(copy);
   return std::move(out).str();
--- a/libs/rollout/src/rollout_core.cc
+++ b/libs/rollout/src/rollout_core.cc
@@ -1,4 +1,4 @@
-// Adopting document generations.
+// Adopts document generations.
 #include "hawthornlane/rollout/rollout_core.h"
 
 #include <xxhash.h>
@@ -25,7 +25,7 @@
 }
 
 std::uint64_t rollout_core::digest() const {
-  // A sum, so that the order of adoption does not matter.
+  // A sum, so that the digest does not depend on the order of adoption.
   std::uint64_t sum = 0;
   for (const auto& [service, document] : this->in_force) {
     const std::string marked = service.get() + "\n" + std::to_string(document.at.get()) + "\n";
--- a/libs/rollout/test/rollout_core_test.cc
+++ b/libs/rollout/test/rollout_core_test.cc
@@ -10,7 +10,8 @@
 const timestamp now{};
 }  // namespace
 
-TEST_CASE("a generation only rises, whatever is offered in whatever order") {
+// Guards against a stale cache or a restored store that replaces a newer document.
+TEST_CASE("an older or conflicting document does not replace the one in force") {
   struct offered {
     std::uint64_t at;
     std::string text;
@@ -30,7 +31,8 @@
   CHECK(core.documents().at(service).text == row.in_force);
 }
 
-TEST_CASE("digests agree exactly when generations and texts agree") {
+// Guards against hosts that take differing documents for equal, or differ by adoption order.
+TEST_CASE("digests are equal exactly when generations and texts are equal") {
   rollout_core left;
   rollout_core right;
   CHECK(left.digest() == right.digest());
@@ -44,7 +46,8 @@
   CHECK(left.digest() != right.digest());
 }
 
-TEST_CASE("a peer is sent exactly what it lacks") {
+// Guards against sending documents that the peer has, or leaving out missing or older ones.
+TEST_CASE("a peer is sent exactly the documents that it lacks") {
   rollout_core core;
   core.offer(service, generation(2), "a", now);
   core.offer(service_name("summaries"), generation(5), "b", now);
@@ -54,7 +57,8 @@
         std::vector<service_name>{service});
 }
 
-TEST_CASE("a host is not ready before it has heard current generations") {
+// Guards against a host that serves with possibly outdated documents after its start.
+TEST_CASE("a host is not ready before it has received the current generations") {
   rollout_core core;
   core.offer(service, generation(1), "a", now);
   CHECK_FALSE(core.ready());
--- a/libs/settings/include/hawthornlane/settings/ini.h
+++ b/libs/settings/include/hawthornlane/settings/ini.h
@@ -1,4 +1,4 @@
-// INI text with line numbers, so that every complaint can name its line.
+// Reads INI text with line numbers, so that every problem can be reported with its line.
 #pragma once
 
 #include <string>
@@ -15,16 +15,16 @@
   int line = 0;
 };
 
-/// One complaint about an INI text.
+/// One problem found in an INI text.
 struct ini_problem {
-  /// Counted from 1; 0 when the whole text is meant.
+  /// Counted from 1; 0 when the problem concerns the whole text.
   int line = 0;
   std::string message;
 
   friend bool operator==(const ini_problem&, const ini_problem&) = default;
 };
 
-/// An INI text as read.
+/// The entries and problems of an INI text.
 struct ini_text {
   std::vector<ini_entry> entries;
   std::vector<ini_problem> problems;
@@ -33,7 +33,7 @@
 /// Reads the whole text; never stops at the first problem.
 ini_text read_ini(std::string_view text);
 
-/// "line 3: ..." lines, one for each problem.
+/// One line "line 3: ..." for each problem.
 std::string to_string(const std::vector<ini_problem>& problems);
 
 }  // namespace hawthornlane
--- a/libs/settings/include/hawthornlane/settings/schema.h
+++ b/libs/settings/include/hawthornlane/settings/schema.h
@@ -1,5 +1,5 @@
-// Typed keys: which sections and keys a text may hold, with unit, range and
-// default, and the values read by them.
+// A schema for INI texts: the allowed sections and keys with type, range and default, and the
+// values read by it.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace hawthornlane {
 
-/// How a value is written.
+/// The type of a value, which defines how it is written.
 enum class value_type : std::uint8_t {
   text,
   /// A name of letters, digits, '-', '_' and '.'.
@@ -24,15 +24,15 @@
   /// A number with a fraction.
   number,
   yes_no,
-  /// A number with one of us, ms, s, min, h, d.
+  /// A number with a unit: us, ms, s, min, h or d.
   time,
   /// "IP:port".
   address,
-  /// Names or addresses with commas between them.
+  /// Items separated by commas.
   list,
 };
 
-/// One key that a text may hold.
+/// One key that a text may contain.
 struct key_rule {
   /// A section name, or "kind *" for sections such as "[account north]".
   std::string section;
@@ -40,14 +40,14 @@
   value_type type = value_type::text;
   bool required = false;
   std::string default_value;
-  /// Range of numbers; for times in microseconds.
+  /// Range of numbers; microseconds for times.
   double least = 0;
   double most = 0;
-  /// What the key means, with its unit.
+  /// Description of the key, with its unit.
   std::string meaning;
 };
 
-/// Values of a text that passed its schema's checks, defaults filled in.
+/// The values of a text that passed the checks of its schema, with defaults filled in.
 class checked_values {
 public:
   [[nodiscard]] std::string text(const std::string& section, const std::string& key) const;
@@ -57,9 +57,9 @@
   [[nodiscard]] duration time(const std::string& section, const std::string& key) const;
   [[nodiscard]] std::vector<std::string> list(const std::string& section,
                                               const std::string& key) const;
-  /// Names of the sections "kind NAME", without the kind, in order of the text.
+  /// Names of the sections "kind NAME", without the kind, in the order of the text.
   [[nodiscard]] std::vector<std::string> sections_of(const std::string& kind) const;
-  /// Line of the key, or of its section's first key, or 0.
+  /// Line of the key; if the key is absent, the line of its section's first key; else 0.
   [[nodiscard]] int line_of(const std::string& section, const std::string& key) const;
 
 private:
@@ -70,19 +70,19 @@
   std::vector<std::string> sections;
 };
 
-/// Checks every entry; all problems come back at once, each with its line and,
-/// for unknown names, with the nearest known one.
+/// Checks every entry. Appends all problems, each with its line and, for an unknown name, the
+/// nearest known name, and sorts `problems` by line.
 checked_values check_ini(const ini_text& text, const std::vector<key_rule>& rules,
                          std::vector<ini_problem>& problems);
 
-/// Reads "250 ms", "1.5s", "2h"; nothing when it is anything else.
+/// Reads times such as "250 ms", "1.5s" or "2h"; nothing when the text is not a time.
 std::optional<duration> time_from_string(std::string_view text);
 
-/// The candidate nearest to `word` by edit distance, if one is near at all.
+/// The candidate nearest to `word` by edit distance, if one is near enough.
 std::optional<std::string> nearest_name(std::string_view word,
                                         const std::vector<std::string>& candidates);
 
-/// A table of all keys for the documentation, in Markdown.
+/// A Markdown table of all keys for the documentation.
 std::string describe(const std::vector<key_rule>& rules);
 
 }  // namespace hawthornlane
--- a/libs/settings/src/ini.cc
+++ b/libs/settings/src/ini.cc
@@ -1,5 +1,5 @@
-// Reading INI with libinih, which is given the lines one at a time: it does not
-// tell line numbers, but it reads no line before the one before is handled.
+// Reads INI text with libinih. libinih does not report line numbers, but it handles each line
+// before it asks for the next one, so the line source counts them.
 #include "hawthornlane/settings/ini.h"
 
 #include <ini.h>
@@ -12,7 +12,7 @@
 namespace hawthornlane {
 namespace {
 
-/// libinih's buffer; a longer line would be split by it.
+/// Limit of libinih's buffer, which would split a longer line.
 constexpr std::size_t longest_line = 198;
 
 struct reader {
@@ -41,7 +41,7 @@
     state.result.problems.push_back({state.line, "contains a zero byte"});
     line = line.substr(0, 0);
   }
-  // A leading blank would make libinih append the line to the value before.
+  // With leading whitespace libinih would append the line to the previous value.
   while (!line.empty() && (line.front() == ' ' || line.front() == '\t')) {
     line.remove_prefix(1);
   }
@@ -67,8 +67,8 @@
 ini_text read_ini(std::string_view text) {
   reader state;
   state.rest = text;
-  // libinih stops counting at its first error only in the value it returns; it
-  // goes on reading, so later lines are still checked.
+  // libinih returns the line of its first error only, but it goes on reading, so later lines
+  // are still checked.
   const int first_bad_line = ini_parse_stream(next_line, &state, take_entry, &state);
   if (first_bad_line > 0) {
     state.result.problems.push_back(
--- a/libs/settings/src/schema.cc
+++ b/libs/settings/src/schema.cc
@@ -1,4 +1,4 @@
-// Checking INI entries against a table of typed keys.
+// Checks INI entries against a schema.
 #include "hawthornlane/settings/schema.h"
 
 #include <fmt/format.h>
@@ -85,7 +85,7 @@
   return fmt::format("{} to {}", rule.least, rule.most);
 }
 
-/// Why `value` does not fit `rule`; empty when it does.
+/// The reason why `value` violates `rule`; empty when it does not.
 std::string misfit(const key_rule& rule, const std::string& value) {
   std::optional<double> number;
   switch (rule.type) {
@@ -123,13 +123,15 @@
   return in_range ? "" : "is outside " + in_range_text(rule);
 }
 
-/// "account north" and "account *" are of the same kind; returns "account *".
+/// Maps a section such as "account north" to its pattern "account *"; other names are returned
+/// unchanged.
 std::string section_pattern(const std::string& section) {
   const std::size_t blank = section.find(' ');
   return blank == std::string::npos ? section : section.substr(0, blank) + " *";
 }
 
-/// `compared` is the form of `word` that is held against the candidates.
+/// The message for an unknown name. `compared` is the form of `word` that is compared with the
+/// candidates.
 std::string unknown(const std::string& what, const std::string& word,
                     const std::vector<std::string>& candidates, const std::string& compared) {
   const auto near = nearest_name(compared, candidates);
