--- a/libs/engine/include/hawthornlane/engine/backend_client.h
+++ b/libs/engine/include/hawthornlane/engine/backend_client.h
@@ -27,7 +27,7 @@
   std::string path;
   std::string body;
   /// Longest silence of a model, or time for a whole tool call.
-  duration patience{};
+  duration response_timeout{};
 };
 
 /// What a backend server made of a call.
--- a/libs/net/include/hawthornlane/net/packing.h
+++ b/libs/net/include/hawthornlane/net/compression.h
@@ -9,10 +9,10 @@
 namespace hawthornlane::net {
 
 /// The text in fewer bytes; never fails, though bytes without repetition grow a little.
-std::string pack(std::string_view text);
+std::string compress(std::string_view text);
 
 /// The text of `pack`; nothing when the bytes are no such text, or when it would have
 /// more than `most` bytes, which is found out before memory is taken for it.
-std::optional<std::string> unpack(std::string_view packed, std::size_t most);
+std::optional<std::string> decompress(std::string_view packed, std::size_t most);
 
 }  // namespace hawthornlane::net
--- a/libs/net/include/hawthornlane/net/rpc.h
+++ b/libs/net/include/hawthornlane/net/rpc.h
@@ -32,7 +32,7 @@
 /// Requests that wait to be sent to one other host, bytes (each client for itself); beyond it a
 /// call fails at once as unreachable. One of the largest requests fits beside some hundred small
 /// ones.
-constexpr std::size_t most_unsent_bytes = std::size_t{10} * 1024 * 1024;
+constexpr std::size_t max_unsent_bytes = std::size_t{10} * 1024 * 1024;
 
 /// One other host. Connects when there is something to send; a connection on which
 /// a call timed out without a byte from the other side is given up as silent.
@@ -70,10 +70,10 @@
 
   [[nodiscard]] http::endpoint where() const;
   /// Bytes of answers that the kernel has not taken yet, of all connections.
-  [[nodiscard]] std::size_t waiting_bytes() const;
+  [[nodiscard]] std::size_t queued_bytes() const;
   /// Beyond so many of them a request is refused in place of its answer; 16 MB unless
   /// set. One connection may hold a quarter of it, but always one of the largest answers.
-  void limit_waiting_bytes(std::size_t most);
+  void limit_queued_bytes(std::size_t most);
 
   struct state;
 
--- a/libs/net/include/hawthornlane/net/timed_socket.h
+++ b/libs/net/include/hawthornlane/net/timed_socket.h
@@ -46,7 +46,7 @@
   void watch_for_close(std::function<void()> hook);
   void stop_watching();
   /// True when an idle connection has been closed or has bytes nobody asked for.
-  [[nodiscard]] bool spoiled_while_idle();
+  [[nodiscard]] bool stale_while_idle();
 
   /// Ends operations under way and closes; `hard` sends a reset in place of an
   /// orderly end.
--- a/libs/net/test/packing_test.cc
+++ b/libs/net/test/compression_test.cc
@@ -1,5 +1,5 @@
 // Packed text comes back whole; other bytes and absurd sizes do not pass.
-#include "hawthornlane/net/packing.h"
+#include "hawthornlane/net/compression.h"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -43,14 +43,14 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    const std::string packed = pack(item.text);
+    const std::string packed = compress(item.text);
     CHECK(packed.size() <= item.packed_at_most);
-    CHECK(unpack(packed, most) == item.text);
+    CHECK(decompress(packed, most) == item.text);
   }
 }
 
 TEST_CASE("what is no packed text, or too long, is nothing") {
-  const std::string whole = pack(repeated(90'000));
+  const std::string whole = compress(repeated(90'000));
   std::string changed = whole;
   changed[changed.size() / 2] = static_cast<char>(changed[changed.size() / 2] ^ 0x55);
   struct row {
@@ -64,13 +64,13 @@
       {"a part", whole.substr(0, whole.size() / 2)},
       {"a head only", whole.substr(0, 8)},
       {"more bytes behind it", whole + "x"},
-      {"a text of 100 MB", pack(std::string(100'000'000, 'a'))},
+      {"a text of 100 MB", compress(std::string(100'000'000, 'a'))},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    CHECK_FALSE(unpack(item.bytes, most));
+    CHECK_FALSE(decompress(item.bytes, most));
   }
   // Changed bytes may still be a text, but not that one and never a longer one.
-  const auto other = unpack(changed, most);
+  const auto other = decompress(changed, most);
   CHECK((!other || other->size() <= most));
 }
--- a/libs/node/include/hawthornlane/node/backend_table.h
+++ b/libs/node/include/hawthornlane/node/backend_table.h
@@ -31,7 +31,7 @@
 };
 
 /// The model or tool that a call needs from a server.
-struct backend_need {
+struct backend_requirement {
   model_name model;
   std::string tool;
 };
@@ -41,21 +41,21 @@
 public:
   /// Adds or updates the server that the object describes and returns it; nothing when
   /// the object does not describe a server.
-  std::optional<backend_server> take_object(const stored_object& object);
+  std::optional<backend_server> apply_object(const stored_object& object);
   [[nodiscard]] std::optional<backend_server> find(const backend_server_id& server) const;
   /// Counts a call in flight at a server that the scheduler has chosen; nothing when the
   /// server is unknown.
-  std::optional<backend_server> take_chosen(const backend_server_id& server);
+  std::optional<backend_server> acquire_chosen(const backend_server_id& server);
   /// Chooses the matching server with the fewest calls in flight, leaving out `except`,
   /// leaving servers and excluded ones. The call counts as in flight until `give_back`.
   /// Nothing when no server matches.
-  std::optional<backend_server> take(const backend_need& need,
+  std::optional<backend_server> take(const backend_requirement& need,
                                      const std::vector<backend_server_id>& except, timestamp now);
   /// Ends a call's use of the server; excludes the server for a while after repeated failures.
-  void give_back(const backend_server_id& server, const backend_result& result, timestamp now);
+  void release_server(const backend_server_id& server, const backend_result& result, timestamp now);
   [[nodiscard]] std::vector<backend_server> all() const;
   /// Adds the servers that are not leaving to the counts in `fleet`.
-  void count_for(fleet_view& fleet) const;
+  void add_server_counts(fleet_view& fleet) const;
 
 private:
   mutable std::mutex mutex;
--- a/libs/node/include/hawthornlane/node/ownership_duty.h
+++ b/libs/node/include/hawthornlane/node/ownership_manager.h
@@ -13,18 +13,18 @@
 
 /// Checks every shard periodically. The decisions are made by the placement functions and
 /// the shard cores. Not thread-safe: use it from one thread at a time.
-class ownership_duty {
+class ownership_manager {
 public:
-  ownership_duty(runtime& time, shard_table& shards, host_view& hosts, std::size_t replicas);
+  ownership_manager(runtime& time, shard_table& shards, host_view& hosts, std::size_t replicas);
 
   /// Claims shards whose owners have ended; call about twice a second.
   void claim_orphans();
   /// Keeps the replica sets of owned shards at their size and replaces ended hosts.
-  void keep_replicas();
+  void maintain_replicas();
   /// Moves at most `most` shards to hosts that own fewer.
-  void even_out(std::size_t most);
+  void rebalance(std::size_t most);
   /// Starts handing every owned shard to a usable replica; returns the number still owned.
-  std::size_t hand_all_over();
+  std::size_t hand_over_all();
   /// Ticks every shard core and checks the invariants of the next shard.
   void tick();
   [[nodiscard]] std::size_t owned() const;
--- a/libs/node/include/hawthornlane/node/map_keeper.h
+++ b/libs/node/include/hawthornlane/node/shard_map_store.h
@@ -17,7 +17,7 @@
 /// Stores the shard map as a few objects "shard-map/NUMBER", each with the entries of
 /// `shards_per_block` shards. Proposals for one block that arrive close together share one
 /// conditional update.
-class map_keeper {
+class shard_map_store {
 public:
   static constexpr std::uint32_t shards_per_block = 16;
 
@@ -25,14 +25,14 @@
   using proposal_done =
       std::function<void(shard_id, proposal_outcome, const std::optional<assignment>&)>;
 
-  map_keeper(runtime& time, object_store& platform, std::uint32_t shards);
+  shard_map_store(runtime& time, object_store& platform, std::uint32_t shards);
 
   /// Both hooks are set once, before the first use.
   void on_entry(entry_seen hook) { this->seen = std::move(hook); }
   void on_proposal(proposal_done hook) { this->done = std::move(hook); }
 
   /// Reports the entries of a block that was read or watched to the `on_entry` hook.
-  void take_object(const stored_object& object);
+  void apply_object(const stored_object& object);
   /// Queues the proposal for writing; the result goes to the `on_proposal` hook. Does not block.
   void propose(shard_id shard, const propose_assignment& proposal);
   /// Whether the whole map has been read at least once.
--- a/libs/relay/include/hawthornlane/relay/backend_pool.h
+++ b/libs/relay/include/hawthornlane/relay/backend_pool.h
@@ -17,7 +17,7 @@
 namespace hawthornlane::relay {
 
 /// How one try at one backend server ended.
-enum class try_outcome : std::uint8_t {
+enum class attempt_outcome : std::uint8_t {
   /// The whole answer was read or handed on.
   whole,
   /// Nothing was sent: the server has not seen the call.
@@ -34,16 +34,16 @@
 };
 
 /// The answer of a try, or its head when the body went to the sink.
-struct backend_answer {
+struct backend_response {
   int status = 0;
   std::vector<http::header> headers;
   std::string body;
-  answer_terms terms;
+  response_terms terms;
 };
 
 /// Receives a streamed answer; false ends the transfer.
 struct stream_sink {
-  std::function<boost::asio::awaitable<bool>(const backend_answer& head)> on_head;
+  std::function<boost::asio::awaitable<bool>(const backend_response& head)> on_head;
   std::function<boost::asio::awaitable<bool>(std::string_view bytes)> on_bytes;
 };
 
@@ -65,7 +65,7 @@
 };
 
 /// Lets somebody else end a try that is under way.
-class try_handle {
+class attempt_handle {
 public:
   /// Closes the server's connection; the try ends as abandoned.
   void abandon();
@@ -80,9 +80,9 @@
 struct pool_counters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
-  std::uint64_t foreign_answers = 0;
+  std::uint64_t mismatched_responses = 0;
   /// Refusals that could have been meant for an earlier call of their connection.
-  std::uint64_t unnamed_refusals = 0;
+  std::uint64_t unidentified_refusals = 0;
 };
 
 /// Keeps idle connections of each server. For one thread.
@@ -97,9 +97,9 @@
   /// Sends one call and reads its answer. An event stream goes to `sink`; any other
   /// answer is read whole into `answer`, so that a broken one can be told apart
   /// before the caller sees a byte. `detail` says why a try failed.
-  boost::asio::awaitable<try_outcome> run(const backend_request& request, const stream_sink& sink,
-                                          try_handle& handle, backend_answer& answer,
-                                          std::string& detail);
+  boost::asio::awaitable<attempt_outcome> run(const backend_request& request,
+                                              const stream_sink& sink, attempt_handle& handle,
+                                              backend_response& answer, std::string& detail);
   /// Closes idle connections that are too old, and those of servers that are gone.
   void close_idle(const std::function<bool(const http::endpoint&)>& still_listed);
 
@@ -110,17 +110,18 @@
   using link_ptr = std::unique_ptr<link>;
 
   link_ptr take_idle(const backend_request& request);
-  boost::asio::awaitable<link_ptr> obtain(const backend_request& request, try_handle& handle,
+  boost::asio::awaitable<link_ptr> obtain(const backend_request& request, attempt_handle& handle,
                                           std::string& detail);
   void keep(const backend_request& request, link_ptr used);
-  boost::asio::awaitable<try_outcome> exchange(link& used, const backend_request& request,
-                                               const stream_sink& sink, backend_answer& answer,
-                                               std::string& detail);
-  boost::asio::awaitable<try_outcome> read_body(link& used, const backend_request& request,
-                                                const stream_sink& sink, struct answer_parser& from,
-                                                backend_answer& answer, std::string& detail);
+  boost::asio::awaitable<attempt_outcome> exchange(link& used, const backend_request& request,
+                                                   const stream_sink& sink,
+                                                   backend_response& answer, std::string& detail);
+  boost::asio::awaitable<attempt_outcome> read_body(link& used, const backend_request& request,
+                                                    const stream_sink& sink,
+                                                    struct answer_parser& from,
+                                                    backend_response& answer, std::string& detail);
   /// What a whole answer says about the run.
-  try_outcome outcome_of(const link& used, const backend_answer& answer, std::string& detail);
+  attempt_outcome outcome_of(const link& used, const backend_response& answer, std::string& detail);
 
   boost::asio::io_context& context;
   net::deadline_sweeper& sweeper;
--- a/libs/relay/include/hawthornlane/relay/caller_link.h
+++ b/libs/relay/include/hawthornlane/relay/caller_connection.h
@@ -26,9 +26,9 @@
 };
 
 /// Reads requests from one caller and writes their answers. For one thread.
-class caller_link {
+class caller_connection {
 public:
-  explicit caller_link(net::timed_socket& connected) : socket(connected) {}
+  explicit caller_connection(net::timed_socket& connected) : socket(connected) {}
 
   /// Waits for the next request. Whole requests that have arrived are kept for
   /// the next call, so a caller may send ahead.
@@ -43,16 +43,16 @@
   boost::asio::awaitable<bool> write(std::string_view piece);
   boost::asio::awaitable<bool> finish();
   /// Ends an answer that is not whole, so that it cannot look whole.
-  void break_off();
+  void abort_connection();
 
   /// Answers of this connection say that it will be closed.
-  void close_after_this() { this->keep = false; }
+  void close_after_response() { this->keep = false; }
   /// Whether the connection may carry another request.
   [[nodiscard]] bool usable() const { return this->keep && !this->is_gone; }
   [[nodiscard]] bool started() const { return this->has_started; }
   [[nodiscard]] bool gone() const { return this->is_gone; }
   /// The caller closed its connection while it was being served.
-  void note_gone() { this->is_gone = true; }
+  void mark_disconnected() { this->is_gone = true; }
   [[nodiscard]] net::timed_socket& connection() { return this->socket; }
 
 private:
--- a/libs/relay/include/hawthornlane/relay/framing.h
+++ b/libs/relay/include/hawthornlane/relay/framing.h
@@ -18,9 +18,9 @@
 std::optional<std::size_t> head_length(std::string_view bytes);
 
 /// True for names equal but for letter case.
-bool same_name(std::string_view a, std::string_view b);
+bool same_header_name(std::string_view a, std::string_view b);
 
 /// The headers without those that concern one connection only.
-std::vector<http::header> end_to_end(const std::vector<http::header>& headers);
+std::vector<http::header> end_to_end_headers(const std::vector<http::header>& headers);
 
 }  // namespace hawthornlane::relay
--- a/libs/relay/test/event_splitter_test.cc
+++ b/libs/relay/test/event_splitter_test.cc
@@ -27,12 +27,12 @@
     CHECK(events[1].data == "two\nmore");
     CHECK(events[2].data.empty());
     CHECK(events[0].bytes + events[1].bytes + events[2].bytes == three_events);
-    CHECK(splitter.between_events());
+    CHECK(splitter.at_event_boundary());
   }
 }
 
 TEST_CASE("an event that is cut off does not come out") {
   event_splitter splitter;
   CHECK(splitter.add("id: 1\ndata: one\n").empty());
-  CHECK_FALSE(splitter.between_events());
+  CHECK_FALSE(splitter.at_event_boundary());
 }
--- a/libs/rollout/include/hawthornlane/rollout/rollout_core.h
+++ b/libs/rollout/include/hawthornlane/rollout/rollout_core.h
@@ -42,7 +42,7 @@
   offer_outcome offer(const service_name& service, generation at, const std::string& text,
                       timestamp now);
   /// Call once the whole list of the platform, or of a ready peer, has been offered.
-  void heard_all() { this->complete = true; }
+  void mark_complete() { this->complete = true; }
   [[nodiscard]] bool ready() const { return this->complete; }
 
   [[nodiscard]] const std::map<service_name, document_in_force>& documents() const {
@@ -51,7 +51,7 @@
   /// Equal on two hosts exactly when they have the same generations with the same texts.
   [[nodiscard]] std::uint64_t digest() const;
   /// Services whose generation is missing in `theirs` or lower there than here.
-  [[nodiscard]] std::vector<service_name> lacking(
+  [[nodiscard]] std::vector<service_name> newer_than(
       const std::map<service_name, generation>& theirs) const;
 
 private:
--- a/stand_ins/include/hawthornlane/stand_ins/object_platform.h
+++ b/stand_ins/include/hawthornlane/stand_ins/object_platform.h
@@ -12,14 +12,14 @@
 namespace hawthornlane::stand_ins {
 
 /// How the store treats the calls that reach it.
-enum class store_mood : std::uint8_t {
+enum class store_behavior : std::uint8_t {
   serving,
   /// Every call gets 503; nothing is done.
   busy,
   /// Calls are taken and never answered; nothing is done.
   silent,
   /// Writes are done, but their answers are lost.
-  losing_answers,
+  dropping_responses,
 };
 
 /// Serves until destroyed. For the thread that runs the io_context.
@@ -31,13 +31,13 @@
   object_platform& operator=(const object_platform&) = delete;
 
   [[nodiscard]] http::endpoint where() const;
-  void set_mood(store_mood mood);
+  void set_behavior(store_behavior mood);
   /// Watches hear nothing, and then lose their place in the history.
-  void set_deaf_watches(bool deaf);
+  void set_stalled_watches(bool deaf);
   /// Writes an object as the operator or a server would; `spec` is JSON.
   void put(const std::string& kind, const std::string& name, const std::string& spec);
   /// Puts `item` as it is into each listing of the kind, first of all its items.
-  void list_raw(const std::string& kind, const std::string& item);
+  void add_raw_listing_item(const std::string& kind, const std::string& item);
   void remove(const std::string& kind, const std::string& name);
   /// The spec of an object, or an empty text.
   [[nodiscard]] std::string spec_of(const std::string& kind, const std::string& name) const;
--- a/stand_ins/include/hawthornlane/stand_ins/scripted_backend.h
+++ b/stand_ins/include/hawthornlane/stand_ins/scripted_backend.h
@@ -16,27 +16,27 @@
 namespace hawthornlane::stand_ins {
 
 /// What the server does with one request.
-enum class backend_act : std::uint8_t {
+enum class backend_behavior : std::uint8_t {
   /// Runs it and answers: by events on a request for tokens, else by a body.
   answer,
   /// Refuses it as full, and says that it was not run.
   shed,
   /// Runs it; the connection is reset before the answer.
-  lose_answer,
+  drop_response,
   /// Runs it; the answer ends in the middle.
   truncate,
   /// Runs it; a second answer, to another call, follows on the connection.
-  answer_twice,
+  respond_twice,
   /// Runs it; an answer to another call comes first.
-  answer_foreign_first,
+  respond_to_other_call_first,
   /// Runs it; the answer has no length and ends with the connection.
-  answer_unframed,
+  respond_without_length,
   /// Answers bytes that are no answer.
-  garble,
+  send_garbage,
   /// Runs it and says nothing.
   hang,
   /// Runs it; a success without the server's signature.
-  unsigned_answer,
+  unsigned_response,
   /// Refuses it as full with status 429, and says that it was not run.
   shed_as_too_many,
   /// Refuses it as meant for another server.
@@ -48,25 +48,25 @@
   fail_503,
   fail_504,
   /// Runs it; a refusal comes first that says "not run" and names no call.
-  answer_refusal_first,
+  refuse_then_respond,
 };
 
 /// The acts of a group of servers, in the order in which requests reach any of them.
-class act_script {
+class behavior_script {
 public:
   /// The last act goes on for ever.
-  void set(std::vector<backend_act> acts) {
+  void set(std::vector<backend_behavior> acts) {
     this->acts = std::move(acts);
     this->next = 0;
   }
-  backend_act take() {
-    const backend_act act = this->acts[std::min(this->next, this->acts.size() - 1)];
+  backend_behavior take() {
+    const backend_behavior act = this->acts[std::min(this->next, this->acts.size() - 1)];
     ++this->next;
     return act;
   }
 
 private:
-  std::vector<backend_act> acts{backend_act::answer};
+  std::vector<backend_behavior> acts{backend_behavior::answer};
   std::size_t next = 0;
 };
 
@@ -82,7 +82,7 @@
 public:
   scripted_backend(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
                    const http::endpoint& listen_at, std::string instance,
-                   std::shared_ptr<act_script> script);
+                   std::shared_ptr<behavior_script> script);
   ~scripted_backend();
   scripted_backend(const scripted_backend&) = delete;
   scripted_backend& operator=(const scripted_backend&) = delete;
@@ -93,7 +93,7 @@
   /// Events of a streamed answer, and the time between two.
   void set_events(int events, std::chrono::milliseconds pause = {});
   /// From now on a request is read so long after its connection is free for it.
-  void set_read_pause(std::chrono::milliseconds pause);
+  void set_read_delay(std::chrono::milliseconds pause);
   [[nodiscard]] const std::vector<backend_arrival>& arrivals() const;
   /// How often a request of that id was run.
   [[nodiscard]] int runs(const std::string& id) const;
