--- a/libs/document/src/service_document.cc
+++ b/libs/document/src/service_document.cc
@@ -14,10 +14,10 @@
 constexpr double hour = 3600 * second;
 constexpr double day = 24 * hour;
 // Limits of the fleet, which no document may exceed.
-constexpr double most_budget_tokens = 2e6;
-constexpr double most_turns = 500;
-constexpr double most_concurrent_calls = 100'000;
-constexpr std::size_t shortest_credential = 16;
+constexpr double max_budget_tokens = 2e6;
+constexpr double max_turns = 500;
+constexpr double max_concurrent_calls = 100'000;
+constexpr std::size_t min_credential_length = 16;
 
 std::vector<key_rule> make_schema() {
   using enum value_type;
@@ -34,18 +34,18 @@
        "how long after its call's arrival an answer is still useful"},
       {"service", "idle_time", time, false, "8 h", 10 * second, 7 * day,
        "a program without calls for longer than this is ended"},
-      {"service", "concurrent_calls", integer, false, "1000", 1, most_concurrent_calls,
+      {"service", "concurrent_calls", integer, false, "1000", 1, max_concurrent_calls,
        "maximum calls in flight, whole fleet"},
-      {"budget", "tokens", integer, true, "", 1, most_budget_tokens,
+      {"budget", "tokens", integer, true, "", 1, max_budget_tokens,
        "tokens that one program may use"},
-      {"budget", "turns", integer, true, "", 1, most_turns, "calls that one program may make"},
-      {"budget", "tool_calls", integer, false, "100", 0, most_turns,
+      {"budget", "turns", integer, true, "", 1, max_turns, "calls that one program may make"},
+      {"budget", "tool_calls", integer, false, "100", 0, max_turns,
        "tool calls that one program may make"},
       {"budget", "wall_time", time, false, "24 h", second, 7 * day,
        "time from a program's start to its last call"},
       {"account *", "credential", text, true, "", 0, 0, "secret that the account's callers send"},
       {"account *", "weight", number, false, "1", 0.01, 100, "share under contention"},
-      {"account *", "concurrent_calls", integer, false, "100", 1, most_concurrent_calls,
+      {"account *", "concurrent_calls", integer, false, "100", 1, max_concurrent_calls,
        "maximum calls in flight, whole fleet"},
       {"tool *", "repeatable", yes_no, true, "", 0, 0, "whether a call may run twice"},
       {"tool *", "timeout", time, false, "30 s", second / 100, hour, "how long one call may take"},
@@ -61,9 +61,9 @@
   for (const account_settings& terms : document.accounts) {
     const std::string section = "account " + terms.account.get();
     const int line = values.line_of(section, "credential");
-    if (!terms.credential.empty() && terms.credential.size() < shortest_credential) {
+    if (!terms.credential.empty() && terms.credential.size() < min_credential_length) {
       problems.push_back({line, fmt::format("[{}] credential is shorter than {} characters",
-                                            section, shortest_credential)});
+                                            section, min_credential_length)});
     }
     if (!terms.credential.empty() && !credentials.insert(terms.credential).second) {
       problems.push_back(
@@ -77,8 +77,8 @@
   }
 }
 
-void check_across(const service_document& document, const checked_values& values,
-                  std::vector<ini_problem>& problems) {
+void check_consistency(const service_document& document, const checked_values& values,
+                       std::vector<ini_problem>& problems) {
   if (!document.model.get().empty() && document.budget_tokens < document.max_answer_tokens) {
     problems.push_back(
         {values.line_of("budget", "tokens"),
@@ -110,7 +110,7 @@
   }
 }
 
-service_document take_values(const checked_values& values) {
+service_document document_from_values(const checked_values& values) {
   service_document document;
   document.service = service_name(values.text("service", "name"));
   document.owner_team = values.text("service", "owner_team");
@@ -146,13 +146,14 @@
                                    before.concurrent_calls, after.concurrent_calls),
                        true});
   }
-  for (const account_settings& old_terms : before.accounts) {
-    const auto kept = std::find_if(
-        after.accounts.begin(), after.accounts.end(),
-        [&old_terms](const account_settings& terms) { return terms.account == old_terms.account; });
+  for (const account_settings& old_settings : before.accounts) {
+    const auto kept = std::find_if(after.accounts.begin(), after.accounts.end(),
+                                   [&old_settings](const account_settings& terms) {
+                                     return terms.account == old_settings.account;
+                                   });
     if (kept == after.accounts.end()) {
       effects.push_back(
-          {0, fmt::format("removes client account '{}'", old_terms.account.get()), true});
+          {0, fmt::format("removes client account '{}'", old_settings.account.get()), true});
     }
   }
   for (const tool_settings& old_tool : before.tools) {
@@ -195,10 +196,10 @@
                                               std::vector<ini_problem>& problems) {
   std::vector<ini_problem> found;
   const checked_values values = check_ini(read_ini(text), document_schema(), found);
-  service_document document = take_values(values);
+  service_document document = document_from_values(values);
   if (found.empty()) {
     check_accounts(document, values, found);
-    check_across(document, values, found);
+    check_consistency(document, values, found);
   }
   if (found.empty()) {
     return document;
--- a/libs/document/test/service_document_test.cc
+++ b/libs/document/test/service_document_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Lines 1 to 14 of a valid document.
-const std::vector<std::string> good_lines{
+const std::vector<std::string> valid_lines{
     "[service]",      "name = diagnosis",       "owner_team = workshop",
     "model = small",  "max_answer_tokens = 64", "call_deadline = 1 min",
     "[budget]",       "tokens = 20000",         "turns = 20",
@@ -24,12 +24,12 @@
 }
 
 std::string with_line(std::size_t number, const std::string& line) {
-  std::vector<std::string> lines = good_lines;
+  std::vector<std::string> lines = valid_lines;
   lines.at(number - 1) = line;
   return text_of(lines);
 }
 
-bool mentions(const std::vector<ini_problem>& problems, int line, const std::string& part) {
+bool has_problem(const std::vector<ini_problem>& problems, int line, const std::string& part) {
   for (const ini_problem& problem : problems) {
     if (problem.line == line && problem.message.find(part) != std::string::npos) {
       return true;
@@ -43,7 +43,7 @@
 // Guards against refused valid documents and against values lost on reading.
 TEST_CASE("a valid document is read with defaults filled in") {
   std::vector<ini_problem> problems;
-  const auto document = read_document(text_of(good_lines), problems);
+  const auto document = read_document(text_of(valid_lines), problems);
   INFO(to_string(problems));
   REQUIRE(document);
   CHECK(document->budget_tokens == token_count(20000));
@@ -108,7 +108,7 @@
                << row.reason << "\nactual:\n"
                << to_string(problems));
   CHECK_FALSE(document.has_value());
-  CHECK(mentions(problems, row.reported_at, row.reason));
+  CHECK(has_problem(problems, row.reported_at, row.reason));
 }
 
 // Guards against reading that stops at the first mistake, and against unsorted reports.
@@ -126,7 +126,7 @@
 // Guards against a change that harms running programs or accounts without a confirmation.
 TEST_CASE("dangerous effects on the running fleet are reported") {
   std::vector<ini_problem> problems;
-  const auto before = read_document(text_of(good_lines), problems);
+  const auto before = read_document(text_of(valid_lines), problems);
   service_document after = *before;
   fleet_view fleet;
   fleet.servers_by_model[model_name("small")] = 2;
@@ -162,7 +162,7 @@
 // Guards against a confirmation asked for a change that has no effects.
 TEST_CASE("an unchanged document has no effects") {
   std::vector<ini_problem> problems;
-  const auto document = read_document(text_of(good_lines), problems);
+  const auto document = read_document(text_of(valid_lines), problems);
   fleet_view fleet;
   fleet.servers_by_model[model_name("small")] = 2;
   fleet.servers_by_tool["claims"] = 1;
--- a/libs/node/include/hawthornlane/node/admin_routes.h
+++ b/libs/node/include/hawthornlane/node/admin_routes.h
@@ -31,28 +31,29 @@
 /// Handles operators' requests, whose paths start with "/v1/admin/".
 class admin_routes {
 public:
-  explicit admin_routes(admin_dependencies parts);
+  explicit admin_routes(admin_dependencies dependencies);
 
   [[nodiscard]] static bool handles_path(const std::string& path);
-  boost::asio::awaitable<void> handle(const http::request& ask, http::exchange& reply);
+  boost::asio::awaitable<void> handle(const http::request& http_request, http::exchange& reply);
 
 private:
-  boost::asio::awaitable<http::response> answer(const http::request& ask);
-  boost::asio::awaitable<http::response> apply_document(const http::request& ask,
+  boost::asio::awaitable<http::response> answer(const http::request& http_request);
+  boost::asio::awaitable<http::response> apply_document(const http::request& http_request,
                                                         const std::string& service);
   boost::asio::awaitable<http::response> audit_trail();
-  http::response check_document(const http::request& ask, const std::string& service);
+  http::response check_document(const http::request& http_request, const std::string& service);
   http::response show_document(const std::string& service);
   http::response documents();
   http::response hosts();
   http::response servers();
   http::response programs();
   http::response program(const std::string& id);
-  http::response drain(const http::request& ask);
-  struct apply_request request_from(const http::request& ask, const std::string& service) const;
+  http::response drain(const http::request& http_request);
+  struct apply_request request_from(const http::request& http_request,
+                                    const std::string& service) const;
   fleet_view fleet_for(const service_name& service) const;
 
-  admin_dependencies parts;
+  admin_dependencies dependencies;
 };
 
 }  // namespace hawthornlane
--- a/libs/node/include/hawthornlane/node/audit_log.h
+++ b/libs/node/include/hawthornlane/node/audit_log.h
@@ -33,15 +33,15 @@
 class audit_log {
 public:
   void add(audit_entry entry);
-  /// At most `most` entries to store next, oldest first.
-  [[nodiscard]] std::vector<audit_entry> unstored(std::size_t most) const;
+  /// At most `max_count` entries to store next, oldest first.
+  [[nodiscard]] std::vector<audit_entry> unstored(std::size_t max_count) const;
   /// Removes the oldest `count` entries; call it once the platform has stored them.
   void stored(std::size_t count);
   [[nodiscard]] std::uint64_t dropped() const;
 
 private:
   mutable std::mutex mutex;
-  std::deque<audit_entry> waiting;
+  std::deque<audit_entry> pending;
   std::uint64_t dropped_entries = 0;
 };
 
--- a/libs/node/include/hawthornlane/node/backend_table.h
+++ b/libs/node/include/hawthornlane/node/backend_table.h
@@ -47,7 +47,7 @@
   /// server is unknown.
   std::optional<backend_server> acquire_chosen(const backend_server_id& server);
   /// Chooses the matching server with the fewest calls in flight, leaving out `except`,
-  /// leaving servers and excluded ones. The call counts as in flight until `give_back`.
+  /// leaving servers and excluded ones. The call counts as in flight until `release_server`.
   /// Nothing when no server matches.
   std::optional<backend_server> take(const backend_requirement& need,
                                      const std::vector<backend_server_id>& except, timestamp now);
--- a/libs/node/include/hawthornlane/node/call_runner.h
+++ b/libs/node/include/hawthornlane/node/call_runner.h
@@ -64,7 +64,7 @@
 private:
   void start(call_id call, const backend_server_id& server);
   void give_up(call_id call);
-  void note_result(const prepared_call& call, const backend_result& result);
+  void record_result(const prepared_call& call, const backend_result& result);
   schedule_request schedule_request_of(const prepared_call& call);
   boost::asio::awaitable<void> run(dispatch_call order);
   boost::asio::awaitable<backend_result> try_servers(prepared_call& call);
--- a/libs/node/include/hawthornlane/node/document_registry.h
+++ b/libs/node/include/hawthornlane/node/document_registry.h
@@ -63,7 +63,7 @@
   document_registry(runtime& time, object_store& platform, audit_log& audit, std::string host);
 
   void apply_object(const stored_object& object);
-  /// All current documents have been offered; see `rollout_core`.
+  /// Call once all current documents have been offered; see `rollout_core`.
   void mark_complete();
   [[nodiscard]] bool ready() const;
 
--- a/libs/node/include/hawthornlane/node/front_routes.h
+++ b/libs/node/include/hawthornlane/node/front_routes.h
@@ -33,18 +33,18 @@
 /// Handles callers' requests. Every error response comes from the error table.
 class front_routes {
 public:
-  explicit front_routes(front_dependencies parts);
+  explicit front_routes(front_dependencies dependencies);
 
   /// Whether the path belongs to the callers' interface.
   [[nodiscard]] static bool handles_path(const std::string& path);
   /// `forwarded`: the request came from another host and is not forwarded again.
-  boost::asio::awaitable<void> handle(const http::request& ask, http::exchange& reply,
+  boost::asio::awaitable<void> handle(const http::request& http_request, http::exchange& reply,
                                       bool forwarded);
 
 private:
-  boost::asio::awaitable<void> addresses(const http::request& ask, http::exchange& reply);
+  boost::asio::awaitable<void> addresses(const http::request& http_request, http::exchange& reply);
   boost::asio::awaitable<void> open(http::exchange& reply, const caller_identity& caller);
-  boost::asio::awaitable<void> call(const http::request& ask, http::exchange& reply,
+  boost::asio::awaitable<void> call(const http::request& http_request, http::exchange& reply,
                                     const caller_identity& caller, const program_id& program);
   boost::asio::awaitable<void> close(http::exchange& reply, const caller_identity& caller,
                                      const program_id& program);
@@ -52,16 +52,18 @@
                                     const program_id& program);
   boost::asio::awaitable<void> fetch(http::exchange& reply, const caller_identity& caller,
                                      const program_id& program, const std::string& ticket_text);
-  boost::asio::awaitable<void> pass_on(const http::request& ask, http::exchange& reply,
-                                       shard_id shard);
+  boost::asio::awaitable<void> forward_to_owner(const http::request& http_request,
+                                                http::exchange& reply, shard_id shard);
   boost::asio::awaitable<void> relay(http::exchange& reply, call_channel& channel, bool stream);
-  boost::asio::awaitable<void> route_program(const http::request& ask, http::exchange& reply,
-                                             const caller_identity& caller, bool forwarded);
+  boost::asio::awaitable<void> route_program(const http::request& http_request,
+                                             http::exchange& reply, const caller_identity& caller,
+                                             bool forwarded);
 
   bool read_program(const program_id& program, const caller_identity& caller,
                     const std::function<void(const shard_core&, const program_state&)>& read);
-  std::optional<prepared_call> prepare(const http::request& ask, const caller_identity& caller,
-                                       const program_id& program, bool& stream, failure& reason);
+  std::optional<prepared_call> prepare(const http::request& http_request,
+                                       const caller_identity& caller, const program_id& program,
+                                       bool& stream, failure& reason);
   bool prepare_model_call(const service_document& document, prepared_call& call,
                           const struct call_fields& fields, failure& reason);
   bool prepare_tool_call(const service_document& document, prepared_call& call,
@@ -70,15 +72,15 @@
                                           const std::string& new_messages);
   /// A random shard served by this host that has a replica in sync and so can take a new
   /// program; nothing when there is none.
-  std::optional<shard_id> own_shard();
+  std::optional<shard_id> pick_local_shard();
   std::optional<member> owner_of(shard_id shard);
 
-  front_dependencies parts;
+  front_dependencies dependencies;
 };
 
 /// The response that the error table defines for `kind`.
 http::response error_response(error_kind kind, std::string_view detail);
 /// The bearer token of a request, or an empty string.
-std::string credential_of(const http::request& ask);
+std::string credential_of(const http::request& http_request);
 
 }  // namespace hawthornlane
--- a/libs/node/include/hawthornlane/node/model_queue.h
+++ b/libs/node/include/hawthornlane/node/model_queue.h
@@ -21,8 +21,8 @@
   model_queue(start_hook on_start, given_up_hook on_given_up)
       : start(std::move(on_start)), give_up(std::move(on_given_up)) {}
 
-  /// Adds a server that the platform lists; `there` is false for one to remove.
-  void server_listed(const model_name& model, const backend_server_id& server, bool there,
+  /// Adds a server that the platform lists; `present` is false for one to remove.
+  void server_listed(const model_name& model, const backend_server_id& server, bool present,
                      timestamp now);
   void submit(const model_name& model, const schedule_request& request, timestamp now);
   void cancel(const model_name& model, waiting_id id, timestamp now);
@@ -38,7 +38,7 @@
   [[nodiscard]] std::size_t waiting() const;
 
 private:
-  scheduler& of(const model_name& model);
+  scheduler& scheduler_for(const model_name& model);
   void carry_out(const std::vector<schedule_decision>& decisions) const;
 
   start_hook start;
--- a/libs/node/include/hawthornlane/node/node.h
+++ b/libs/node/include/hawthornlane/node/node.h
@@ -46,14 +46,14 @@
   http::response health(const std::string& path);
   std::string metrics() const;
   void record_role_change(shard_id shard, const role_changed& change);
-  void take_probe(const probe_message& message);
+  void handle_probe(const probe_message& message);
   void carry_out(const membership_actions& todo);
-  void send_documents(const probe_message& asked);
+  void send_documents(const probe_message& document_request);
 
   /// Starts the coroutines that read from and write to the platform.
-  void follow_platform();
+  void start_platform_tasks();
   /// Lists the objects below `prefix`, then watches them for changes.
-  boost::asio::awaitable<void> follow(std::string prefix);
+  boost::asio::awaitable<void> watch_prefix(std::string prefix);
   boost::asio::awaitable<void> announce();
   boost::asio::awaitable<void> probe_hosts();
   boost::asio::awaitable<void> maintain_shards();
@@ -77,7 +77,7 @@
   std::unique_ptr<http::server> server;
   std::unique_ptr<host_view> hosts;
   std::unique_ptr<call_runner> runner;
-  std::unique_ptr<ownership_manager> duty;
+  std::unique_ptr<ownership_manager> ownership;
   std::unique_ptr<front_routes> front;
   std::unique_ptr<admin_routes> admin;
   std::function<void()> on_stopped;
--- a/libs/node/include/hawthornlane/node/ownership_manager.h
+++ b/libs/node/include/hawthornlane/node/ownership_manager.h
@@ -21,8 +21,8 @@
   void claim_orphans();
   /// Keeps the replica sets of owned shards at their size and replaces ended hosts.
   void maintain_replicas();
-  /// Moves at most `most` shards to hosts that own fewer.
-  void rebalance(std::size_t most);
+  /// Moves at most `max_moves` shards to hosts that own fewer.
+  void rebalance(std::size_t max_moves);
   /// Starts handing every owned shard to a usable replica; returns the number still owned.
   std::size_t hand_over_all();
   /// Ticks every shard core and checks the invariants of the next shard.
@@ -30,8 +30,8 @@
   [[nodiscard]] std::size_t owned() const;
 
 private:
-  std::vector<placeable_host> placeable() const;
-  placeable_host own() const;
+  std::vector<placeable_host> placeable_hosts() const;
+  placeable_host self_host() const;
 
   runtime& time;
   shard_table& shards;
--- a/libs/node/include/hawthornlane/node/shard_map_store.h
+++ b/libs/node/include/hawthornlane/node/shard_map_store.h
@@ -21,15 +21,15 @@
 public:
   static constexpr std::uint32_t shards_per_block = 16;
 
-  using entry_seen = std::function<void(shard_id, const assignment&)>;
-  using proposal_done =
+  using entry_hook = std::function<void(shard_id, const assignment&)>;
+  using proposal_hook =
       std::function<void(shard_id, proposal_outcome, const std::optional<assignment>&)>;
 
   shard_map_store(runtime& time, object_store& platform, std::uint32_t shards);
 
   /// Both hooks are set once, before the first use.
-  void on_entry(entry_seen hook) { this->seen = std::move(hook); }
-  void on_proposal(proposal_done hook) { this->done = std::move(hook); }
+  void on_entry(entry_hook hook) { this->entry_callback = std::move(hook); }
+  void on_proposal(proposal_hook hook) { this->proposal_callback = std::move(hook); }
 
   /// Reports the entries of a block that was read or watched to the `on_entry` hook.
   void apply_object(const stored_object& object);
@@ -43,19 +43,19 @@
   using block_proposals = std::map<shard_id, propose_assignment>;
 
   boost::asio::awaitable<void> write_block(std::uint32_t block);
-  boost::asio::awaitable<bool> try_block(std::uint32_t block, block_proposals& todo);
-  block_proposals take_waiting(std::uint32_t block);
-  void finish(block_proposals& todo, const std::map<shard_id, assignment>& current);
+  boost::asio::awaitable<bool> try_block(std::uint32_t block, block_proposals& batch);
+  block_proposals take_pending(std::uint32_t block);
+  void finish(block_proposals& batch, const std::map<shard_id, assignment>& current);
 
   runtime& time;
   object_store& platform;
   std::uint32_t shards;
-  entry_seen seen;
-  proposal_done done;
+  entry_hook entry_callback;
+  proposal_hook proposal_callback;
   mutable std::mutex mutex;
-  std::map<std::uint32_t, block_proposals> waiting;
+  std::map<std::uint32_t, block_proposals> pending;
   std::map<std::uint32_t, bool> writing;
-  bool read_once = false;
+  bool read_completed = false;
 };
 
 /// Converts the entries of one block to JSON and back; nothing when the text is not a block.
--- a/libs/node/include/hawthornlane/node/shard_table.h
+++ b/libs/node/include/hawthornlane/node/shard_table.h
@@ -56,7 +56,7 @@
   };
 
   void carry_out(shard_id shard, actions todo) const;
-  void report(shard_id shard, const std::string& broken) const;
+  void report_broken(shard_id shard, const std::string& broken) const;
 
   std::vector<std::unique_ptr<slot>> slots;
   shard_hooks hooks;
--- a/libs/node/src/admin_routes.cc
+++ b/libs/node/src/admin_routes.cc
@@ -18,7 +18,7 @@
 const std::string prefix = "/v1/admin/";
 const std::string documents_prefix = "documents/";
 const std::string programs_prefix = "programs/";
-constexpr std::size_t most_programs_listed = 1000;
+constexpr std::size_t max_listed_programs = 1000;
 
 http::response json_response(const json::object& body, int status = 200) {
   http::response answer;
@@ -85,23 +85,24 @@
 
 }  // namespace
 
-admin_routes::admin_routes(admin_dependencies reached) : parts(std::move(reached)) {}
+admin_routes::admin_routes(admin_dependencies given) : dependencies(std::move(given)) {}
 
 bool admin_routes::handles_path(const std::string& path) { return path.starts_with(prefix); }
 
-asio::awaitable<void> admin_routes::handle(const http::request& ask, http::exchange& reply) {
-  if (credential_of(ask) != this->parts.credential) {
+asio::awaitable<void> admin_routes::handle(const http::request& http_request,
+                                           http::exchange& reply) {
+  if (credential_of(http_request) != this->dependencies.credential) {
     http::response refusal = error_response(error_kind::not_authenticated, "operators only");
     co_await reply.respond(std::move(refusal));
     co_return;
   }
-  http::response made = co_await this->answer(ask);
-  co_await reply.respond(std::move(made));
+  http::response http_response = co_await this->answer(http_request);
+  co_await reply.respond(std::move(http_response));
 }
 
-asio::awaitable<http::response> admin_routes::answer(const http::request& ask) {
-  const std::string rest = ask.path.substr(prefix.size());
-  const bool get = ask.method == "GET";
+asio::awaitable<http::response> admin_routes::answer(const http::request& http_request) {
+  const std::string rest = http_request.path.substr(prefix.size());
+  const bool get = http_request.method == "GET";
   if (rest == "documents" && get) {
     co_return this->documents();
   }
@@ -110,11 +111,11 @@
     if (get) {
       co_return this->show_document(service);
     }
-    if (ask.method == "POST") {
-      co_return this->check_document(ask, service);
+    if (http_request.method == "POST") {
+      co_return this->check_document(http_request, service);
     }
-    if (ask.method == "PUT") {
-      co_return co_await this->apply_document(ask, service);
+    if (http_request.method == "PUT") {
+      co_return co_await this->apply_document(http_request, service);
     }
   }
   if (rest == "hosts" && get) {
@@ -132,30 +133,30 @@
   if (rest == "audit" && get) {
     co_return co_await this->audit_trail();
   }
-  if (rest == "drain" && ask.method == "POST") {
-    co_return this->drain(ask);
+  if (rest == "drain" && http_request.method == "POST") {
+    co_return this->drain(http_request);
   }
-  co_return error_response(error_kind::not_found, ask.method + " " + ask.path);
+  co_return error_response(error_kind::not_found, http_request.method + " " + http_request.path);
 }
 
-apply_request admin_routes::request_from(const http::request& ask,
+apply_request admin_routes::request_from(const http::request& http_request,
                                          const std::string& service) const {
   apply_request request;
   request.service = service_name(service);
-  request.text = ask.body;
-  request.who = ask.find_header("x-operator").value_or("unnamed operator");
-  const std::string expected = ask.find_query("expected").value_or("0");
+  request.text = http_request.body;
+  request.who = http_request.find_header("x-operator").value_or("unnamed operator");
+  const std::string expected = http_request.find_query("expected").value_or("0");
   std::uint64_t number = 0;
   std::from_chars(expected.data(), expected.data() + expected.size(), number);
   request.expected = generation(number);
-  request.confirmed_digest = ask.find_query("confirm").value_or("");
+  request.confirmed_digest = http_request.find_query("confirm").value_or("");
   return request;
 }
 
 fleet_view admin_routes::fleet_for(const service_name& service) const {
   fleet_view fleet;
-  this->parts.backends.add_server_counts(fleet);
-  this->parts.shards.read_all([&](const shard_core& core) {
+  this->dependencies.backends.add_server_counts(fleet);
+  this->dependencies.shards.read_all([&](const shard_core& core) {
     if (!core.serving() || !core.log()) {
       return;
     }
@@ -168,22 +169,24 @@
   return fleet;
 }
 
-asio::awaitable<http::response> admin_routes::apply_document(const http::request& ask,
+asio::awaitable<http::response> admin_routes::apply_document(const http::request& http_request,
                                                              const std::string& service) {
-  const apply_request request = this->request_from(ask, service);
+  const apply_request request = this->request_from(http_request, service);
   fleet_view fleet = this->fleet_for(request.service);
-  const apply_result result = co_await this->parts.documents.apply(request, std::move(fleet));
+  const apply_result result =
+      co_await this->dependencies.documents.apply(request, std::move(fleet));
   co_return to_response(result);
 }
 
-http::response admin_routes::check_document(const http::request& ask, const std::string& service) {
-  const apply_request request = this->request_from(ask, service);
-  return to_response(this->parts.documents.check(request, this->fleet_for(request.service)));
+http::response admin_routes::check_document(const http::request& http_request,
+                                            const std::string& service) {
+  const apply_request request = this->request_from(http_request, service);
+  return to_response(this->dependencies.documents.check(request, this->fleet_for(request.service)));
 }
 
 http::response admin_routes::show_document(const std::string& service) {
   generation at;
-  const auto text = this->parts.documents.text_of(service_name(service), at);
+  const auto text = this->dependencies.documents.text_of(service_name(service), at);
   if (!text) {
     return error_response(error_kind::not_found, service);
   }
@@ -197,7 +200,7 @@
 
 http::response admin_routes::documents() {
   json::array rows;
-  for (const document_status& row : this->parts.documents.status()) {
+  for (const document_status& row : this->dependencies.documents.status()) {
     rows.push_back(json::object{{"service", row.service.get()},
                                 {"generation", row.at.get()},
                                 {"digest", row.digest},
@@ -205,17 +208,17 @@
                                 {"in_force_seconds", to_seconds(row.in_force_for)}});
   }
   json::object body;
-  body["host"] = this->parts.hosts.self().id.host.get();
+  body["host"] = this->dependencies.hosts.self().id.host.get();
   body["documents"] = rows;
   return json_response(body);
 }
 
 http::response admin_routes::hosts() {
   std::map<host_incarnation, std::int64_t> owned;
-  this->parts.shards.read_all(
+  this->dependencies.shards.read_all(
       [&owned](const shard_core& core) { ++owned[core.known_assignment().owner]; });
   json::array rows;
-  for (const member& host : this->parts.hosts.all()) {
+  for (const member& host : this->dependencies.hosts.all()) {
     rows.push_back(json::object{{"host", host.id.host.get()},
                                 {"availability_zone", host.zone.get()},
                                 {"state", state_name(host.state)},
@@ -229,7 +232,7 @@
 
 http::response admin_routes::servers() {
   json::array rows;
-  for (const backend_server& server : this->parts.backends.all()) {
+  for (const backend_server& server : this->dependencies.backends.all()) {
     rows.push_back(json::object{{"server", server.id.get()},
                                 {"model", server.model.get()},
                                 {"tool", server.tool},
@@ -245,18 +248,18 @@
 
 http::response admin_routes::programs() {
   json::array rows;
-  this->parts.shards.read_all([&rows](const shard_core& core) {
+  this->dependencies.shards.read_all([&rows](const shard_core& core) {
     if (!core.serving() || !core.log()) {
       return;
     }
     for (const auto& [id, program] : core.log()->state.programs) {
-      if (rows.size() < most_programs_listed) {
+      if (rows.size() < max_listed_programs) {
         rows.push_back(program_row(program, core));
       }
     }
   });
   json::object body;
-  body["host"] = this->parts.hosts.self().id.host.get();
+  body["host"] = this->dependencies.hosts.self().id.host.get();
   body["programs"] = rows;
   return json_response(body);
 }
@@ -264,8 +267,8 @@
 http::response admin_routes::program(const std::string& id) {
   const auto shard = shard_of(program_id(id));
   json::object body;
-  if (shard && this->parts.shards.has(*shard)) {
-    this->parts.shards.read(*shard, [&](const shard_core& core) {
+  if (shard && this->dependencies.shards.has(*shard)) {
+    this->dependencies.shards.read(*shard, [&](const shard_core& core) {
       if (const program_state* state = core.find_program(program_id(id))) {
         body = program_row(*state, core);
         body["serving_here"] = core.serving();
@@ -277,7 +280,7 @@
 
 asio::awaitable<http::response> admin_routes::audit_trail() {
   failure reason;
-  const auto listing = co_await this->parts.platform.list("audit/", reason);
+  const auto listing = co_await this->dependencies.platform.list("audit/", reason);
   json::array rows;
   if (listing) {
     for (const stored_object& object : listing->objects) {
@@ -291,21 +294,21 @@
       }
     }
   }
-  constexpr std::size_t most_unstored = 1000;
-  for (const audit_entry& entry : this->parts.audit.unstored(most_unstored)) {
+  constexpr std::size_t max_unstored = 1000;
+  for (const audit_entry& entry : this->dependencies.audit.unstored(max_unstored)) {
     rows.push_back(json::parse(to_json_line(entry)));
   }
   json::object body;
   body["entries"] = rows;
   body["platform_reachable"] = listing.has_value();
-  body["dropped"] = this->parts.audit.dropped();
+  body["dropped"] = this->dependencies.audit.dropped();
   co_return json_response(body);
 }
 
-http::response admin_routes::drain(const http::request& ask) {
-  this->parts.drain(ask.find_header("x-operator").value_or("unnamed operator"));
+http::response admin_routes::drain(const http::request& http_request) {
+  this->dependencies.drain(http_request.find_header("x-operator").value_or("unnamed operator"));
   json::object body;
-  body["host"] = this->parts.hosts.self().id.host.get();
+  body["host"] = this->dependencies.hosts.self().id.host.get();
   body["state"] = "leaving";
   constexpr int accepted = 202;
   return json_response(body, accepted);
--- a/libs/node/src/audit_log.cc
+++ b/libs/node/src/audit_log.cc
@@ -5,29 +5,29 @@
 
 namespace hawthornlane {
 namespace {
-constexpr std::size_t most_waiting = 20'000;
+constexpr std::size_t max_pending = 20'000;
 }
 
 void audit_log::add(audit_entry entry) {
   const std::lock_guard lock(this->mutex);
-  if (this->waiting.size() >= most_waiting) {
-    this->waiting.pop_front();
+  if (this->pending.size() >= max_pending) {
+    this->pending.pop_front();
     ++this->dropped_entries;
   }
-  this->waiting.push_back(std::move(entry));
+  this->pending.push_back(std::move(entry));
 }
 
-std::vector<audit_entry> audit_log::unstored(std::size_t most) const {
+std::vector<audit_entry> audit_log::unstored(std::size_t max_count) const {
   const std::lock_guard lock(this->mutex);
-  const std::size_t count = std::min(most, this->waiting.size());
-  return {this->waiting.begin(), this->waiting.begin() + static_cast<std::ptrdiff_t>(count)};
+  const std::size_t count = std::min(max_count, this->pending.size());
+  return {this->pending.begin(), this->pending.begin() + static_cast<std::ptrdiff_t>(count)};
 }
 
 void audit_log::stored(std::size_t count) {
   const std::lock_guard lock(this->mutex);
-  count = std::min(count, this->waiting.size());
-  this->waiting.erase(this->waiting.begin(),
-                      this->waiting.begin() + static_cast<std::ptrdiff_t>(count));
+  count = std::min(count, this->pending.size());
+  this->pending.erase(this->pending.begin(),
+                      this->pending.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
 std::uint64_t audit_log::dropped() const {
--- a/libs/node/src/backend_table.cc
+++ b/libs/node/src/backend_table.cc
@@ -13,20 +13,20 @@
 
 const std::string key_prefix = "servers/";
 constexpr std::int64_t failures_to_exclude = 3;
-constexpr duration exclusion = std::chrono::seconds(5);
+constexpr duration exclusion_time = std::chrono::seconds(5);
 
-std::string text_in(const json::object& fields, const char* name) {
+std::string string_field(const json::object& fields, const char* name) {
   const json::value* value = fields.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string{};
 }
 
-bool flag_in(const json::object& fields, const char* name) {
+bool bool_field(const json::object& fields, const char* name) {
   const json::value* value = fields.if_contains(name);
   return value != nullptr && value->is_bool() && value->as_bool();
 }
 
-bool fits(const backend_server& server, const backend_requirement& need,
-          const std::vector<backend_server_id>& except, timestamp now) {
+bool matches(const backend_server& server, const backend_requirement& need,
+             const std::vector<backend_server_id>& except, timestamp now) {
   const bool serves = need.tool.empty() ? server.model == need.model && !server.model.get().empty()
                                         : server.tool == need.tool;
   return serves && !server.leaving && now >= server.excluded_until &&
@@ -42,7 +42,7 @@
     return std::nullopt;
   }
   const json::object& fields = value.as_object();
-  const auto address = http::endpoint_from_string(text_in(fields, "address"));
+  const auto address = http::endpoint_from_string(string_field(fields, "address"));
   if (!address) {
     return std::nullopt;
   }
@@ -50,12 +50,12 @@
   const std::lock_guard lock(this->mutex);
   backend_server& server = this->servers[id];
   server.id = id;
-  server.model = model_name(text_in(fields, "model"));
-  server.tool = text_in(fields, "tool");
+  server.model = model_name(string_field(fields, "model"));
+  server.tool = string_field(fields, "tool");
   server.address = *address;
-  server.zone = availability_zone(text_in(fields, "availability_zone"));
-  server.leaving = text_in(fields, "state") == "leaving";
-  server.checks_fencing = flag_in(fields, "checks_fencing");
+  server.zone = availability_zone(string_field(fields, "availability_zone"));
+  server.leaving = string_field(fields, "state") == "leaving";
+  server.checks_fencing = bool_field(fields, "checks_fencing");
   return server;
 }
 
@@ -81,7 +81,7 @@
   const std::lock_guard lock(this->mutex);
   backend_server* best = nullptr;
   for (auto& [id, server] : this->servers) {
-    if (!fits(server, need, except, now)) {
+    if (!matches(server, need, except, now)) {
       continue;
     }
     if (best == nullptr || server.outstanding < best->outstanding) {
@@ -104,10 +104,10 @@
   }
   backend_server& server = found->second;
   --server.outstanding;
-  const bool good = result.outcome == backend_result::kind::finished;
-  server.failures = good ? 0 : server.failures + 1;
+  const bool succeeded = result.outcome == backend_result::kind::finished;
+  server.failures = succeeded ? 0 : server.failures + 1;
   if (server.failures >= failures_to_exclude) {
-    server.excluded_until = now + exclusion;
+    server.excluded_until = now + exclusion_time;
     log(event::backend_excluded, {{"server", id.get()}, {"detail", result.detail}});
   }
 }
--- a/libs/node/src/call_runner.cc
+++ b/libs/node/src/call_runner.cc
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr std::size_t most_servers_per_call = 3;
+constexpr std::size_t max_servers_per_call = 3;
 constexpr int release_attempts = 20;
-constexpr auto release_wait = std::chrono::milliseconds(500);
+constexpr auto release_retry_interval = std::chrono::milliseconds(500);
 
 call_result to_call_result(const prepared_call& call, const backend_result& result) {
   call_result ended;
@@ -148,16 +148,16 @@
 void call_runner::tick() {
   const timestamp now = this->time.now();
   this->queue.tick(now);
-  std::vector<call_id> late;
+  std::vector<call_id> expired;
   {
     const std::lock_guard lock(this->mutex);
     for (const auto& [id, call] : this->prepared) {
       if (!call->server && now - call->arrived > call->deadline) {
-        late.push_back(id);
+        expired.push_back(id);
       }
     }
   }
-  for (const call_id id : late) {
+  for (const call_id id : expired) {
     this->give_up(id);
   }
 }
@@ -189,8 +189,8 @@
   }
 }
 
-void call_runner::note_result(const prepared_call& call, const backend_result& result) {
-  const bool good = result.outcome == backend_result::kind::finished;
+void call_runner::record_result(const prepared_call& call, const backend_result& result) {
+  const bool succeeded = result.outcome == backend_result::kind::finished;
   {
     const std::lock_guard lock(this->mutex);
     const auto program = this->programs.find(call.request.program);
@@ -203,7 +203,7 @@
   }
   schedule_outcome outcome;
   outcome.id = waiting_id(call.request.call.get());
-  outcome.failed = !good;
+  outcome.failed = !succeeded;
   outcome.sample.prefilled = result.prompt_tokens - result.cached_tokens;
   outcome.sample.answered = result.answer_tokens;
   outcome.sample.first_token = result.first_token;
@@ -225,19 +225,19 @@
     timer.expires_after(order.not_before - this->time.now());
     co_await timer.async_wait(asio::use_awaitable);
   }
-  bool go = false;
+  bool allowed = false;
   this->shards.change(call->shard, [&](shard_core& core) {
     actions out;
-    go = core.may_send(order.call, this->time.now(), out);
+    allowed = core.may_send(order.call, this->time.now(), out);
     return out;
   });
-  if (!go) {
+  if (!allowed) {
     co_return;
   }
   ++this->active;
   const backend_result result = co_await this->try_servers(*call);
   --this->active;
-  this->note_result(*call, result);
+  this->record_result(*call, result);
   {
     const std::lock_guard lock(this->mutex);
     this->prepared.erase(order.call);
@@ -259,10 +259,10 @@
     const backend_result result = co_await this->send_once(call);
     this->backends.release_server(call.server->id, result, this->time.now());
     tried.push_back(call.server->id);
-    const bool untouched = result.outcome == backend_result::kind::never_started;
-    const bool silent = result.outcome == backend_result::kind::broken && result.answer.empty();
-    const bool again = untouched || (silent && call.request.repeatable);
-    if (!again || tried.size() >= most_servers_per_call || !this->may_retry()) {
+    const bool not_started = result.outcome == backend_result::kind::never_started;
+    const bool no_output = result.outcome == backend_result::kind::broken && result.answer.empty();
+    const bool retryable = not_started || (no_output && call.request.repeatable);
+    if (!retryable || tried.size() >= max_servers_per_call || !this->may_retry()) {
       co_return result;
     }
     log(event::backend_failed, {{"server", call.server->id.get()}, {"detail", result.detail}});
@@ -315,7 +315,7 @@
       co_return;
     }
     log(event::cache_release_retried, {{"server", server.id.get()}, {"program", program.get()}});
-    timer.expires_after(release_wait * (attempt + 1));
+    timer.expires_after(release_retry_interval * (attempt + 1));
     co_await timer.async_wait(asio::use_awaitable);
   }
 }
--- a/libs/node/src/document_registry.cc
+++ b/libs/node/src/document_registry.cc
@@ -32,7 +32,7 @@
                                       {"at_ms", document.at_ms}});
 }
 
-std::optional<stored_document> stored_from(const std::string& value) {
+std::optional<stored_document> parse_stored_document(const std::string& value) {
   try {
     const json::value parsed = json::parse(value);
     const json::object& fields = parsed.as_object();
@@ -86,7 +86,7 @@
   if (!object.key.starts_with(key_prefix)) {
     return;
   }
-  if (const auto document = stored_from(object.value)) {
+  if (const auto document = parse_stored_document(object.value)) {
     this->offer(service_name(object.key.substr(key_prefix.size())), document->at, document->text);
   }
 }
@@ -118,8 +118,8 @@
 std::vector<document_copy> document_registry::newer_than(
     const std::vector<document_generation>& theirs) const {
   std::map<service_name, generation> known;
-  for (const document_generation& mark : theirs) {
-    known[mark.service] = mark.at;
+  for (const document_generation& item : theirs) {
+    known[item.service] = item.at;
   }
   const std::lock_guard lock(this->mutex);
   std::vector<document_copy> copies;
@@ -232,7 +232,7 @@
       checked.detail = reason.detail;
       continue;
     }
-    const auto stored = stored_from(object->value);
+    const auto stored = parse_stored_document(object->value);
     const generation at = stored ? stored->at : generation(0);
     if (stored && stored->change_id == change_id) {
       // An earlier attempt took effect; only its response was lost.
--- a/libs/node/src/front_answers.cc
+++ b/libs/node/src/front_answers.cc
@@ -73,11 +73,11 @@
 http::response to_response(const call_answer& answer) {
   constexpr int good_status = 200;
   const int status = answer.error ? answer_for(*answer.error).http_status : good_status;
-  http::response made = json_response(to_json(answer), status);
+  http::response http_response = json_response(to_json(answer), status);
   if (answer.error && answer_for(*answer.error).retry_later) {
-    made.headers.push_back({"Retry-After", "1"});
+    http_response.headers.push_back({"Retry-After", "1"});
   }
-  return made;
+  return http_response;
 }
 
 std::string server_sent_event(std::string_view name, const json::object& data) {
--- a/libs/node/src/front_calls.cc
+++ b/libs/node/src/front_calls.cc
@@ -29,9 +29,9 @@
 namespace {
 
 constexpr std::int64_t bytes_per_token = 4;
-constexpr duration model_silence = std::chrono::seconds(60);
+constexpr duration max_model_silence = std::chrono::seconds(60);
 
-std::optional<call_fields> read_call(const std::string& text, std::string& problem) {
+std::optional<call_fields> parse_call(const std::string& text, std::string& problem) {
   boost::system::error_code error;
   const json::value parsed = json::parse(text, error);
   const json::object* object = error ? nullptr : parsed.if_object();
@@ -97,7 +97,7 @@
                                                       const std::string& new_messages) {
   json::array conversation;
   bool known = false;
-  this->parts.shards.read(*shard_of(program), [&](const shard_core& core) {
+  this->dependencies.shards.read(*shard_of(program), [&](const shard_core& core) {
     const program_state* state = core.find_program(program);
     known = state != nullptr;
     if (known) {
@@ -126,8 +126,9 @@
     reason = {error_kind::bad_request, "'messages' is missing or empty"};
     return false;
   }
-  const std::int64_t asked = fields.max_tokens.value_or(document.max_answer_tokens.get());
-  if (asked < 1 || asked > document.max_answer_tokens.get()) {
+  const std::int64_t requested_tokens =
+      fields.max_tokens.value_or(document.max_answer_tokens.get());
+  if (requested_tokens < 1 || requested_tokens > document.max_answer_tokens.get()) {
     reason = {error_kind::bad_request,
               fmt::format("'max_tokens' is outside 1 to {}", document.max_answer_tokens.get())};
     return false;
@@ -145,9 +146,9 @@
   const auto whole = static_cast<std::int64_t>(messages->size()) / bytes_per_token + 1;
   call.history = token_count(std::max<std::int64_t>(0, whole - call.prompt_growth.get()));
   call.call.messages = *messages;
-  call.call.max_tokens = token_count(asked);
+  call.call.max_tokens = token_count(requested_tokens);
   call.call.model = document.model;
-  call.call.response_timeout = std::min(document.call_deadline, model_silence);
+  call.call.response_timeout = std::min(document.call_deadline, max_model_silence);
   call.need.model = document.model;
   call.request.repeatable = true;
   call.request.reserved = call.prompt_growth + call.call.max_tokens;
@@ -166,11 +167,11 @@
               "'path' does not begin with '/' or contains spaces or line breaks"};
     return false;
   }
-  json::object described;
-  described["tool"] = fields.tool;
-  described["path"] = fields.path;
-  described["body"] = fields.body;
-  call.history_request = json::serialize(described);
+  json::object description;
+  description["tool"] = fields.tool;
+  description["path"] = fields.path;
+  description["body"] = fields.body;
+  call.history_request = json::serialize(description);
   call.call.path = fields.path;
   call.call.body = json::serialize(fields.body);
   call.call.response_timeout = tool->timeout;
@@ -180,12 +181,12 @@
   return true;
 }
 
-std::optional<prepared_call> front_routes::prepare(const http::request& ask,
+std::optional<prepared_call> front_routes::prepare(const http::request& http_request,
                                                    const caller_identity& caller,
                                                    const program_id& program, bool& stream,
                                                    failure& reason) {
   std::string problem;
-  const auto fields = read_call(ask.body, problem);
+  const auto fields = parse_call(http_request.body, problem);
   const auto presented = fields ? ticket_from_string(fields->ticket_text) : std::nullopt;
   if (!fields) {
     reason = {error_kind::bad_request, problem};
@@ -195,7 +196,7 @@
     reason = {error_kind::wrong_ticket, "'ticket' is malformed or belongs to another shard"};
     return std::nullopt;
   }
-  const auto document = this->parts.documents.find(caller.service);
+  const auto document = this->dependencies.documents.find(caller.service);
   if (!document) {
     reason = {error_kind::not_permitted, "the service has no document"};
     return std::nullopt;
@@ -206,7 +207,7 @@
   call.request.program = program;
   call.request.account = caller.account;
   call.request.presented = *presented;
-  call.request.wall_clock_ms = this->parts.time.wall_clock_ms();
+  call.request.wall_clock_ms = this->dependencies.time.wall_clock_ms();
   if (fields->digest) {
     call.request.known_digest = from_hex(*fields->digest);
     if (!call.request.known_digest) {
@@ -216,10 +217,10 @@
   }
   call.call.program = program;
   call.call.request_id = to_string(*presented);
-  const bool good = fields->tool.empty()
-                        ? this->prepare_model_call(*document, call, *fields, reason)
-                        : this->prepare_tool_call(*document, call, *fields, reason);
-  if (!good) {
+  const bool valid = fields->tool.empty()
+                         ? this->prepare_model_call(*document, call, *fields, reason)
+                         : this->prepare_tool_call(*document, call, *fields, reason);
+  if (!valid) {
     return std::nullopt;
   }
   call.deadline = document->call_deadline;
@@ -227,7 +228,7 @@
   return call;
 }
 
-asio::awaitable<void> front_routes::call(const http::request& ask, http::exchange& reply,
+asio::awaitable<void> front_routes::call(const http::request& http_request, http::exchange& reply,
                                          const caller_identity& caller, const program_id& program) {
   if (!this->read_program(program, caller, [](const auto&, const auto&) {})) {
     http::response refusal = error_response(error_kind::program_unknown, program.get());
@@ -236,7 +237,7 @@
   }
   failure reason;
   bool stream = false;
-  auto prepared = this->prepare(ask, caller, program, stream, reason);
+  auto prepared = this->prepare(http_request, caller, program, stream, reason);
   if (!prepared) {
     http::response refusal = error_response(reason.kind, reason.detail);
     co_await reply.respond(std::move(refusal));
@@ -244,32 +245,32 @@
   }
   const shard_id shard = prepared->shard;
   const call_request request = prepared->request;
-  std::optional<call_answer> early;
-  this->parts.shards.change(shard, [&](shard_core& core) {
-    early = core.check_call(request, this->parts.time.random());
+  std::optional<call_answer> immediate_answer;
+  this->dependencies.shards.change(shard, [&](shard_core& core) {
+    immediate_answer = core.check_call(request, this->dependencies.time.random());
     return actions{};
   });
-  if (early) {
-    http::response answer = to_response(*early);
+  if (immediate_answer) {
+    http::response answer = to_response(*immediate_answer);
     co_await reply.respond(std::move(answer));
     co_return;
   }
-  if (const auto refused = this->parts.runner.refusal(*prepared)) {
+  if (const auto refused = this->dependencies.runner.refusal(*prepared)) {
     call_answer refusal;
-    this->parts.shards.change(shard, [&](shard_core& core) {
-      refusal =
-          core.refuse_call(request, refused->kind, refused->detail, this->parts.time.random());
+    this->dependencies.shards.change(shard, [&](shard_core& core) {
+      refusal = core.refuse_call(request, refused->kind, refused->detail,
+                                 this->dependencies.time.random());
       return actions{};
     });
     http::response answer = to_response(refusal);
     co_await reply.respond(std::move(answer));
     co_return;
   }
-  const call_table::entry entry = this->parts.calls.add(co_await asio::this_coro::executor);
+  const call_table::entry entry = this->dependencies.calls.add(co_await asio::this_coro::executor);
   prepared->request.call = entry.id;
-  this->parts.runner.enqueue(std::move(*prepared));
+  this->dependencies.runner.enqueue(std::move(*prepared));
   co_await this->relay(reply, *entry.channel, stream);
-  this->parts.calls.remove(entry.id);
+  this->dependencies.calls.remove(entry.id);
 }
 
 asio::awaitable<void> front_routes::relay(http::exchange& reply, call_channel& channel,
--- a/libs/node/src/front_routes.cc
+++ b/libs/node/src/front_routes.cc
@@ -37,67 +37,69 @@
 
 }  // namespace
 
-std::string credential_of(const http::request& ask) {
-  const std::string value = ask.find_header("authorization").value_or("");
+std::string credential_of(const http::request& http_request) {
+  const std::string value = http_request.find_header("authorization").value_or("");
   constexpr std::string_view scheme = "Bearer ";
   return value.starts_with(scheme) ? value.substr(scheme.size()) : std::string{};
 }
 
-front_routes::front_routes(front_dependencies reached) : parts(std::move(reached)) {}
+front_routes::front_routes(front_dependencies given) : dependencies(std::move(given)) {}
 
 bool front_routes::handles_path(const std::string& path) {
   return path == "/v1/addresses" || path.starts_with(programs_path);
 }
 
-asio::awaitable<void> front_routes::handle(const http::request& ask, http::exchange& reply,
+asio::awaitable<void> front_routes::handle(const http::request& http_request, http::exchange& reply,
                                            bool forwarded) {
-  if (ask.path == "/v1/addresses") {
-    co_await this->addresses(ask, reply);
+  if (http_request.path == "/v1/addresses") {
+    co_await this->addresses(http_request, reply);
     co_return;
   }
-  const auto caller = this->parts.documents.identify(credential_of(ask));
+  const auto caller = this->dependencies.documents.identify(credential_of(http_request));
   if (!caller) {
-    const error_kind kind =
-        this->parts.documents.ready() ? error_kind::not_authenticated : error_kind::not_ready;
+    const error_kind kind = this->dependencies.documents.ready() ? error_kind::not_authenticated
+                                                                 : error_kind::not_ready;
     http::response refusal = error_response(kind, "");
     co_await reply.respond(std::move(refusal));
     co_return;
   }
-  if (ask.path == programs_path && ask.method == "POST") {
+  if (http_request.path == programs_path && http_request.method == "POST") {
     co_await this->open(reply, *caller);
     co_return;
   }
-  if (ask.path.starts_with(programs_path + "/")) {
-    co_await this->route_program(ask, reply, *caller, forwarded);
+  if (http_request.path.starts_with(programs_path + "/")) {
+    co_await this->route_program(http_request, reply, *caller, forwarded);
     co_return;
   }
-  http::response refusal = error_response(error_kind::not_found, ask.path);
+  http::response refusal = error_response(error_kind::not_found, http_request.path);
   co_await reply.respond(std::move(refusal));
 }
 
 std::optional<member> front_routes::owner_of(shard_id shard) {
   std::optional<host_incarnation> owner;
-  this->parts.shards.read(shard, [&owner](const shard_core& core) {
+  this->dependencies.shards.read(shard, [&owner](const shard_core& core) {
     if (core.known_assignment().at > epoch(0)) {
       owner = core.known_assignment().owner;
     }
   });
-  return owner ? this->parts.hosts.find_live(*owner) : std::nullopt;
+  return owner ? this->dependencies.hosts.find_live(*owner) : std::nullopt;
 }
 
-asio::awaitable<void> front_routes::route_program(const http::request& ask, http::exchange& reply,
+asio::awaitable<void> front_routes::route_program(const http::request& http_request,
+                                                  http::exchange& reply,
                                                   const caller_identity& caller, bool forwarded) {
-  const program_path path = split_program_path(ask.path);
+  const program_path path = split_program_path(http_request.path);
   const auto shard = shard_of(path.program);
-  if (!shard || !this->parts.shards.has(*shard)) {
+  if (!shard || !this->dependencies.shards.has(*shard)) {
     http::response refusal = error_response(error_kind::program_unknown, path.program.get());
     co_await reply.respond(std::move(refusal));
     co_return;
   }
   bool serving = false;
-  this->parts.shards.read(*shard, [&serving](const shard_core& core) { serving = core.serving(); });
+  this->dependencies.shards.read(*shard,
+                                 [&serving](const shard_core& core) { serving = core.serving(); });
   if (!serving && !forwarded) {
-    co_await this->pass_on(ask, reply, *shard);
+    co_await this->forward_to_owner(http_request, reply, *shard);
     co_return;
   }
   if (!serving) {
@@ -106,59 +108,62 @@
     co_return;
   }
   const std::string calls_path = "/calls";
-  if (path.rest == calls_path && ask.method == "POST") {
-    co_await this->call(ask, reply, caller, path.program);
-  } else if (path.rest.starts_with(calls_path + "/") && ask.method == "GET") {
+  if (path.rest == calls_path && http_request.method == "POST") {
+    co_await this->call(http_request, reply, caller, path.program);
+  } else if (path.rest.starts_with(calls_path + "/") && http_request.method == "GET") {
     co_await this->fetch(reply, caller, path.program, path.rest.substr(calls_path.size() + 1));
-  } else if (path.rest.empty() && ask.method == "DELETE") {
+  } else if (path.rest.empty() && http_request.method == "DELETE") {
     co_await this->close(reply, caller, path.program);
-  } else if (path.rest.empty() && ask.method == "GET") {
+  } else if (path.rest.empty() && http_request.method == "GET") {
     co_await this->show(reply, caller, path.program);
   } else {
-    http::response refusal = error_response(error_kind::not_found, ask.method + " " + ask.path);
+    http::response refusal =
+        error_response(error_kind::not_found, http_request.method + " " + http_request.path);
     co_await reply.respond(std::move(refusal));
   }
 }
 
-asio::awaitable<void> front_routes::addresses(const http::request& ask, http::exchange& reply) {
+asio::awaitable<void> front_routes::addresses(const http::request& http_request,
+                                              http::exchange& reply) {
   json::array rows;
-  std::vector<host_id> named;
+  std::vector<host_id> listed_hosts;
   const auto add = [&](const std::optional<member>& host, std::string_view why) {
-    if (!host || std::find(named.begin(), named.end(), host->id.host) != named.end()) {
+    if (!host ||
+        std::find(listed_hosts.begin(), listed_hosts.end(), host->id.host) != listed_hosts.end()) {
       return;
     }
-    named.push_back(host->id.host);
+    listed_hosts.push_back(host->id.host);
     rows.push_back(address_row(*host, why));
   };
   std::uint64_t map_epoch = 0;
-  const auto program = ask.find_query("program");
+  const auto program = http_request.find_query("program");
   const auto shard = program ? shard_of(program_id(*program)) : std::nullopt;
-  if (shard && this->parts.shards.has(*shard)) {
+  if (shard && this->dependencies.shards.has(*shard)) {
     assignment entry;
-    this->parts.shards.read(*shard,
-                            [&entry](const shard_core& core) { entry = core.known_assignment(); });
+    this->dependencies.shards.read(
+        *shard, [&entry](const shard_core& core) { entry = core.known_assignment(); });
     map_epoch = entry.at.get();
-    add(this->parts.hosts.find_live(entry.owner), "owner");
+    add(this->dependencies.hosts.find_live(entry.owner), "owner");
     for (const host_incarnation& replica : entry.replicas) {
-      add(this->parts.hosts.find_live(replica), "replica");
+      add(this->dependencies.hosts.find_live(replica), "replica");
     }
   }
-  std::vector<member> usable = this->parts.hosts.usable();
+  std::vector<member> usable = this->dependencies.hosts.usable();
   if (!usable.empty()) {
     // Spreads callers that ask without a program evenly over the hosts.
-    std::rotate(
-        usable.begin(),
-        usable.begin() + static_cast<std::ptrdiff_t>(this->parts.time.random() % usable.size()),
-        usable.end());
+    std::rotate(usable.begin(),
+                usable.begin() +
+                    static_cast<std::ptrdiff_t>(this->dependencies.time.random() % usable.size()),
+                usable.end());
   }
-  const std::string zone = ask.find_query("availability_zone").value_or("");
+  const std::string zone = http_request.find_query("availability_zone").value_or("");
   std::stable_partition(usable.begin(), usable.end(),
                         [&zone](const member& host) { return host.zone.get() == zone; });
   for (const member& host : usable) {
     add(host, host.zone.get() == zone ? "same zone" : "live");
   }
   const auto keep_seconds =
-      std::chrono::duration_cast<std::chrono::seconds>(this->parts.address_time).count();
+      std::chrono::duration_cast<std::chrono::seconds>(this->dependencies.address_time).count();
   json::object body;
   body["addresses"] = rows;
   body["keep_seconds"] = keep_seconds;
@@ -167,13 +172,13 @@
   co_await reply.respond(std::move(answer));
 }
 
-std::optional<shard_id> front_routes::own_shard() {
-  const std::uint32_t count = this->parts.shards.size();
-  const std::uint64_t start = this->parts.time.random();
+std::optional<shard_id> front_routes::pick_local_shard() {
+  const std::uint32_t count = this->dependencies.shards.size();
+  const std::uint64_t start = this->dependencies.time.random();
   for (std::uint32_t step = 0; step < count; ++step) {
     const shard_id shard(static_cast<std::uint32_t>((start + step) % count));
     bool usable = false;
-    this->parts.shards.read(shard, [&usable](const shard_core& core) {
+    this->dependencies.shards.read(shard, [&usable](const shard_core& core) {
       usable = core.serving() && core.in_sync_replicas() > 0;
     });
     if (usable) {
@@ -184,17 +189,17 @@
 }
 
 asio::awaitable<void> front_routes::open(http::exchange& reply, const caller_identity& caller) {
-  const auto document = this->parts.documents.find(caller.service);
-  const auto shard = this->own_shard();
-  if (!this->parts.accepting() || !shard || !document) {
+  const auto document = this->dependencies.documents.find(caller.service);
+  const auto shard = this->pick_local_shard();
+  if (!this->dependencies.accepting() || !shard || !document) {
     const error_kind kind =
-        this->parts.accepting() ? error_kind::not_ready : error_kind::host_leaving;
+        this->dependencies.accepting() ? error_kind::not_ready : error_kind::host_leaving;
     http::response refusal = error_response(kind, "no shard of this host can accept a program");
     co_await reply.respond(std::move(refusal));
     co_return;
   }
   program_opened opened;
-  opened.program = make_program_id(*shard, this->parts.time.random());
+  opened.program = make_program_id(*shard, this->dependencies.time.random());
   opened.account = caller.account;
   opened.service = caller.service;
   opened.limits.tokens = document->budget_tokens;
@@ -202,10 +207,11 @@
   opened.limits.tool_calls = static_cast<std::uint32_t>(document->budget_tool_calls);
   opened.limits.wall_time_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(document->budget_wall_time).count();
-  opened.opened_at_ms = this->parts.time.wall_clock_ms();
-  const call_table::entry entry = this->parts.calls.add(co_await asio::this_coro::executor);
-  this->parts.shards.change(*shard, [&](shard_core& core) {
-    return core.open_program(entry.id, opened, this->parts.time.random(), this->parts.time.now());
+  opened.opened_at_ms = this->dependencies.time.wall_clock_ms();
+  const call_table::entry entry = this->dependencies.calls.add(co_await asio::this_coro::executor);
+  this->dependencies.shards.change(*shard, [&](shard_core& core) {
+    return core.open_program(entry.id, opened, this->dependencies.time.random(),
+                             this->dependencies.time.now());
   });
   boost::system::error_code error;
   const call_event event =
@@ -224,7 +230,7 @@
     const std::function<void(const shard_core&, const program_state&)>& read) {
   const auto shard = shard_of(program);
   bool known = false;
-  this->parts.shards.read(*shard, [&](const shard_core& core) {
+  this->dependencies.shards.read(*shard, [&](const shard_core& core) {
     const program_state* state = core.find_program(program);
     known = core.serving() && state != nullptr && state->opened.account == caller.account &&
             state->opened.service == caller.service;
@@ -242,9 +248,9 @@
     co_await reply.respond(std::move(refusal));
     co_return;
   }
-  const call_table::entry entry = this->parts.calls.add(co_await asio::this_coro::executor);
-  this->parts.shards.change(*shard_of(program), [&](shard_core& core) {
-    return core.close_program(entry.id, program, this->parts.time.now());
+  const call_table::entry entry = this->dependencies.calls.add(co_await asio::this_coro::executor);
+  this->dependencies.shards.change(*shard_of(program), [&](shard_core& core) {
+    return core.close_program(entry.id, program, this->dependencies.time.now());
   });
   co_await this->relay(reply, *entry.channel, false);
 }
@@ -273,29 +279,29 @@
 asio::awaitable<void> front_routes::fetch(http::exchange& reply, const caller_identity& caller,
                                           const program_id& program,
                                           const std::string& ticket_text) {
-  const auto asked = ticket_from_string(ticket_text);
+  const auto ticket = ticket_from_string(ticket_text);
   http::response answer = error_response(error_kind::program_unknown, program.get());
-  const auto look_up = [&](const shard_core&, const program_state& state) {
-    if (!asked) {
+  const auto find_answer = [&](const shard_core&, const program_state& state) {
+    if (!ticket) {
       answer = error_response(error_kind::wrong_ticket, "the ticket is malformed");
       return;
     }
-    if (const finished_turn* turn = state.find_finished(*asked)) {
+    if (const finished_turn* turn = state.find_finished(*ticket)) {
       call_answer kept;
       kept.turn = *turn;
       kept.replayed = true;
       answer = to_response(kept);
       return;
     }
-    if (state.open_intent && state.open_intent->call_ticket == *asked) {
+    if (state.open_intent && state.open_intent->call_ticket == *ticket) {
       answer = error_response(error_kind::turn_in_progress, "");
       return;
     }
-    const bool abandoned = state.find_abandoned(*asked) != nullptr;
+    const bool abandoned = state.find_abandoned(*ticket) != nullptr;
     answer = error_response(abandoned ? error_kind::may_have_run : error_kind::not_found,
                             "no answer is kept for that ticket");
   };
-  this->read_program(program, caller, look_up);
+  this->read_program(program, caller, find_answer);
   co_await reply.respond(std::move(answer));
 }
 
--- a/libs/node/src/model_queue.cc
+++ b/libs/node/src/model_queue.cc
@@ -3,7 +3,7 @@
 
 namespace hawthornlane {
 
-scheduler& model_queue::of(const model_name& model) {
+scheduler& model_queue::scheduler_for(const model_name& model) {
   std::unique_ptr<scheduler>& found = this->schedulers[model];
   if (!found) {
     found = std::make_unique<scheduler>(window_limits{}, scheduler_settings{}, policy_features{});
@@ -18,12 +18,12 @@
 }
 
 void model_queue::server_listed(const model_name& model, const backend_server_id& server,
-                                bool there, timestamp now) {
+                                bool present, timestamp now) {
   std::vector<schedule_decision> decisions;
   {
     const std::lock_guard lock(this->mutex);
-    scheduler& pool = this->of(model);
-    if (there) {
+    scheduler& pool = this->scheduler_for(model);
+    if (present) {
       pool.add_server(server, now);
       decisions = pool.tick(now);
     } else {
@@ -37,7 +37,7 @@
   std::vector<schedule_decision> decisions;
   {
     const std::lock_guard lock(this->mutex);
-    decisions = this->of(model).submit(request, now);
+    decisions = this->scheduler_for(model).submit(request, now);
   }
   this->carry_out(decisions);
 }
@@ -46,7 +46,7 @@
   std::vector<schedule_decision> decisions;
   {
     const std::lock_guard lock(this->mutex);
-    decisions = this->of(model).cancel(id, now);
+    decisions = this->scheduler_for(model).cancel(id, now);
   }
   this->carry_out(decisions);
 }
@@ -56,14 +56,14 @@
   std::vector<schedule_decision> decisions;
   {
     const std::lock_guard lock(this->mutex);
-    decisions = this->of(model).finished(outcome, now);
+    decisions = this->scheduler_for(model).finished(outcome, now);
   }
   this->carry_out(decisions);
 }
 
 void model_queue::first_token(const model_name& model, waiting_id id) {
   const std::lock_guard lock(this->mutex);
-  this->of(model).first_token(id);
+  this->scheduler_for(model).first_token(id);
 }
 
 std::optional<backend_server_id> model_queue::forget(const program_id& program) {
--- a/libs/node/src/node.cc
+++ b/libs/node/src/node.cc
@@ -17,23 +17,23 @@
 
 namespace {
 
-constexpr duration shard_tick = std::chrono::milliseconds(100);
-constexpr duration duty_period = std::chrono::milliseconds(400);
-constexpr duration idle_check = std::chrono::seconds(1);
-constexpr duration leave_check = std::chrono::milliseconds(200);
-constexpr duration longest_leave = std::chrono::minutes(10);
+constexpr duration shard_tick_interval = std::chrono::milliseconds(100);
+constexpr duration ownership_interval = std::chrono::milliseconds(400);
+constexpr duration idle_check_interval = std::chrono::seconds(1);
+constexpr duration shutdown_check_interval = std::chrono::milliseconds(200);
+constexpr duration max_shutdown_time = std::chrono::minutes(10);
 /// When every host of the region shuts down, no host is left to hand shards to.
-constexpr duration longest_without_successor = std::chrono::seconds(2);
-constexpr std::size_t moves_per_round = 4;
-constexpr std::size_t rounds_per_move = 5;
+constexpr duration max_wait_for_successor = std::chrono::seconds(2);
+constexpr std::size_t max_moves_per_round = 4;
+constexpr std::size_t rounds_per_rebalance = 5;
 
-std::uint64_t start_number() {
+std::uint64_t make_incarnation_number() {
   const auto since = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(since).count());
 }
 
-membership_times probing(const node_settings& settings) {
+membership_times membership_times_from(const node_settings& settings) {
   membership_times times;
   times.suspicion = settings.suspicion;
   return times;
@@ -82,7 +82,7 @@
 node::node(asio::io_context& context, node_settings given, std::function<void()> stopped_hook)
     : settings(std::move(given)),
       time(context),
-      self{this->settings.host, incarnation(start_number())},
+      self{this->settings.host, incarnation(make_incarnation_number())},
       platform(this->settings.platform),
       shards(this->settings.shards, this->self, ownership_times{}),
       documents(this->time, this->platform, this->audit, this->settings.host.get()),
@@ -96,24 +96,24 @@
       context, this->settings.listen, limits,
       [this](const http::request& ask, http::exchange& reply) { return this->serve(ask, reply); },
       [](error_kind kind, std::string_view detail) { return error_response(kind, detail); });
-  member own;
-  own.id = this->self;
-  own.zone = this->settings.zone;
-  own.front_address = http::to_string(this->server->where());
-  own.peer_address = this->peers->where();
-  this->hosts = std::make_unique<host_view>(own, probing(this->settings));
+  member self_member;
+  self_member.id = this->self;
+  self_member.zone = this->settings.zone;
+  self_member.front_address = http::to_string(this->server->where());
+  self_member.peer_address = this->peers->where();
+  this->hosts = std::make_unique<host_view>(self_member, membership_times_from(this->settings));
   this->runner =
       std::make_unique<call_runner>(this->time, this->shards, this->backends, this->calls);
-  this->duty = std::make_unique<ownership_manager>(this->time, this->shards, *this->hosts,
-                                                   this->settings.replicas);
+  this->ownership = std::make_unique<ownership_manager>(this->time, this->shards, *this->hosts,
+                                                        this->settings.replicas);
   this->connect_hooks();
   this->peers->set_self(this->self);
-  this->follow_platform();
+  this->start_platform_tasks();
   asio::co_spawn(asio::make_strand(context), this->probe_hosts(), asio::detached);
   asio::co_spawn(asio::make_strand(context), this->maintain_shards(), asio::detached);
   asio::co_spawn(asio::make_strand(context), this->end_idle_programs(), asio::detached);
-  log(event::started, {{"front", own.front_address},
-                       {"peer", own.peer_address},
+  log(event::started, {{"front", self_member.front_address},
+                       {"peer", self_member.peer_address},
                        {"incarnation", std::to_string(this->self.start.get())}});
 }
 
@@ -138,7 +138,7 @@
     this->shards.change(
         shard, [&](shard_core& core) { return core.receive(from, message, this->time.now()); });
   };
-  handlers.on_probe = [this](const probe_message& message) { this->take_probe(message); };
+  handlers.on_probe = [this](const probe_message& message) { this->handle_probe(message); };
   handlers.on_forward = [this](const forwarded_request& request, const forward_reply& reply) {
     asio::co_spawn(asio::make_strand(this->time.context), this->serve_forwarded(request, reply),
                    asio::detached);
@@ -184,33 +184,33 @@
         });
       });
 
-  front_dependencies parts{this->time,
-                           this->shards,
-                           *this->hosts,
-                           this->documents,
-                           *this->runner,
-                           this->calls,
-                           this->settings.address_time,
-                           {},
-                           {}};
-  parts.forward = [this](const std::string& address, const forwarded_request& request,
-                         forward_reply reply) {
+  front_dependencies dependencies{this->time,
+                                  this->shards,
+                                  *this->hosts,
+                                  this->documents,
+                                  *this->runner,
+                                  this->calls,
+                                  this->settings.address_time,
+                                  {},
+                                  {}};
+  dependencies.forward = [this](const std::string& address, const forwarded_request& request,
+                                forward_reply reply) {
     constexpr duration limit = std::chrono::minutes(30);
     this->peers->forward(address, request, limit, std::move(reply));
   };
-  parts.accepting = [this] { return !this->leaving && this->ready(); };
-  this->front = std::make_unique<front_routes>(std::move(parts));
-  admin_dependencies for_operators{this->time,
-                                   this->shards,
-                                   *this->hosts,
-                                   this->documents,
-                                   this->backends,
-                                   this->audit,
-                                   this->platform,
-                                   this->settings.operator_credential,
-                                   {}};
-  for_operators.drain = [this](const std::string& who) { this->stop(who); };
-  this->admin = std::make_unique<admin_routes>(std::move(for_operators));
+  dependencies.accepting = [this] { return !this->leaving && this->ready(); };
+  this->front = std::make_unique<front_routes>(std::move(dependencies));
+  admin_dependencies operator_dependencies{this->time,
+                                           this->shards,
+                                           *this->hosts,
+                                           this->documents,
+                                           this->backends,
+                                           this->audit,
+                                           this->platform,
+                                           this->settings.operator_credential,
+                                           {}};
+  operator_dependencies.drain = [this](const std::string& who) { this->stop(who); };
+  this->admin = std::make_unique<admin_routes>(std::move(operator_dependencies));
 }
 
 asio::awaitable<void> node::serve(const http::request& ask, http::exchange& reply) {
@@ -257,7 +257,7 @@
   const auto add = [&text](std::string_view name, std::string_view type, auto value) {
     text += fmt::format("# TYPE hawthornlane_{0} {1}\nhawthornlane_{0} {2}\n", name, type, value);
   };
-  add("shards_owned", "gauge", this->duty->owned());
+  add("shards_owned", "gauge", this->ownership->owned());
   add("calls_open", "gauge", this->calls.size());
   add("calls_running", "gauge", this->runner->running());
   add("tokens_relayed_total", "counter", this->runner->tokens_relayed());
@@ -321,7 +321,7 @@
   }
 }
 
-void node::take_probe(const probe_message& message) {
+void node::handle_probe(const probe_message& message) {
   if (!this->hosts) {
     return;
   }
@@ -347,14 +347,14 @@
   }
 }
 
-void node::send_documents(const probe_message& asked) {
+void node::send_documents(const probe_message& document_request) {
   probe_message copies;
   copies.what = probe_message::kind::documents;
   copies.from = this->self;
   copies.reply_to = this->hosts->self().peer_address;
-  copies.documents = this->documents.newer_than(asked.document_generations);
+  copies.documents = this->documents.newer_than(document_request.document_generations);
   if (!copies.documents.empty()) {
-    this->peers->send_probe(asked.reply_to, copies);
+    this->peers->send_probe(document_request.reply_to, copies);
   }
 }
 
@@ -370,12 +370,12 @@
     this->hosts->set_documents(this->documents.digest(), this->documents.ready());
     this->carry_out(this->hosts->tick(this->time.now(), this->time.random()));
     if (this->hosts->all().size() == 1 && !this->settings.seeds.empty()) {
-      probe_message hello;
-      hello.from = this->self;
-      hello.reply_to = this->hosts->self().peer_address;
-      hello.updates = {this->hosts->self()};
+      probe_message initial_probe;
+      initial_probe.from = this->self;
+      initial_probe.reply_to = this->hosts->self().peer_address;
+      initial_probe.updates = {this->hosts->self()};
       this->peers->send_probe(this->settings.seeds[next_seed++ % this->settings.seeds.size()],
-                              hello);
+                              initial_probe);
     }
     co_await this->wait(membership_times{}.period);
   }
@@ -384,35 +384,35 @@
 // --- shards and programs -----------------------------------------------------
 
 asio::awaitable<void> node::maintain_shards() {
-  timestamp next_duty = this->time.now() + duty_period;
+  timestamp next_ownership_round = this->time.now() + ownership_interval;
   std::size_t round = 0;
   while (!this->stopped) {
-    this->duty->tick();
-    if (this->time.now() >= next_duty) {
-      next_duty = this->time.now() + duty_period;
+    this->ownership->tick();
+    if (this->time.now() >= next_ownership_round) {
+      next_ownership_round = this->time.now() + ownership_interval;
       if (this->map.has_read() && !this->leaving) {
-        this->duty->claim_orphans();
+        this->ownership->claim_orphans();
       }
-      this->duty->maintain_replicas();
-      if (++round % rounds_per_move == 0 && !this->leaving) {
-        this->duty->rebalance(moves_per_round);
+      this->ownership->maintain_replicas();
+      if (++round % rounds_per_rebalance == 0 && !this->leaving) {
+        this->ownership->rebalance(max_moves_per_round);
       }
     }
-    co_await this->wait(shard_tick);
+    co_await this->wait(shard_tick_interval);
   }
 }
 
 asio::awaitable<void> node::end_idle_programs() {
-  struct ending {
+  struct idle_program {
     program_id program;
     shard_id shard;
     bool closed = false;
   };
   while (!this->stopped) {
-    co_await this->wait(idle_check);
+    co_await this->wait(idle_check_interval);
     const timestamp now = this->time.now();
     this->runner->tick();
-    std::vector<ending> due;
+    std::vector<idle_program> due;
     std::map<program_id, std::pair<std::size_t, timestamp>> seen;
     this->shards.read_all([&](const shard_core& core) {
       if (!core.serving() || !core.log()) {
@@ -434,7 +434,7 @@
       }
     });
     this->activity = std::move(seen);
-    for (const ending& item : due) {
+    for (const idle_program& item : due) {
       this->shards.change(item.shard, [&](shard_core& core) {
         return item.closed ? core.remove_program(item.program, now)
                            : core.close_program(call_id(0), item.program, now);
@@ -459,35 +459,35 @@
 asio::awaitable<void> node::leave() {
   const timestamp began = this->time.now();
   timestamp successor_seen = began;
-  while (this->time.now() - began < longest_leave) {
-    const std::size_t owned = this->duty->hand_over_all();
+  while (this->time.now() - began < max_shutdown_time) {
+    const std::size_t owned = this->ownership->hand_over_all();
     if (!this->hosts->usable().empty()) {
       successor_seen = this->time.now();
     }
-    if (this->time.now() - successor_seen > longest_without_successor && this->calls.size() == 0) {
+    if (this->time.now() - successor_seen > max_wait_for_successor && this->calls.size() == 0) {
       log(event::stopped_with_shards, {{"shards", std::to_string(owned)}});
       break;
     }
     // An operator's request may still be in flight here; only callers' calls count.
-    const bool quiet = this->calls.size() == 0 && this->runner->running() == 0;
-    if (owned == 0 && quiet) {
+    const bool idle = this->calls.size() == 0 && this->runner->running() == 0;
+    if (owned == 0 && idle) {
       break;
     }
-    co_await this->wait(leave_check);
+    co_await this->wait(shutdown_check_interval);
   }
   // Callers may keep this host's address for `address_time`, so it answers them until then.
   const timestamp handed_over = this->time.now();
   while (this->time.now() - handed_over < this->settings.address_time || this->calls.size() > 0 ||
          this->server->active() > 0) {
-    if (this->time.now() - handed_over > longest_leave) {
+    if (this->time.now() - handed_over > max_shutdown_time) {
       break;
     }
-    co_await this->wait(leave_check);
+    co_await this->wait(shutdown_check_interval);
   }
   this->server->stop_accepting();
   while (!this->audit.unstored(1).empty() && this->platform.reachable() &&
-         this->time.now() - handed_over < longest_leave) {
-    co_await this->wait(leave_check);
+         this->time.now() - handed_over < max_shutdown_time) {
+    co_await this->wait(shutdown_check_interval);
   }
   this->stopped = true;
   log(event::stopped);
--- a/libs/node/src/node_platform.cc
+++ b/libs/node/src/node_platform.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr duration watch_retry = std::chrono::milliseconds(500);
-constexpr duration announce_period = std::chrono::milliseconds(400);
-constexpr duration audit_period = std::chrono::seconds(2);
+constexpr duration watch_retry_interval = std::chrono::milliseconds(500);
+constexpr duration announce_interval = std::chrono::milliseconds(400);
+constexpr duration audit_interval = std::chrono::seconds(2);
 constexpr std::size_t audit_batch = 200;
 
 const std::string hosts_prefix = "hosts/";
@@ -51,10 +51,10 @@
 
 }  // namespace
 
-void node::follow_platform() {
+void node::start_platform_tasks() {
   asio::io_context& context = this->time.context;
   for (const std::string& prefix : {hosts_prefix, documents_prefix, servers_prefix, map_prefix}) {
-    asio::co_spawn(asio::make_strand(context), this->follow(prefix), asio::detached);
+    asio::co_spawn(asio::make_strand(context), this->watch_prefix(prefix), asio::detached);
   }
   asio::co_spawn(asio::make_strand(context), this->announce(), asio::detached);
   asio::co_spawn(asio::make_strand(context), this->store_audit(), asio::detached);
@@ -77,7 +77,7 @@
         announced_leaving = now_leaving && written.outcome == write_result::kind::applied;
       }
     }
-    co_await this->wait(announce_period);
+    co_await this->wait(announce_interval);
   }
 }
 
@@ -97,7 +97,7 @@
   }
 }
 
-asio::awaitable<void> node::follow(std::string prefix) {
+asio::awaitable<void> node::watch_prefix(std::string prefix) {
   bool reachable = true;
   bool listed = false;
   std::uint64_t revision = 0;
@@ -117,7 +117,7 @@
       reachable = false;
       // Changes may have been missed, and a restored store restarts its revisions: list again.
       listed = false;
-      co_await this->wait(watch_retry);
+      co_await this->wait(watch_retry_interval);
       continue;
     }
     if (!reachable) {
@@ -142,7 +142,7 @@
 asio::awaitable<void> node::store_audit() {
   std::uint64_t sequence = 0;
   while (!this->stopped) {
-    co_await this->wait(audit_period);
+    co_await this->wait(audit_interval);
     const std::vector<audit_entry> batch = this->audit.unstored(audit_batch);
     if (batch.empty()) {
       continue;
--- a/libs/node/src/node_settings.cc
+++ b/libs/node/src/node_settings.cc
@@ -34,9 +34,9 @@
   };
 }
 
-void check_across(const checked_values& values, std::vector<ini_problem>& problems) {
-  constexpr std::size_t shortest_credential = 16;
-  if (values.text("operators", "credential").size() < shortest_credential) {
+void check_consistency(const checked_values& values, std::vector<ini_problem>& problems) {
+  constexpr std::size_t min_credential_length = 16;
+  if (values.text("operators", "credential").size() < min_credential_length) {
     problems.push_back({values.line_of("operators", "credential"),
                         "[operators] credential is shorter than 16 characters"});
   }
@@ -64,7 +64,7 @@
   std::vector<ini_problem> found;
   const checked_values values = check_ini(read_ini(text), node_schema(), found);
   if (found.empty()) {
-    check_across(values, found);
+    check_consistency(values, found);
   }
   if (!found.empty()) {
     problems.insert(problems.end(), found.begin(), found.end());
--- a/libs/node/src/ownership_manager.cc
+++ b/libs/node/src/ownership_manager.cc
@@ -6,10 +6,10 @@
 namespace hawthornlane {
 namespace {
 
-constexpr duration claim_stagger = std::chrono::milliseconds(800);
+constexpr duration claim_delay_step = std::chrono::milliseconds(800);
 /// A shard must be without an owner for this long before it is claimed, so that the map and
 /// the member list have arrived.
-constexpr duration settle_time = std::chrono::milliseconds(300);
+constexpr duration min_ownerless_time = std::chrono::milliseconds(300);
 
 bool same_set(std::vector<host_incarnation> a, std::vector<host_incarnation> b) {
   std::sort(a.begin(), a.end());
@@ -23,7 +23,7 @@
                                      std::size_t replica_count)
     : time(clock), shards(table), hosts(view), replicas(replica_count) {}
 
-std::vector<placeable_host> ownership_manager::placeable() const {
+std::vector<placeable_host> ownership_manager::placeable_hosts() const {
   std::vector<placeable_host> out;
   for (const member& host : this->hosts.usable()) {
     out.push_back({host.id, host.zone});
@@ -31,35 +31,35 @@
   return out;
 }
 
-placeable_host ownership_manager::own() const {
+placeable_host ownership_manager::self_host() const {
   const member self = this->hosts.self();
   return {self.id, self.zone};
 }
 
 void ownership_manager::claim_orphans() {
   const timestamp now = this->time.now();
-  const std::vector<placeable_host> candidates = this->placeable();
-  const placeable_host self = this->own();
+  const std::vector<placeable_host> candidates = this->placeable_hosts();
+  const placeable_host self = this->self_host();
   const has_ended ended = [this](const host_incarnation& host) {
     return this->hosts.has_ended(host);
   };
   for (std::uint32_t number = 0; number < this->shards.size(); ++number) {
     const shard_id shard(number);
     assignment entry;
-    bool follows = false;
+    bool is_follower = false;
     this->shards.read(shard, [&](const shard_core& core) {
       entry = core.known_assignment();
-      follows = core.role() == shard_core::role_kind::follower && !core.proposal_open();
+      is_follower = core.role() == shard_core::role_kind::follower && !core.proposal_open();
     });
-    const auto delay = follows
-                           ? claim_delay(shard, entry, self.id, candidates, ended, claim_stagger)
+    const auto delay = is_follower
+                           ? claim_delay(shard, entry, self.id, candidates, ended, claim_delay_step)
                            : std::nullopt;
     if (!delay) {
       this->orphaned_since.erase(shard);
       continue;
     }
     const auto [since, first] = this->orphaned_since.emplace(shard, now);
-    if (now - since->second < settle_time + *delay) {
+    if (now - since->second < min_ownerless_time + *delay) {
       continue;
     }
     this->orphaned_since.erase(shard);
@@ -72,8 +72,8 @@
 }
 
 void ownership_manager::maintain_replicas() {
-  const std::vector<placeable_host> candidates = this->placeable();
-  const placeable_host self = this->own();
+  const std::vector<placeable_host> candidates = this->placeable_hosts();
+  const placeable_host self = this->self_host();
   for (std::uint32_t number = 0; number < this->shards.size(); ++number) {
     const shard_id shard(number);
     this->shards.change(shard, [&](shard_core& core) -> actions {
@@ -91,8 +91,8 @@
         }
       }
       // Adds new replicas first; old ones are removed once enough replicas are in sync.
-      const bool in_step = core.in_sync_replicas() >= std::min(next.size(), current.size());
-      if (!in_step) {
+      const bool in_sync = core.in_sync_replicas() >= std::min(next.size(), current.size());
+      if (!in_sync) {
         for (const host_incarnation& replica : current) {
           const bool kept = std::find(next.begin(), next.end(), replica) != next.end();
           if (!kept && !this->hosts.has_ended(replica)) {
@@ -108,23 +108,23 @@
   }
 }
 
-void ownership_manager::rebalance(std::size_t most) {
+void ownership_manager::rebalance(std::size_t max_moves) {
   std::map<host_incarnation, std::size_t> counts;
-  std::vector<shard_id> mine;
+  std::vector<shard_id> owned_shards;
   this->shards.read_all([&](const shard_core& core) {
     ++counts[core.known_assignment().owner];
     if (core.serving() && core.open_calls() == 0) {
-      mine.push_back(core.shard());
+      owned_shards.push_back(core.shard());
     }
   });
-  const placeable_host self = this->own();
-  const auto move = next_move(self.id, counts, this->placeable());
+  const placeable_host self = this->self_host();
+  const auto move = next_move(self.id, counts, this->placeable_hosts());
   if (!move) {
     return;
   }
   std::size_t moved = 0;
-  for (const shard_id shard : mine) {
-    if (moved == std::min(most, move->count)) {
+  for (const shard_id shard : owned_shards) {
+    if (moved == std::min(max_moves, move->count)) {
       break;
     }
     this->shards.change(shard, [&](shard_core& core) -> actions {
@@ -132,10 +132,10 @@
         return {};
       }
       std::vector<host_incarnation> replicas_now = core.known_assignment().replicas;
-      const bool holds =
+      const bool is_replica =
           std::find(replicas_now.begin(), replicas_now.end(), move->to) != replicas_now.end();
       ++moved;
-      if (holds) {
+      if (is_replica) {
         return core.hand_over(move->to);
       }
       replicas_now.push_back(move->to);
@@ -145,14 +145,14 @@
 }
 
 std::size_t ownership_manager::hand_over_all() {
-  const std::vector<placeable_host> candidates = this->placeable();
-  std::size_t left = 0;
+  const std::vector<placeable_host> candidates = this->placeable_hosts();
+  std::size_t still_owned = 0;
   for (std::uint32_t number = 0; number < this->shards.size(); ++number) {
     this->shards.change(shard_id(number), [&](shard_core& core) -> actions {
       if (core.role() == shard_core::role_kind::follower) {
         return {};
       }
-      ++left;
+      ++still_owned;
       for (const host_incarnation& replica : core.known_assignment().replicas) {
         const bool usable =
             std::any_of(candidates.begin(), candidates.end(),
@@ -164,7 +164,7 @@
       return {};
     });
   }
-  return left;
+  return still_owned;
 }
 
 void ownership_manager::tick() {
--- a/libs/node/src/shard_map_store.cc
+++ b/libs/node/src/shard_map_store.cc
@@ -16,9 +16,9 @@
 namespace {
 
 const std::string key_prefix = "shard-map/";
-constexpr auto retry_wait = std::chrono::milliseconds(300);
+constexpr auto retry_interval = std::chrono::milliseconds(300);
 /// Proposals that arrive within this time share one write.
-constexpr auto gather_wait = std::chrono::milliseconds(20);
+constexpr auto batch_interval = std::chrono::milliseconds(20);
 
 json::object to_json(const host_incarnation& host) {
   // 64-bit numbers are written as text, since other JSON readers may round them.
@@ -86,12 +86,12 @@
 
 bool shard_map_store::has_read() const {
   const std::lock_guard lock(this->mutex);
-  return this->read_once;
+  return this->read_completed;
 }
 
 void shard_map_store::mark_read() {
   const std::lock_guard lock(this->mutex);
-  this->read_once = true;
+  this->read_completed = true;
 }
 
 void shard_map_store::apply_object(const stored_object& object) {
@@ -101,7 +101,7 @@
   }
   for (const auto& [shard, entry] : *entries) {
     if (shard.get() < this->shards) {
-      this->seen(shard, entry);
+      this->entry_callback(shard, entry);
     }
   }
 }
@@ -109,7 +109,7 @@
 void shard_map_store::propose(shard_id shard, const propose_assignment& proposal) {
   const std::uint32_t block = shard.get() / shards_per_block;
   const std::lock_guard lock(this->mutex);
-  this->waiting[block].insert_or_assign(shard, proposal);
+  this->pending[block].insert_or_assign(shard, proposal);
   if (this->writing[block]) {
     return;
   }
@@ -117,10 +117,10 @@
   asio::co_spawn(this->time.context, this->write_block(block), asio::detached);
 }
 
-shard_map_store::block_proposals shard_map_store::take_waiting(std::uint32_t block) {
+shard_map_store::block_proposals shard_map_store::take_pending(std::uint32_t block) {
   const std::lock_guard lock(this->mutex);
-  block_proposals taken = std::move(this->waiting[block]);
-  this->waiting[block].clear();
+  block_proposals taken = std::move(this->pending[block]);
+  this->pending[block].clear();
   if (taken.empty()) {
     this->writing[block] = false;
   }
@@ -129,24 +129,24 @@
 
 asio::awaitable<void> shard_map_store::write_block(std::uint32_t block) {
   asio::steady_timer timer(this->time.context);
-  timer.expires_after(gather_wait);
+  timer.expires_after(batch_interval);
   co_await timer.async_wait(asio::use_awaitable);
-  block_proposals todo = this->take_waiting(block);
-  while (!todo.empty()) {
-    const bool decided = co_await this->try_block(block, todo);
-    if (!decided) {
-      timer.expires_after(retry_wait);
+  block_proposals batch = this->take_pending(block);
+  while (!batch.empty()) {
+    const bool completed = co_await this->try_block(block, batch);
+    if (!completed) {
+      timer.expires_after(retry_interval);
       co_await timer.async_wait(asio::use_awaitable);
       continue;
     }
-    todo = this->take_waiting(block);
+    batch = this->take_pending(block);
   }
 }
 
-/// Returns true once every proposal in `todo` has its outcome. When the response to a write
+/// Returns true once every proposal in `batch` has its outcome. When the response to a write
 /// was lost, the next attempt reads the block again: either it contains the proposal, or the
 /// same proposal is written once more under a newer version.
-asio::awaitable<bool> shard_map_store::try_block(std::uint32_t block, block_proposals& todo) {
+asio::awaitable<bool> shard_map_store::try_block(std::uint32_t block, block_proposals& batch) {
   failure reason;
   const std::string key = key_prefix + std::to_string(block);
   const auto object = co_await this->platform.get(key, reason);
@@ -161,14 +161,14 @@
   }
   std::map<shard_id, assignment> entries = *read;
   bool changes = false;
-  for (const auto& [shard, proposal] : todo) {
+  for (const auto& [shard, proposal] : batch) {
     if (entries[shard] == proposal.expected && proposal.expected != proposal.desired) {
       entries[shard] = proposal.desired;
       changes = true;
     }
   }
   if (!changes) {
-    this->finish(todo, entries);
+    this->finish(batch, entries);
     co_return true;
   }
   const write_result result =
@@ -179,17 +179,19 @@
   if (result.outcome != write_result::kind::applied) {
     co_return false;
   }
-  this->finish(todo, entries);
+  this->finish(batch, entries);
   co_return true;
 }
 
-void shard_map_store::finish(block_proposals& todo, const std::map<shard_id, assignment>& current) {
-  for (const auto& [shard, proposal] : todo) {
+void shard_map_store::finish(block_proposals& batch,
+                             const std::map<shard_id, assignment>& current) {
+  for (const auto& [shard, proposal] : batch) {
     const assignment& entry = current.at(shard);
-    const bool won = entry == proposal.desired;
-    this->done(shard, won ? proposal_outcome::applied : proposal_outcome::rejected, entry);
+    const bool is_applied = entry == proposal.desired;
+    this->proposal_callback(
+        shard, is_applied ? proposal_outcome::applied : proposal_outcome::rejected, entry);
   }
-  todo.clear();
+  batch.clear();
 }
 
 }  // namespace hawthornlane
--- a/libs/node/src/shard_table.cc
+++ b/libs/node/src/shard_table.cc
@@ -18,17 +18,17 @@
     return;
   }
   this->carry_out(shard, std::move(todo));
-  this->report(shard, target.core.broken_invariant_in_newest_turns());
+  this->report_broken(shard, target.core.broken_invariant_in_newest_turns());
 }
 
 void shard_table::check_next() {
   const shard_id shard(this->next_check++ % this->size());
   this->read(shard, [this, shard](const shard_core& core) {
-    this->report(shard, core.broken_invariant());
+    this->report_broken(shard, core.broken_invariant());
   });
 }
 
-void shard_table::report(shard_id shard, const std::string& broken) const {
+void shard_table::report_broken(shard_id shard, const std::string& broken) const {
   if (!broken.empty()) {
     this->hooks.broken(shard, broken);
   }
--- a/libs/node/test/node_settings_test.cc
+++ b/libs/node/test/node_settings_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::string good =
+const std::string valid_settings =
     "[host]\nname = a\navailability_zone = z\nlisten = 127.0.0.1:0\n"
     "peer_listen = 127.0.0.1:0\n[platform]\naddress = 127.0.0.1:1\n"
     "[operators]\ncredential = operators-secret-text\n";
@@ -19,7 +19,7 @@
 // Guards against refused valid settings and against changed defaults.
 TEST_CASE("valid settings are read with their defaults") {
   std::vector<ini_problem> problems;
-  const auto settings = read_node_settings(good, problems);
+  const auto settings = read_node_settings(valid_settings, problems);
   INFO(to_string(problems));
   REQUIRE(settings);
   CHECK(settings->shards == 64);
@@ -41,7 +41,7 @@
       {"[shard]\ncount = 4\n", "line 11: section 'shard' is unknown; did you mean 'shards'?"},
   }));
   std::vector<ini_problem> problems;
-  const auto settings = read_node_settings(good + row.added, problems);
+  const auto settings = read_node_settings(valid_settings + row.added, problems);
   INFO("expected: " << row.reason << "\nactual: " << to_string(problems));
   CHECK_FALSE(settings.has_value());
   CHECK(to_string(problems).find(row.reason) != std::string::npos);
--- a/libs/peer/include/hawthornlane/peer/peer_network.h
+++ b/libs/peer/include/hawthornlane/peer/peer_network.h
@@ -66,7 +66,7 @@
 
 private:
   struct state;
-  std::unique_ptr<state> inner;
+  std::unique_ptr<state> impl;
 };
 
 }  // namespace hawthornlane
--- a/libs/peer/src/peer_network.cc
+++ b/libs/peer/src/peer_network.cc
@@ -15,15 +15,15 @@
 namespace hawthornlane {
 namespace {
 
-constexpr int largest_message = 64 * 1024 * 1024;
-constexpr auto deliver_limit = std::chrono::seconds(2);
-constexpr auto probe_limit = std::chrono::milliseconds(500);
+constexpr int max_message_bytes = 64 * 1024 * 1024;
+constexpr auto deliver_timeout = std::chrono::seconds(2);
+constexpr auto probe_timeout = std::chrono::milliseconds(500);
 
 host_incarnation from_wire(const wire::HostIncarnation& value) {
   return {host_id(value.host()), incarnation(value.start())};
 }
 
-void fill(wire::HostIncarnation* target, const host_incarnation& value) {
+void to_wire(wire::HostIncarnation* target, const host_incarnation& value) {
   target->set_host(value.host.get());
   target->set_start(value.start.get());
 }
@@ -95,9 +95,9 @@
 /// Reads the response to a forwarded request. Deletes itself when gRPC calls `OnDone`.
 class forward_reader final : public grpc::ClientReadReactor<wire::ForwardEvent> {
 public:
-  forward_reader(wire::Peer::Stub& stub, std::shared_ptr<grpc::Channel> held_channel,
+  forward_reader(wire::Peer::Stub& stub, std::shared_ptr<grpc::Channel> peer_channel,
                  const forwarded_request& what, duration limit, forward_reply to)
-      : channel(std::move(held_channel)), reply(std::move(to)) {
+      : channel(std::move(peer_channel)), reply(std::move(to)) {
     this->request.set_method(what.method);
     this->request.set_target(what.target);
     this->request.set_authorization(what.authorization);
@@ -149,12 +149,12 @@
                                     const wire::ShardMessage* request,
                                     wire::Received* response) override {
     const auto message = shard_message_from_bytes(request->body());
-    bool mine = false;
+    bool for_this_host = false;
     {
       const std::lock_guard lock(this->mutex);
-      mine = from_wire(request->to()) == this->self;
+      for_this_host = from_wire(request->to()) == this->self;
     }
-    response->set_taken(mine && message.has_value());
+    response->set_taken(for_this_host && message.has_value());
     if (response->taken()) {
       this->handlers.on_shard(from_wire(request->from()), shard_id(request->shard()), *message);
     }
@@ -214,18 +214,18 @@
 struct peer_network::state {
   explicit state(peer_handlers handlers) : service(std::move(handlers)) {}
 
-  struct link {
+  struct connection {
     std::shared_ptr<grpc::Channel> channel;
     std::shared_ptr<wire::Peer::Stub> stub;
   };
 
-  link link_to(const std::string& address) {
+  connection connection_to(const std::string& address) {
     const std::lock_guard lock(this->mutex);
-    link& found = this->links[address];
+    connection& found = this->connections[address];
     if (!found.channel) {
       grpc::ChannelArguments arguments;
-      arguments.SetMaxReceiveMessageSize(largest_message);
-      arguments.SetMaxSendMessageSize(largest_message);
+      arguments.SetMaxReceiveMessageSize(max_message_bytes);
+      arguments.SetMaxSendMessageSize(max_message_bytes);
       arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 100);
       arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
       arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
@@ -241,70 +241,70 @@
   std::unique_ptr<grpc::Server> server;
   std::string address;
   std::mutex mutex;
-  std::map<std::string, link> links;
+  std::map<std::string, connection> connections;
   std::atomic<std::uint64_t> control_bytes{0};
   std::atomic<std::uint64_t> shard_bytes{0};
   std::atomic<std::uint64_t> shard_messages{0};
 };
 
 peer_network::peer_network(const std::string& listen_at, peer_handlers handlers)
-    : inner(std::make_unique<state>(std::move(handlers))) {
+    : impl(std::make_unique<state>(std::move(handlers))) {
   grpc::ServerBuilder builder;
   int port = 0;
   builder.AddListeningPort(listen_at, grpc::InsecureServerCredentials(), &port);
-  builder.SetMaxReceiveMessageSize(largest_message);
+  builder.SetMaxReceiveMessageSize(max_message_bytes);
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-  builder.RegisterService(&this->inner->service);
-  this->inner->server = builder.BuildAndStart();
-  if (!this->inner->server) {
+  builder.RegisterService(&this->impl->service);
+  this->impl->server = builder.BuildAndStart();
+  if (!this->impl->server) {
     throw std::runtime_error("cannot listen for peers at " + listen_at);
   }
-  this->inner->address = listen_at.substr(0, listen_at.rfind(':') + 1) + std::to_string(port);
+  this->impl->address = listen_at.substr(0, listen_at.rfind(':') + 1) + std::to_string(port);
 }
 
 peer_network::~peer_network() {
-  this->inner->server->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(200));
+  this->impl->server->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(200));
 }
 
-std::string peer_network::where() const { return this->inner->address; }
+std::string peer_network::where() const { return this->impl->address; }
 
-void peer_network::set_self(const host_incarnation& self) { this->inner->service.set_self(self); }
+void peer_network::set_self(const host_incarnation& self) { this->impl->service.set_self(self); }
 
 void peer_network::send_shard(const std::string& address, const host_incarnation& from,
                               const host_incarnation& to, shard_id shard,
                               const shard_message& message) {
   auto call = std::make_shared<pending_call<wire::ShardMessage, wire::Received>>();
   call->request.set_shard(shard.get());
-  fill(call->request.mutable_from(), from);
-  fill(call->request.mutable_to(), to);
+  to_wire(call->request.mutable_from(), from);
+  to_wire(call->request.mutable_to(), to);
   call->request.set_body(to_bytes(message));
-  call->context.set_deadline(std::chrono::system_clock::now() + deliver_limit);
-  this->inner->shard_bytes += call->request.ByteSizeLong();
-  ++this->inner->shard_messages;
-  const state::link link = this->inner->link_to(address);
-  link.stub->async()->Deliver(&call->context, &call->request, &call->response,
-                              [call, link](const grpc::Status& /*status*/) {});
+  call->context.set_deadline(std::chrono::system_clock::now() + deliver_timeout);
+  this->impl->shard_bytes += call->request.ByteSizeLong();
+  ++this->impl->shard_messages;
+  const state::connection connection = this->impl->connection_to(address);
+  connection.stub->async()->Deliver(&call->context, &call->request, &call->response,
+                                    [call, connection](const grpc::Status& /*status*/) {});
 }
 
 void peer_network::send_probe(const std::string& address, const probe_message& message) {
   auto call = std::make_shared<pending_call<wire::Probe, wire::Probe>>();
   call->request.set_body(to_bytes(message));
-  call->context.set_deadline(std::chrono::system_clock::now() + probe_limit);
-  this->inner->control_bytes += call->request.ByteSizeLong();
-  const state::link link = this->inner->link_to(address);
-  link.stub->async()->Gossip(&call->context, &call->request, &call->response,
-                             [call, link](const grpc::Status& /*status*/) {});
+  call->context.set_deadline(std::chrono::system_clock::now() + probe_timeout);
+  this->impl->control_bytes += call->request.ByteSizeLong();
+  const state::connection connection = this->impl->connection_to(address);
+  connection.stub->async()->Gossip(&call->context, &call->request, &call->response,
+                                   [call, connection](const grpc::Status& /*status*/) {});
 }
 
 void peer_network::forward(const std::string& address, const forwarded_request& request,
                            duration limit, forward_reply reply) {
-  const state::link link = this->inner->link_to(address);
+  const state::connection connection = this->impl->connection_to(address);
   // Deletes itself in `OnDone`.
-  new forward_reader(*link.stub, link.channel, request, limit, std::move(reply));
+  new forward_reader(*connection.stub, connection.channel, request, limit, std::move(reply));
 }
 
-std::uint64_t peer_network::control_bytes_sent() const { return this->inner->control_bytes; }
-std::uint64_t peer_network::shard_bytes_sent() const { return this->inner->shard_bytes; }
-std::uint64_t peer_network::shard_messages_sent() const { return this->inner->shard_messages; }
+std::uint64_t peer_network::control_bytes_sent() const { return this->impl->control_bytes; }
+std::uint64_t peer_network::shard_bytes_sent() const { return this->impl->shard_bytes; }
+std::uint64_t peer_network::shard_messages_sent() const { return this->impl->shard_messages; }
 
 }  // namespace hawthornlane
--- a/libs/rollout/src/rollout_core.cc
+++ b/libs/rollout/src/rollout_core.cc
@@ -28,8 +28,8 @@
   // A sum, so that the digest does not depend on the order of adoption.
   std::uint64_t sum = 0;
   for (const auto& [service, document] : this->in_force) {
-    const std::string marked = service.get() + "\n" + std::to_string(document.at.get()) + "\n";
-    const std::uint64_t seed = XXH3_64bits(marked.data(), marked.size());
+    const std::string key = service.get() + "\n" + std::to_string(document.at.get()) + "\n";
+    const std::uint64_t seed = XXH3_64bits(key.data(), key.size());
     sum += XXH3_64bits_withSeed(document.text.data(), document.text.size(), seed);
   }
   return sum;
--- a/libs/settings/include/hawthornlane/settings/schema.h
+++ b/libs/settings/include/hawthornlane/settings/schema.h
@@ -41,8 +41,8 @@
   bool required = false;
   std::string default_value;
   /// Range of numbers; microseconds for times.
-  double least = 0;
-  double most = 0;
+  double min_value = 0;
+  double max_value = 0;
   /// Description of the key, with its unit.
   std::string meaning;
 };
--- a/libs/settings/src/ini.cc
+++ b/libs/settings/src/ini.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Limit of libinih's buffer, which would split a longer line.
-constexpr std::size_t longest_line = 198;
+constexpr std::size_t max_line_length = 198;
 
 struct reader {
   std::string_view rest;
@@ -31,10 +31,10 @@
   std::string_view line = state.rest.substr(0, end);
   state.rest.remove_prefix(std::min(end + 1, state.rest.size()));
   ++state.line;
-  const std::size_t room = std::min(longest_line, static_cast<std::size_t>(size) - 2);
-  if (line.size() > room) {
+  const std::size_t max_length = std::min(max_line_length, static_cast<std::size_t>(size) - 2);
+  if (line.size() > max_length) {
     state.result.problems.push_back(
-        {state.line, "longer than " + std::to_string(longest_line) + " characters"});
+        {state.line, "longer than " + std::to_string(max_line_length) + " characters"});
     line = line.substr(0, 0);
   }
   if (line.find('\0') != std::string_view::npos) {
@@ -51,7 +51,7 @@
   return buffer;
 }
 
-int take_entry(void* user, const char* section, const char* key, const char* value) {
+int add_entry(void* user, const char* section, const char* key, const char* value) {
   auto& state = *static_cast<reader*>(user);
   if (!state.seen.emplace(section, key).second) {
     state.result.problems.push_back(
@@ -69,7 +69,7 @@
   state.rest = text;
   // libinih returns the line of its first error only, but it goes on reading, so later lines
   // are still checked.
-  const int first_bad_line = ini_parse_stream(next_line, &state, take_entry, &state);
+  const int first_bad_line = ini_parse_stream(next_line, &state, add_entry, &state);
   if (first_bad_line > 0) {
     state.result.problems.push_back(
         {first_bad_line, "is neither [section], key = value, nor a comment"});
--- a/libs/settings/src/schema.cc
+++ b/libs/settings/src/schema.cc
@@ -13,7 +13,7 @@
 namespace hawthornlane {
 namespace {
 
-constexpr std::size_t furthest_near_name = 3;
+constexpr std::size_t max_name_distance = 3;
 
 struct time_unit {
   std::string_view name;
@@ -53,8 +53,8 @@
 }
 
 bool is_name(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char letter) {
-    return std::isalnum(letter) != 0 || letter == '-' || letter == '_' || letter == '.';
+  return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char character) {
+    return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.';
   });
 }
 
@@ -78,15 +78,15 @@
   return items;
 }
 
-std::string in_range_text(const key_rule& rule) {
+std::string range_text(const key_rule& rule) {
   if (rule.type == value_type::time) {
-    return fmt::format("{} ms to {} ms", rule.least / 1e3, rule.most / 1e3);
+    return fmt::format("{} ms to {} ms", rule.min_value / 1e3, rule.max_value / 1e3);
   }
-  return fmt::format("{} to {}", rule.least, rule.most);
+  return fmt::format("{} to {}", rule.min_value, rule.max_value);
 }
 
 /// The reason why `value` violates `rule`; empty when it does not.
-std::string misfit(const key_rule& rule, const std::string& value) {
+std::string validation_error(const key_rule& rule, const std::string& value) {
   std::optional<double> number;
   switch (rule.type) {
     case value_type::text:
@@ -119,8 +119,8 @@
       }
       break;
   }
-  const bool in_range = *number >= rule.least && *number <= rule.most;
-  return in_range ? "" : "is outside " + in_range_text(rule);
+  const bool in_range = *number >= rule.min_value && *number <= rule.max_value;
+  return in_range ? "" : "is outside " + range_text(rule);
 }
 
 /// Maps a section such as "account north" to its pattern "account *"; other names are returned
@@ -132,11 +132,12 @@
 
 /// The message for an unknown name. `compared` is the form of `word` that is compared with the
 /// candidates.
-std::string unknown(const std::string& what, const std::string& word,
-                    const std::vector<std::string>& candidates, const std::string& compared) {
-  const auto near = nearest_name(compared, candidates);
+std::string unknown_name_message(const std::string& what, const std::string& word,
+                                 const std::vector<std::string>& candidates,
+                                 const std::string& compared) {
+  const auto nearest = nearest_name(compared, candidates);
   return fmt::format("{} '{}' is unknown{}", what, word,
-                     near ? fmt::format("; did you mean '{}'?", *near) : "");
+                     nearest ? fmt::format("; did you mean '{}'?", *nearest) : "");
 }
 
 std::vector<std::string> section_names(const std::vector<key_rule>& rules) {
@@ -171,8 +172,8 @@
 
 std::optional<duration> time_from_string(std::string_view text) {
   text = trimmed(text);
-  const auto digits_end = std::find_if(text.begin(), text.end(), [](unsigned char letter) {
-    return std::isdigit(letter) == 0 && letter != '.';
+  const auto digits_end = std::find_if(text.begin(), text.end(), [](unsigned char character) {
+    return std::isdigit(character) == 0 && character != '.';
   });
   const auto digits = static_cast<std::size_t>(digits_end - text.begin());
   const auto number = read_number(text.substr(0, digits));
@@ -188,7 +189,7 @@
 std::optional<std::string> nearest_name(std::string_view word,
                                         const std::vector<std::string>& candidates) {
   std::optional<std::string> best;
-  std::size_t best_distance = furthest_near_name + 1;
+  std::size_t best_distance = max_name_distance + 1;
   for (const std::string& candidate : candidates) {
     std::vector<std::size_t> row(candidate.size() + 1);
     std::iota(row.begin(), row.end(), 0);
@@ -220,7 +221,8 @@
     const bool first_of_section = seen_sections.insert(entry.section).second;
     if (std::find(sections.begin(), sections.end(), pattern) == sections.end()) {
       if (first_of_section) {
-        problems.push_back({entry.line, unknown("section", entry.section, sections, pattern)});
+        problems.push_back(
+            {entry.line, unknown_name_message("section", entry.section, sections, pattern)});
       }
       continue;
     }
@@ -229,12 +231,12 @@
     }
     const key_rule* rule = find_rule(rules, pattern, entry.key);
     if (rule == nullptr) {
-      problems.push_back({entry.line, unknown("[" + entry.section + "] key", entry.key,
-                                              keys_of(rules, pattern), entry.key)});
+      problems.push_back({entry.line, unknown_name_message("[" + entry.section + "] key", entry.key,
+                                                           keys_of(rules, pattern), entry.key)});
       continue;
     }
     checked.lines[{entry.section, entry.key}] = entry.line;
-    const std::string reason = misfit(*rule, entry.value);
+    const std::string reason = validation_error(*rule, entry.value);
     if (!reason.empty()) {
       problems.push_back({entry.line, fmt::format("[{}] {}: '{}' {}", entry.section, entry.key,
                                                   entry.value, reason)});
@@ -243,17 +245,17 @@
     checked.values[{entry.section, entry.key}] = entry.value;
   }
   for (const key_rule& rule : rules) {
-    const bool many = rule.section.ends_with(" *");
+    const bool is_pattern = rule.section.ends_with(" *");
     std::vector<std::string> targets{rule.section};
-    if (many) {
+    if (is_pattern) {
       targets.clear();
       std::copy_if(
           checked.sections.begin(), checked.sections.end(), std::back_inserter(targets),
           [&rule](const std::string& name) { return section_pattern(name) == rule.section; });
     }
     for (const std::string& section : targets) {
-      const auto where = std::make_pair(section, rule.key);
-      if (checked.lines.contains(where)) {
+      const auto location = std::make_pair(section, rule.key);
+      if (checked.lines.contains(location)) {
         continue;
       }
       if (rule.required) {
@@ -261,7 +263,7 @@
             {checked.line_of(section, ""), fmt::format("[{}] {} is missing", section, rule.key)});
         continue;
       }
-      checked.values[where] = rule.default_value;
+      checked.values[location] = rule.default_value;
     }
   }
   std::stable_sort(problems.begin(), problems.end(),
@@ -311,8 +313,8 @@
     return found->second;
   }
   int first = 0;
-  for (const auto& [where, line] : this->lines) {
-    const bool earlier = where.first == section && (first == 0 || line < first);
+  for (const auto& [location, line] : this->lines) {
+    const bool earlier = location.first == section && (first == 0 || line < first);
     first = earlier ? line : first;
   }
   return first;
@@ -324,7 +326,7 @@
   std::string out =
       "| section | key | type | default | range | meaning |\n|---|---|---|---|---|---|\n";
   for (const key_rule& rule : rules) {
-    const std::string range = rule.most > rule.least ? in_range_text(rule) : "";
+    const std::string range = rule.max_value > rule.min_value ? range_text(rule) : "";
     out += fmt::format("| [{}] | {} | {} | {} | {} | {} |\n", rule.section, rule.key,
                        types.at(static_cast<std::size_t>(rule.type)),
                        rule.required ? "(required)" : rule.default_value, range, rule.meaning);
