--- a/libs/node/include/hawthornlane/node/shard_map_store.h
+++ b/libs/node/include/hawthornlane/node/shard_map_store.h
@@ -1,4 +1,4 @@
-// Reading and writing the shard map in the platform.
+// Reads and writes the shard map in the platform.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,28 +14,28 @@
 
 namespace hawthornlane {
 
-/// The shard map as a few objects "shard-map/NUMBER", each with the entries of
-/// `shards_per_block` shards. Writes of one block that fall together are one
+/// Stores the shard map as a few objects "shard-map/NUMBER", each with the entries of
+/// `shards_per_block` shards. Proposals for one block that arrive close together share one
 /// conditional update.
 class shard_map_store {
 public:
   static constexpr std::uint32_t shards_per_block = 16;
 
-  using entry_seen = std::function<void(shard_id, const assignment&)>;
-  using proposal_done =
+  using entry_hook = std::function<void(shard_id, const assignment&)>;
+  using proposal_hook =
       std::function<void(shard_id, proposal_outcome, const std::optional<assignment>&)>;
 
   shard_map_store(runtime& time, object_store& platform, std::uint32_t shards);
 
-  /// Set once, before the first use.
-  void on_entry(entry_seen hook) { this->seen = std::move(hook); }
-  void on_proposal(proposal_done hook) { this->done = std::move(hook); }
+  /// Both hooks are set once, before the first use.
+  void on_entry(entry_hook hook) { this->entry_callback = std::move(hook); }
+  void on_proposal(proposal_hook hook) { this->proposal_callback = std::move(hook); }
 
-  /// Takes a block as read or watched.
+  /// Reports the entries of a block that was read or watched to the `on_entry` hook.
   void apply_object(const stored_object& object);
-  /// Writes the proposal; the result comes through `on_proposal`. Never waits.
+  /// Queues the proposal for writing; the result goes to the `on_proposal` hook. Does not block.
   void propose(shard_id shard, const propose_assignment& proposal);
-  /// Whether the map has been read at least once.
+  /// Whether the whole map has been read at least once.
   [[nodiscard]] bool has_read() const;
   void mark_read();
 
@@ -43,22 +43,22 @@
   using block_proposals = std::map<shard_id, propose_assignment>;
 
   boost::asio::awaitable<void> write_block(std::uint32_t block);
-  boost::asio::awaitable<bool> try_block(std::uint32_t block, block_proposals& todo);
-  block_proposals take_waiting(std::uint32_t block);
-  void finish(block_proposals& todo, const std::map<shard_id, assignment>& current);
+  boost::asio::awaitable<bool> try_block(std::uint32_t block, block_proposals& batch);
+  block_proposals take_pending(std::uint32_t block);
+  void finish(block_proposals& batch, const std::map<shard_id, assignment>& current);
 
   runtime& time;
   object_store& platform;
   std::uint32_t shards;
-  entry_seen seen;
-  proposal_done done;
+  entry_hook entry_callback;
+  proposal_hook proposal_callback;
   mutable std::mutex mutex;
-  std::map<std::uint32_t, block_proposals> waiting;
+  std::map<std::uint32_t, block_proposals> pending;
   std::map<std::uint32_t, bool> writing;
-  bool read_once = false;
+  bool read_completed = false;
 };
 
-/// Entries of one block as text, and back; nothing when it is not a block.
+/// Converts the entries of one block to JSON and back; nothing when the text is not a block.
 std::string block_to_json(const std::map<shard_id, assignment>& entries);
 std::optional<std::map<shard_id, assignment>> block_from_json(const std::string& text);
 
--- a/libs/node/src/document_registry.cc
+++ b/libs/node/src/document_registry.cc
@@ -1,4 +1,4 @@
-// Applying, adopting and looking up service documents.
+// Applies, adopts and looks up service documents.
 #include "hawthornlane/node/document_registry.h"
 
 #include <boost/json.hpp>
@@ -15,7 +15,7 @@
 const std::string key_prefix = "documents/";
 constexpr int store_attempts = 5;
 
-/// A document object as it stands in the platform.
+/// A document object as stored in the platform.
 struct stored_document {
   generation at;
   std::string text;
@@ -32,7 +32,7 @@
                                       {"at_ms", document.at_ms}});
 }
 
-std::optional<stored_document> stored_from(const std::string& value) {
+std::optional<stored_document> parse_stored_document(const std::string& value) {
   try {
     const json::value parsed = json::parse(value);
     const json::object& fields = parsed.as_object();
@@ -60,7 +60,7 @@
   std::vector<ini_problem> problems;
   const auto document = read_document(text, problems);
   if (!document || document->service != service) {
-    // Never adopted: what was accepted parses at every host of this version.
+    // Never adopted. A document that was accepted parses at every host of this version.
     log(event::document_refused, {{"service", service.get()}, {"detail", to_string(problems)}});
     return;
   }
@@ -86,7 +86,7 @@
   if (!object.key.starts_with(key_prefix)) {
     return;
   }
-  if (const auto document = stored_from(object.value)) {
+  if (const auto document = parse_stored_document(object.value)) {
     this->offer(service_name(object.key.substr(key_prefix.size())), document->at, document->text);
   }
 }
@@ -118,8 +118,8 @@
 std::vector<document_copy> document_registry::newer_than(
     const std::vector<document_generation>& theirs) const {
   std::map<service_name, generation> known;
-  for (const document_generation& mark : theirs) {
-    known[mark.service] = mark.at;
+  for (const document_generation& item : theirs) {
+    known[item.service] = item.at;
   }
   const std::lock_guard lock(this->mutex);
   std::vector<document_copy> copies;
@@ -151,7 +151,7 @@
   return found->second;
 }
 
-/// Called with the lock held.
+/// The caller holds `mutex`.
 void document_registry::index_credentials() {
   this->by_credential.clear();
   for (const auto& [service, document] : this->parsed) {
@@ -187,8 +187,8 @@
   result.digest = document_digest(request.text);
   const auto document = read_document(request.text, result.problems);
   if (document && document->service != request.service) {
-    result.problems.push_back(
-        {0, "[service] name is '" + document->service.get() + "', not the document's own"});
+    result.problems.push_back({0, "[service] name is '" + document->service.get() +
+                                      "', but the document is for another service"});
   }
   if (!result.problems.empty()) {
     result.error = error_kind::document_invalid;
@@ -232,10 +232,10 @@
       checked.detail = reason.detail;
       continue;
     }
-    const auto stored = stored_from(object->value);
+    const auto stored = parse_stored_document(object->value);
     const generation at = stored ? stored->at : generation(0);
     if (stored && stored->change_id == change_id) {
-      // An earlier attempt took effect, only its answer was lost.
+      // An earlier attempt took effect; only its response was lost.
       checked.error.reset();
       checked.at = at;
       this->offer(request.service, at, request.text);
--- a/libs/node/src/node_platform.cc
+++ b/libs/node/src/node_platform.cc
@@ -1,4 +1,4 @@
-// A host's dealings with the platform: what it follows, announces and stores.
+// How a host uses the platform: the objects that it watches, announces and stores.
 #include <fmt/format.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr duration watch_retry = std::chrono::milliseconds(500);
-constexpr duration announce_period = std::chrono::milliseconds(400);
-constexpr duration audit_period = std::chrono::seconds(2);
+constexpr duration watch_retry_interval = std::chrono::milliseconds(500);
+constexpr duration announce_interval = std::chrono::milliseconds(400);
+constexpr duration audit_interval = std::chrono::seconds(2);
 constexpr std::size_t audit_batch = 200;
 
 const std::string hosts_prefix = "hosts/";
@@ -51,10 +51,10 @@
 
 }  // namespace
 
-void node::follow_platform() {
+void node::start_platform_tasks() {
   asio::io_context& context = this->time.context;
   for (const std::string& prefix : {hosts_prefix, documents_prefix, servers_prefix, map_prefix}) {
-    asio::co_spawn(asio::make_strand(context), this->follow(prefix), asio::detached);
+    asio::co_spawn(asio::make_strand(context), this->watch_prefix(prefix), asio::detached);
   }
   asio::co_spawn(asio::make_strand(context), this->announce(), asio::detached);
   asio::co_spawn(asio::make_strand(context), this->store_audit(), asio::detached);
@@ -77,7 +77,7 @@
         announced_leaving = now_leaving && written.outcome == write_result::kind::applied;
       }
     }
-    co_await this->wait(announce_period);
+    co_await this->wait(announce_interval);
   }
 }
 
@@ -97,7 +97,7 @@
   }
 }
 
-asio::awaitable<void> node::follow(std::string prefix) {
+asio::awaitable<void> node::watch_prefix(std::string prefix) {
   bool reachable = true;
   bool listed = false;
   std::uint64_t revision = 0;
@@ -115,9 +115,9 @@
         log(event::platform_unreachable, {{"prefix", prefix}, {"detail", reason.detail}});
       }
       reachable = false;
-      // Changes may have been missed, and a restored store counts from anew.
+      // Changes may have been missed, and a restored store restarts its revisions: list again.
       listed = false;
-      co_await this->wait(watch_retry);
+      co_await this->wait(watch_retry_interval);
       continue;
     }
     if (!reachable) {
@@ -142,7 +142,7 @@
 asio::awaitable<void> node::store_audit() {
   std::uint64_t sequence = 0;
   while (!this->stopped) {
-    co_await this->wait(audit_period);
+    co_await this->wait(audit_interval);
     const std::vector<audit_entry> batch = this->audit.unstored(audit_batch);
     if (batch.empty()) {
       continue;
@@ -154,8 +154,8 @@
     const std::string key = fmt::format("audit/{:020}-{}-{:06}", this->self.start.get(),
                                         this->self.host.get(), sequence);
     const write_result written = co_await this->platform.put(key, 0, json::serialize(entries));
-    // A conflict means that an earlier try with a lost answer took effect; the
-    // batch may have grown since, so only a fresh key is certain.
+    // A conflict means that an earlier attempt took effect and its response was lost. The batch
+    // may have grown since: only a write under a new key makes sure that all of it is stored.
     if (written.outcome == write_result::kind::applied) {
       this->audit.stored(batch.size());
     }
