--- a/libs/engine/include/hawthornlane/engine/backend_client.h
+++ b/libs/engine/include/hawthornlane/engine/backend_client.h
@@ -1,4 +1,4 @@
-// Client of backend servers: model engines and plain services.
+// HTTP client of backend servers: model engines and plain services.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,12 +13,12 @@
 
 namespace hawthornlane {
 
-/// A call as a backend server gets it.
+/// A call to a backend server.
 struct backend_call {
-  /// The ticket's text; a backend server that keeps ids can drop duplicates.
+  /// The text of the call's ticket; a backend server that remembers ids can drop duplicates.
   std::string request_id;
   program_id program;
-  /// Model calls.
+  /// Model calls only, like the next two fields.
   model_name model;
   /// The whole conversation, a JSON array.
   std::string messages;
@@ -26,19 +26,19 @@
   /// Tool calls: the path and body to post.
   std::string path;
   std::string body;
-  /// Longest silence of a model, or time for a whole tool call.
+  /// Longest time without bytes from a model, or the timeout of a whole tool call.
   duration patience{};
 };
 
-/// What a backend server made of a call.
+/// Outcome of a call to a backend server.
 struct backend_result {
   enum class kind : std::uint8_t {
     finished,
-    /// It answered with an error status; the call counts as run.
+    /// The response has an error status; the call counts as run.
     failed,
-    /// It never took the call: no connection was made.
+    /// Not connected, so the server never received the call.
     never_started,
-    /// The connection broke or fell silent: nobody knows whether it ran.
+    /// The connection failed or timed out: the call may have run.
     broken,
   };
   kind outcome = kind::broken;
@@ -46,24 +46,24 @@
   token_count prompt_tokens{0};
   token_count cached_tokens{0};
   token_count answer_tokens{0};
-  /// From the send to the first text; zero when there was none.
+  /// Time from sending to the first text; zero when there was none.
   duration first_token{};
   duration whole{};
   std::string detail;
 };
 
-/// Takes each piece of an answer's text as it arrives.
+/// Receives each piece of the response text as it arrives.
 using text_sink = std::function<void(std::string_view)>;
 
-/// Talks to backend servers. Coroutines; safe from any executor.
+/// Calls backend servers. The coroutines may run on any executor.
 class backend_client {
 public:
   /// Streams a chat completion.
   boost::asio::awaitable<backend_result> complete(http::endpoint server, backend_call call,
                                                   text_sink sink);
-  /// Posts a tool call and reads the whole answer.
+  /// Posts a tool call and reads the whole response.
   boost::asio::awaitable<backend_result> call_tool(http::endpoint server, backend_call call);
-  /// Gives back the engine memory of a program; true once the server confirmed.
+  /// Releases the engine's cache memory of a program. True when the server confirmed it.
   boost::asio::awaitable<bool> release(http::endpoint server, program_id program);
 
 private:
--- a/libs/engine/src/backend_client.cc
+++ b/libs/engine/src/backend_client.cc
@@ -17,7 +17,7 @@
   return std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - start);
 }
 
-/// Collects a stream of server-sent events into a result.
+/// Parses a stream of server-sent events into a result.
 class event_reader {
 public:
   event_reader(backend_result& into, text_sink on_text, std::chrono::steady_clock::time_point began)
--- a/libs/http/include/hawthornlane/http/answer_server.h
+++ b/libs/http/include/hawthornlane/http/answer_server.h
@@ -1,4 +1,4 @@
-// An HTTP server for questions that are answered at once, such as readiness and metrics.
+// An HTTP server with a synchronous handler, for readiness, metrics and the like.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,8 +9,8 @@
 
 namespace hawthornlane::http {
 
-/// Answers each request by `respond`; what is no request by the error table's status alone.
-/// Throws `boost::system::system_error` when it cannot listen.
+/// Answers each request with the result of `respond`. An invalid request gets the status of the
+/// error table and no body. Throws `boost::system::system_error` when it cannot listen.
 std::unique_ptr<server> serve_answers(boost::asio::io_context& context, const endpoint& listen_at,
                                       std::function<response(const request&)> respond);
 
--- a/libs/http/include/hawthornlane/http/client.h
+++ b/libs/http/include/hawthornlane/http/client.h
@@ -1,4 +1,4 @@
-// An HTTP client that keeps connections open for reuse.
+// An HTTP client with a pool of idle connections.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,19 +13,19 @@
 
 namespace hawthornlane::http {
 
-/// How far a failed request got; decides whether it may have been acted on.
+/// How far a failed request got; tells whether the server may have executed it.
 enum class progress : std::uint8_t { not_connected, sent_in_part, answered_in_part };
 
-/// Why a fetch returned nothing.
+/// Why a fetch failed.
 struct fetch_failure {
   progress reached = progress::not_connected;
   std::string detail;
 };
 
-/// Takes the next part of a body; false ends the transfer.
+/// Receives the next part of a body; returns false to end the transfer.
 using body_sink = std::function<bool(std::string_view)>;
 
-/// Sends requests; safe to use from coroutines on any executor at once.
+/// Sends requests. Safe for concurrent use from coroutines on any executor.
 class client {
 public:
   client();
@@ -33,12 +33,13 @@
   client& operator=(const client&) = delete;
   ~client();
 
-  /// Sends one request and reads the whole answer. `limit` bounds all of it.
+  /// Sends one request and reads the whole response. `limit` is applied to connecting, to the
+  /// response's head and to each part of its body.
   boost::asio::awaitable<std::optional<response>> fetch(endpoint where, request what,
                                                         duration limit, fetch_failure& reason);
-  /// Sends one request and hands the body on as it arrives. `silence` bounds the
-  /// time between two parts. The returned response has an empty body, unless its
-  /// status is an error: then the body stands in it and `sink` is not called.
+  /// Sends one request and passes the body to `sink` as it arrives. `silence` limits the
+  /// time between two parts. The returned response has an empty body, except when its
+  /// status is an error: then it contains the body, and `sink` is not called.
   boost::asio::awaitable<std::optional<response>> fetch_stream(endpoint where, request what,
                                                                duration silence, body_sink sink,
                                                                fetch_failure& reason);
--- a/libs/http/include/hawthornlane/http/listening.h
+++ b/libs/http/include/hawthornlane/http/listening.h
@@ -1,4 +1,4 @@
-// Listening for connections, and what a listener does when it cannot accept one.
+// Listening for connections, with a delay after a failed accept.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,8 +13,8 @@
 
 namespace hawthornlane::http {
 
-/// Without a pause a process that has no descriptors left tries two million times a
-/// second to accept the same caller and does nothing else.
+/// Without a delay, a process that has run out of file descriptors retries the same accept two
+/// million times a second and does nothing else.
 constexpr std::chrono::milliseconds failed_accept_pause{20};
 
 template <class Executor>
@@ -24,8 +24,8 @@
   co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
 }
 
-/// Opens the acceptor at that address. `backlog`: connections that the kernel keeps until they
-/// are accepted. Throws `boost::system::system_error` when it cannot.
+/// Binds the acceptor to the address and listens. `backlog`: connections that the kernel queues
+/// until they are accepted. Throws `boost::system::system_error` on failure.
 inline void listen_on(boost::asio::ip::tcp::acceptor& acceptor, const endpoint& where,
                       int backlog = boost::asio::socket_base::max_listen_connections) {
   const boost::asio::ip::tcp::endpoint at(boost::asio::ip::make_address(where.address), where.port);
@@ -35,8 +35,8 @@
   acceptor.listen(backlog);
 }
 
-/// Gives each accepted socket to `take` until the acceptor is closed. `take` keeps alive what the
-/// acceptor belongs to.
+/// Passes each accepted socket to `take` until the acceptor is closed. `take` must keep the owner
+/// of the acceptor alive.
 template <class Take>
 boost::asio::awaitable<void> accept_until_closed(boost::asio::ip::tcp::acceptor& acceptor,
                                                  Take take) {
--- a/libs/http/include/hawthornlane/http/message.h
+++ b/libs/http/include/hawthornlane/http/message.h
@@ -1,4 +1,4 @@
-// HTTP requests and responses as plain values.
+// HTTP requests and responses as value types.
 #pragma once
 
 #include <cstdint>
@@ -43,16 +43,17 @@
   [[nodiscard]] std::optional<std::string> find_header(std::string_view name) const;
 };
 
-/// Where a server listens.
+/// Address on which a server listens.
 struct endpoint {
-  /// An IP number; names are not looked up.
+  /// An IP address; host names are not resolved.
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
 
   friend auto operator<=>(const endpoint&, const endpoint&) = default;
 };
 
-/// "127.0.0.1:8080"; nothing when the text is anything else.
+/// Parses "IP:port", such as "127.0.0.1:8080". The address part is not checked here. Returns
+/// nothing when the text has another form.
 std::optional<endpoint> endpoint_from_string(std::string_view text);
 std::string to_string(const endpoint& where);
 
--- a/libs/http/include/hawthornlane/http/server.h
+++ b/libs/http/include/hawthornlane/http/server.h
@@ -14,9 +14,9 @@
 
 namespace hawthornlane::http {
 
-/// One request's way back to its caller. Either one `respond`, or `start_stream`,
+/// Writes the response of one request. Call either `respond` once, or `start_stream`,
 /// any number of `write`s and one `finish_stream`. Each returns false once the
-/// caller is gone; the handler may go on without it.
+/// caller has disconnected; the handler may still continue.
 class exchange {
 public:
   exchange() = default;
@@ -30,28 +30,29 @@
   virtual boost::asio::awaitable<bool> finish_stream() = 0;
 };
 
-/// What a connection may do before it is answered with an error and closed.
+/// Limits of a connection. A request that exceeds one gets an error response, and the connection
+/// is closed.
 struct server_limits {
   std::size_t header_bytes = std::size_t{16} * 1024;
   std::size_t body_bytes = std::size_t{4} * 1024 * 1024;
-  /// For one whole request to arrive once its first byte has.
+  /// From the first byte of a request to its last.
   duration request_time = std::chrono::seconds(10);
-  /// For a connection without a request.
+  /// Longest time without a request.
   duration idle_time = std::chrono::seconds(60);
-  /// For one write to be taken by the caller.
+  /// Timeout of one write to the caller.
   duration write_time = std::chrono::seconds(20);
   std::size_t connections = 4096;
 };
 
 using handler = std::function<boost::asio::awaitable<void>(const request&, exchange&)>;
-/// Makes the response for a request that could not be read.
+/// Creates the response to a request that could not be read.
 using error_responder = std::function<response(error_kind, std::string_view detail)>;
 
-/// Listens and serves until stopped. A fault of one connection harms no other.
+/// Listens and serves until stopped. An error on one connection does not affect others.
 class server {
 public:
-  /// Listens at once, so that `where()` names the port that the kernel chose for
-  /// port 0. Throws `boost::system::system_error` when it cannot.
+  /// Listens at once, so that `where()` returns the port that the kernel chose for
+  /// port 0. Throws `boost::system::system_error` on failure.
   server(boost::asio::io_context& context, const endpoint& listen_at, server_limits limits,
          handler handle, error_responder refuse);
   server(const server&) = delete;
@@ -59,12 +60,12 @@
   ~server();
 
   [[nodiscard]] endpoint where() const;
-  /// Accepts nothing new; requests under way are served to their end.
+  /// Stops accepting connections; in-flight requests are completed.
   void stop_accepting();
-  /// Requests under way.
+  /// Number of in-flight requests.
   [[nodiscard]] std::size_t active() const;
 
-  /// What the connections share; defined with the implementation.
+  /// State shared by the connections; defined in the source file.
   struct state;
 
 private:
--- a/libs/http/src/answer_server.cc
+++ b/libs/http/src/answer_server.cc
@@ -1,4 +1,4 @@
-// An HTTP server for questions that are answered at once.
+// An HTTP server with a synchronous handler.
 #include "hawthornlane/http/answer_server.h"
 
 #include <utility>
--- a/libs/http/src/client.cc
+++ b/libs/http/src/client.cc
@@ -90,18 +90,18 @@
 
 constexpr int first_error_status = 400;
 
-/// One try to get an answer over one connection.
+/// One attempt to get a response over one connection.
 struct attempt {
   std::unique_ptr<beast::tcp_stream> stream;
-  /// A kept connection may have been closed by the server meanwhile.
+  /// The connection comes from the pool; the server may have closed it in the meantime.
   bool reused = false;
   bool try_again = false;
   bool reusable = false;
   std::optional<response> head;
 };
 
-/// Has the kernel probe an idle connection, so that a long wait for an answer ends
-/// soon after the other side or the path to it is gone without a word.
+/// Enables TCP keepalive probes, so that a long wait for a response ends soon after the peer
+/// or the network path fails without closing the connection.
 void probe_while_idle(tcp::socket& socket) {
   using asio::detail::socket_option::integer;
   constexpr int probe_seconds = 1;
@@ -133,7 +133,7 @@
 
 using body_parser = bhttp::response_parser<bhttp::buffer_body>;
 
-/// Reads the body into `sink`, or into the head when the status is an error.
+/// Passes the body to `sink`, or stores it in `head.body` when the status is an error.
 asio::awaitable<bool> read_body(beast::tcp_stream& stream, beast::flat_buffer& buffer,
                                 body_parser& parser, duration silence, const body_sink& sink,
                                 response& head, fetch_failure& reason) {
@@ -156,14 +156,14 @@
       continue;
     }
     if (!part.empty() && !sink(part)) {
-      reason = {progress::answered_in_part, "the receiver ended the transfer"};
+      reason = {progress::answered_in_part, "the receiver stopped the transfer"};
       co_return false;
     }
   }
   co_return true;
 }
 
-/// Runs on the connection's own strand, so that its timer never races with it.
+/// Must run on the connection's own strand, to avoid races with the stream's timer.
 asio::awaitable<void> run(attempt& one, const endpoint& where, const string_request& message,
                           duration silence, const body_sink& sink, fetch_failure& reason) {
   if (!one.reused) {
@@ -223,8 +223,8 @@
                                                               fetch_failure& reason) {
   const auto executor = co_await asio::this_coro::executor;
   const string_request message = wire_request(where, what);
-  // Only a request that may run twice goes over a kept connection, since one that
-  // the server has closed cannot be told from one that took the request.
+  // Only a request that may run twice uses a pooled connection. When a write to one fails, the
+  // server may have closed the connection before, or may have received the request.
   const bool repeatable = what.method == "GET";
   while (true) {
     attempt one;
--- a/libs/http/src/message.cc
+++ b/libs/http/src/message.cc
@@ -1,4 +1,4 @@
-// Plain HTTP values.
+// HTTP requests and responses as value types.
 #include "hawthornlane/http/message.h"
 
 #include <algorithm>
--- a/libs/http/src/server.cc
+++ b/libs/http/src/server.cc
@@ -42,7 +42,7 @@
 
 namespace {
 
-/// Counts one thing for as long as it lives.
+/// Increments a counter for the lifetime of the object.
 class counted {
 public:
   explicit counted(std::atomic<std::size_t>& target) : counter(target) { ++this->counter; }
@@ -172,8 +172,8 @@
          error == asio::error::connection_reset || error == asio::error::operation_aborted;
 }
 
-/// Ends the reads of a connection at a moment, but leaves it open for an answer,
-/// which the stream's own timeout would not.
+/// Cancels the reads of a connection at a deadline, but keeps it open for an error response.
+/// The stream's own timeout would close it.
 class read_deadline {
 public:
   read_deadline(beast::tcp_stream& stream, duration limit) : timer(stream.get_executor()) {
@@ -188,7 +188,7 @@
   }
   read_deadline(const read_deadline&) = delete;
   read_deadline& operator=(const read_deadline&) = delete;
-  /// From now on the stream is not touched, even if the timer has just fired.
+  /// After this the stream is not accessed, even if the timer has already fired.
   ~read_deadline() { this->flags->over = true; }
 
   [[nodiscard]] bool passed() const { return this->flags->passed; }
@@ -245,14 +245,15 @@
   }
   const std::optional<request> plain = plain_request(parser.get());
   if (!plain) {
-    response refusal = shared->refuse(error_kind::bad_request, "the target is not a valid path");
+    response refusal =
+        shared->refuse(error_kind::bad_request, "the request target is not a valid path");
     co_await reply.respond(std::move(refusal));
     co_return false;
   }
   stream.expires_never();
   co_await shared->handle(*plain, reply);
   if (!reply.was_answered()) {
-    response refusal = shared->refuse(error_kind::internal, "no answer was made");
+    response refusal = shared->refuse(error_kind::internal, "the handler sent no response");
     co_await reply.respond(std::move(refusal));
   }
   co_return reply.usable();
@@ -272,7 +273,7 @@
 }
 
 void log_nothing(const std::exception_ptr& /*fault*/) {
-  // A connection's fault ends that connection only.
+  // An exception of a connection ends only that connection.
 }
 
 asio::awaitable<void> accept_loop(std::shared_ptr<server::state> shared) {
--- a/libs/http/test/server_test.cc
+++ b/libs/http/test/server_test.cc
@@ -1,5 +1,5 @@
-// Tests of the HTTP server against callers that behave badly: each gets the
-// answer of the error table, and a well-behaved one is served all the while.
+// Guards the HTTP server against misbehaving callers: an invalid or slow request gets the
+// response of the error table, and other callers are still served.
 #include "hawthornlane/http/server.h"
 
 #include <boost/asio/connect.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A server that echoes bodies, on a thread of its own.
+/// A server that echoes bodies, on its own thread.
 class echo_server {
 public:
   echo_server() {
@@ -43,7 +43,7 @@
   echo_server& operator=(const echo_server&) = delete;
   ~echo_server() { this->context.stop(); }
 
-  /// Sends the bytes, perhaps closes the sending side, and reads until the end.
+  /// Sends the bytes, optionally shuts down the sending side, and reads until the end.
   std::string talk(const std::string& bytes, bool half_close = false) const {
     asio::io_context own;
     tcp::socket socket(own);
@@ -73,7 +73,8 @@
 
 }  // namespace
 
-TEST_CASE("a caller that behaves badly gets the table's answer and harms nobody") {
+TEST_CASE(
+    "an invalid or slow request gets the error table's response and other callers are served") {
   struct manner {
     std::string name;
     std::string bytes;
@@ -97,19 +98,19 @@
   CHECK(good.ends_with("POST /a b"));
 }
 
-TEST_CASE("a caller that closes its sending side still gets its answer") {
+TEST_CASE("a caller that shuts down its sending side still gets its response") {
   const echo_server server;
   CHECK(server.talk(request("/a", "", "b"), true).ends_with("POST /a b"));
 }
 
-TEST_CASE("a connection that is cut in a request leaves the others alone") {
+TEST_CASE("a connection that ends in the middle of a request does not affect others") {
   const echo_server server;
   const std::string cut = server.talk("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf", true);
   CHECK(cut.starts_with("HTTP/1.1 400 "));
   CHECK(server.talk(request("/a", "", "b")).ends_with("POST /a b"));
 }
 
-TEST_CASE("an address is IP and port and nothing else") {
+TEST_CASE("only an address of the form IP:port is parsed") {
   CHECK(http::endpoint_from_string("127.0.0.1:80") == http::endpoint{"127.0.0.1", 80});
   const auto bad =
       GENERATE(as<std::string>{}, "", ":80", "127.0.0.1", "127.0.0.1:", "h:70000", "127.0.0.1:8x");
--- a/libs/net/include/hawthornlane/net/async_signal.h
+++ b/libs/net/include/hawthornlane/net/async_signal.h
@@ -1,4 +1,4 @@
-// Lets one coroutine wait until another part of the program wakes it.
+// A wake-up signal for one waiting coroutine.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -9,7 +9,7 @@
 
 namespace hawthornlane::net {
 
-/// One waiter, one wake-up. A wake-up before the wait is not lost. For one thread.
+/// One waiter at a time. A `wake` that precedes the wait ends that wait at once. Not thread-safe.
 class async_signal {
 public:
   explicit async_signal(boost::asio::io_context& context)
@@ -29,7 +29,7 @@
     this->woken = false;
   }
 
-  /// The same, but for no longer than `until`.
+  /// As `wait`, but returns at `until` at the latest.
   boost::asio::awaitable<void> wait_until(std::chrono::steady_clock::time_point until) {
     if (!this->woken) {
       this->timer.expires_at(until);
--- a/libs/net/include/hawthornlane/net/deadline_sweeper.h
+++ b/libs/net/include/hawthornlane/net/deadline_sweeper.h
@@ -1,4 +1,4 @@
-// One timer for the timeouts of many sockets and calls.
+// A shared timer for the timeouts of many sockets and calls.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,10 +13,10 @@
 
 using steady_time = std::chrono::steady_clock::time_point;
 
-/// No timeout.
+/// Deadline that never expires.
 constexpr steady_time never = steady_time::max();
 
-/// Something that wants to hear when a moment has passed.
+/// An item with a deadline; base class of what a `deadline_sweeper` checks.
 class expiring {
 public:
   expiring() = default;
@@ -24,23 +24,23 @@
   expiring& operator=(const expiring&) = delete;
   virtual ~expiring() = default;
 
-  /// Called once after `expires_at` has passed; the moment is `never` again by then.
+  /// Called once after `expires_at` has passed. `expires_at` has been reset to `never` by then.
   virtual void on_expired() = 0;
 
-  /// Set freely; read at the sweeper's next pass.
+  /// May be changed at any time; takes effect at the next sweep.
   steady_time expires_at = never;
 };
 
-/// Looks at all registered items at a fixed pace. A timer for each socket would
-/// cost a system call for each read and write; a pass over some hundred items
-/// costs a few microseconds. Timeouts are late by one pass at most.
+/// Checks all registered items at a fixed interval. A timer per socket would cost a
+/// system call for each read and write; a sweep over some hundred items costs a few
+/// microseconds. A timeout fires at most one interval late.
 class deadline_sweeper {
 public:
-  /// The registered items. Shared, since sockets of coroutines that are destroyed
+  /// The registered items. Shared, because sockets in coroutines that are destroyed
   /// with the io_context may outlive the sweeper.
   using registry = std::set<expiring*>;
 
-  /// Between two passes; short against the shortest timeout in use (200 ms).
+  /// Time between two sweeps; short compared with the shortest timeout in use (200 ms).
   static constexpr std::chrono::milliseconds pace{25};
 
   explicit deadline_sweeper(boost::asio::io_context& context);
@@ -48,7 +48,7 @@
   void add(expiring& item) { this->items->insert(&item); }
   void remove(expiring& item) { this->items->erase(&item); }
   [[nodiscard]] const std::shared_ptr<registry>& registered() const { return this->items; }
-  /// Called at each pass, for work that needs no timer of its own.
+  /// Adds a hook that is called at each sweep, for periodic work without a timer of its own.
   void on_pass(std::function<void()> hook) { this->hooks.push_back(std::move(hook)); }
 
 private:
--- a/libs/net/include/hawthornlane/net/frame.h
+++ b/libs/net/include/hawthornlane/net/frame.h
@@ -1,4 +1,4 @@
-// The framing of messages between hosts: a fixed head, then the payload.
+// Framing of messages between hosts: a fixed-size header, then the payload.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 /// What a frame carries.
 enum class frame_kind : std::uint8_t { request = 1, answer = 2, refusal = 3 };
 
-/// One message; `call` pairs an answer with its request on one connection.
+/// One message. `call` matches a response to its request within one connection.
 struct frame {
   frame_kind kind = frame_kind::request;
   std::uint16_t method = 0;
@@ -19,26 +19,26 @@
   std::string payload;
 };
 
-/// Bytes before each payload: length, checksum, call, method, kind, reserved.
+/// Size of the header, bytes: length, checksum, call, method, kind, reserved.
 constexpr std::size_t frame_head_size = 20;
-/// Largest payload, bytes; a longer one ends the connection. A history of 700,000
-/// tokens at two bytes a token fits.
+/// Largest payload, bytes; a longer one closes the connection. A history of 700,000
+/// tokens at two bytes per token fits.
 constexpr std::size_t largest_payload = std::size_t{8} * 1024 * 1024;
 
-/// Appends the frame's bytes.
+/// Appends the encoded frame to `out`.
 void append_frame(std::string& out, const frame& message);
 
-/// Gives the memory of an empty buffer back once it has held a large frame. A connection
-/// lives for hours: one answer of 1 MB on each of 59 connections left 61 MB in a process.
+/// Frees the memory of an empty buffer that has held a large frame. Connections stay open
+/// for hours: without this, one 1 MB response on each of 59 connections held 61 MB in a process.
 void release_when_empty(std::string& buffer);
 
-/// Takes whole frames out of a stream of bytes.
+/// Extracts complete frames from a byte stream.
 class frame_reader {
 public:
-  /// Removes the first whole frame from `buffer`; nothing when more bytes are
-  /// needed or the bytes are no frame (see `broken`).
+  /// Removes the first complete frame from `buffer`. Returns nothing when more bytes are
+  /// needed or the bytes are not a valid frame (see `broken`).
   std::optional<frame> take(std::string& buffer);
-  /// The bytes broke the framing or a checksum; the connection has to end.
+  /// True after an invalid header or checksum; the connection must be closed.
   [[nodiscard]] bool broken() const { return this->is_broken; }
 
 private:
--- a/libs/net/include/hawthornlane/net/message_bytes.h
+++ b/libs/net/include/hawthornlane/net/message_bytes.h
@@ -1,4 +1,4 @@
-// Typed messages to bytes and back.
+// Serializes typed messages with cereal's binary archives.
 #pragma once
 
 #include <cereal/archives/binary.hpp>
@@ -20,7 +20,7 @@
   return std::move(out).str();
 }
 
-/// Nothing when the bytes are not a whole message.
+/// Returns nothing when the bytes are not a complete message.
 template <class Message>
 std::optional<Message> from_bytes(const std::string& bytes) {
   try {
@@ -30,13 +30,14 @@
     archive(message);
     return message;
   } catch (const std::exception&) {
-    // cereal reports a short or malformed message only by an exception.
+    // cereal reports a truncated or malformed message only by throwing.
     return std::nullopt;
   }
 }
 
-/// A message, and behind it what older hosts neither write nor read: without a tail the bytes are
-/// the message's alone. Nothing when they are not a whole message, or the tail is not whole.
+/// Reads a message followed by an optional tail. Hosts of older versions neither write nor read
+/// the tail; when it is absent, it keeps its defaults. Returns nothing when the message, or a tail
+/// that is present, is incomplete.
 template <class Message, class Tail>
 std::optional<std::pair<Message, Tail>> from_bytes_with_tail(const std::string& bytes) {
   try {
--- a/libs/net/include/hawthornlane/net/packing.h
+++ b/libs/net/include/hawthornlane/net/packing.h
@@ -1,4 +1,4 @@
-// Text made short for the way between hosts, with zstd.
+// Compression of text that is sent between hosts, with zstd.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,11 @@
 
 namespace hawthornlane::net {
 
-/// The text in fewer bytes; never fails, though bytes without repetition grow a little.
+/// Compresses the text. Never fails; incompressible input grows a little.
 std::string pack(std::string_view text);
 
-/// The text of `pack`; nothing when the bytes are no such text, or when it would have
-/// more than `most` bytes, which is found out before memory is taken for it.
+/// Reverses `pack`. Returns nothing when the bytes are not valid compressed text, or when the
+/// text would be longer than `most` bytes, which is checked before memory is allocated for it.
 std::optional<std::string> unpack(std::string_view packed, std::size_t most);
 
 }  // namespace hawthornlane::net
--- a/libs/net/include/hawthornlane/net/rpc.h
+++ b/libs/net/include/hawthornlane/net/rpc.h
@@ -1,4 +1,4 @@
-// Calls between hosts over one kept TCP connection a pair.
+// Remote calls between hosts, over one persistent TCP connection per client.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,29 +14,28 @@
 
 namespace hawthornlane::net {
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 enum class rpc_failure : std::uint8_t {
   none,
-  /// Not connected; the other host has seen nothing.
+  /// Not sent; the other host has not seen the request.
   unreachable,
-  /// Sent, then the connection ended or the time was over: it may have been acted on.
+  /// Sent, then the connection closed or the call timed out: the request may have been executed.
   unknown,
-  /// The other host cannot read the request, does not serve the method, or has no room
-  /// for the answer; or the request is too large to be sent.
+  /// The other host cannot decode the request, does not serve the method, or has no room
+  /// for the response; or the request is too large to send.
   refused,
 };
 
-/// Receives the answer, or why there is none. Called once.
+/// Receives the response, or the reason why there is none. Called exactly once.
 using rpc_done = std::function<void(rpc_failure why, std::string answer)>;
 
-/// Requests that wait to be sent to one other host, bytes (each client for itself); beyond it a
-/// call fails at once as unreachable. One of the largest requests fits beside some hundred small
-/// ones.
+/// Limit of the requests that are queued for sending, bytes per client; beyond it a call fails at
+/// once as unreachable. One request of the largest size fits beside some hundred small ones.
 constexpr std::size_t most_unsent_bytes = std::size_t{10} * 1024 * 1024;
 
-/// One other host. Connects when there is something to send; a connection on which
-/// a call timed out without a byte from the other side is given up as silent.
-/// For one thread.
+/// Calls one other host. Connects when there is something to send. When a call times out and
+/// nothing was received since it was sent, the connection is considered dead and closed.
+/// Not thread-safe.
 class rpc_client {
 public:
   rpc_client(boost::asio::io_context& context, deadline_sweeper& sweeper, http::endpoint where);
@@ -53,12 +52,12 @@
   std::shared_ptr<state> shared;
 };
 
-/// Sends one answer; nothing refuses the request.
+/// Sends the response; `std::nullopt` refuses the request.
 using rpc_reply = std::function<void(std::optional<std::string> answer)>;
-/// Serves one request; may reply later, but once.
+/// Serves one request. May reply later, but exactly once.
 using rpc_handler = std::function<void(std::uint16_t method, std::string payload, rpc_reply reply)>;
 
-/// Listens for other hosts' calls. For one thread.
+/// Serves calls of other hosts. Not thread-safe.
 class rpc_server {
 public:
   /// Throws `boost::system::system_error` when it cannot listen.
@@ -69,10 +68,11 @@
   ~rpc_server();
 
   [[nodiscard]] http::endpoint where() const;
-  /// Bytes of answers that the kernel has not taken yet, of all connections.
+  /// Bytes of responses, over all connections, that the kernel has not accepted yet.
   [[nodiscard]] std::size_t waiting_bytes() const;
-  /// Beyond so many of them a request is refused in place of its answer; 16 MB unless
-  /// set. One connection may hold a quarter of it, but always one of the largest answers.
+  /// Sets the limit of the queued response bytes; 16 MB by default. Beyond it a request is refused
+  /// instead of answered. One connection may queue a quarter of the limit, but always one response
+  /// of the largest size.
   void limit_waiting_bytes(std::size_t most);
 
   struct state;
--- a/libs/net/include/hawthornlane/net/timed_socket.h
+++ b/libs/net/include/hawthornlane/net/timed_socket.h
@@ -1,4 +1,4 @@
-// A TCP socket whose operations end at a moment.
+// A TCP socket whose operations have deadlines.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,9 +16,9 @@
 
 using boost::system::error_code;
 
-/// Reads and writes with timeouts. For one thread. An operation that ran into its
-/// timeout fails with `boost::asio::error::timed_out`; the socket stays open, so
-/// that an error answer can still be written.
+/// Reads and writes with timeouts. Not thread-safe. An operation that exceeds its
+/// deadline fails with `boost::asio::error::timed_out`; the socket stays open, so
+/// that an error response can still be written.
 class timed_socket {
 public:
   timed_socket(boost::asio::ip::tcp::socket connected, deadline_sweeper& sweeper);
@@ -28,35 +28,35 @@
   ~timed_socket();
 
   boost::asio::awaitable<error_code> connect(http::endpoint where, steady_time until);
-  /// Bytes read; 0 with an error set when there are none.
+  /// Returns the bytes read; on failure 0, with `error` set.
   boost::asio::awaitable<std::size_t> read_some(boost::asio::mutable_buffer into, steady_time until,
                                                 error_code& error);
-  /// Appends to `buffer`, at most `most` bytes.
+  /// Reads at most `most` bytes and appends them to `buffer`.
   boost::asio::awaitable<error_code> read_more(std::string& buffer, std::size_t most,
                                                steady_time until);
   boost::asio::awaitable<error_code> write_all(std::string_view bytes, steady_time until);
-  /// Writes in slices, each with a timeout of its own: a large batch on a slow link is not
-  /// late as long as it goes on. `sent` hears of each slice
-  /// and has to live until the end.
+  /// Writes in slices, each with its own timeout, so that a large batch on a slow link does
+  /// not time out while it makes progress. `sent` is called with the size of each written
+  /// slice and must outlive the operation.
   boost::asio::awaitable<error_code> write_slices(std::string_view bytes,
                                                   const std::function<void(std::size_t)>& sent);
 
-  /// Calls `hook` once when the other side closes or resets the connection while
-  /// nothing is being read. Bytes that arrive instead end the watch silently.
+  /// Calls `hook` once when the peer closes or resets the connection while no read is
+  /// pending. If data arrives first, the watch ends without a call.
   void watch_for_close(std::function<void()> hook);
   void stop_watching();
-  /// True when an idle connection has been closed or has bytes nobody asked for.
+  /// True when an idle connection was closed or has unsolicited data.
   [[nodiscard]] bool spoiled_while_idle();
 
-  /// Ends operations under way and closes; `hard` sends a reset in place of an
-  /// orderly end.
+  /// Cancels pending operations and closes. `hard` sends a reset instead of an orderly
+  /// shutdown.
   void close(bool hard = false);
   [[nodiscard]] bool is_open() const { return this->socket.is_open(); }
-  /// Ends sending; the other side still may.
+  /// Shuts down the sending side; the peer may still send.
   void shutdown_send();
 
 private:
-  /// Cancels the operation of one direction.
+  /// The deadline of one direction; cancels the socket's operations when it expires.
   struct alarm final : expiring {
     explicit alarm(timed_socket& owner) : socket(owner) {}
     void on_expired() override;
--- a/libs/net/src/deadline_sweeper.cc
+++ b/libs/net/src/deadline_sweeper.cc
@@ -1,4 +1,4 @@
-// One timer for many timeouts.
+// Periodic check of many deadlines by one timer.
 #include "hawthornlane/net/deadline_sweeper.h"
 
 namespace hawthornlane::net {
@@ -27,7 +27,7 @@
     }
   }
   for (expiring* item : expired) {
-    // An earlier item's reaction may have removed this one or moved its moment.
+    // The callback of an earlier item may have removed this one or changed its deadline.
     if (!this->items->contains(item) || item->expires_at > now) {
       continue;
     }
--- a/libs/net/src/frame.cc
+++ b/libs/net/src/frame.cc
@@ -1,4 +1,4 @@
-// Framing of messages between hosts.
+// Encodes and decodes frames.
 #include "hawthornlane/net/frame.h"
 
 #include <xxhash.h>
@@ -15,7 +15,7 @@
 constexpr std::size_t call_at = 8;
 constexpr std::size_t method_at = 16;
 constexpr std::size_t kind_at = 18;
-/// Of a buffer between two frames: four reads.
+/// Capacity, in bytes, that an empty buffer may keep: four reads.
 constexpr std::size_t kept_capacity = std::size_t{64} * 1024;
 
 template <class Number>
--- a/libs/net/src/packing.cc
+++ b/libs/net/src/packing.cc
@@ -1,4 +1,4 @@
-// Text made short with zstd.
+// Text compression with zstd.
 #include "hawthornlane/net/packing.h"
 
 #include <zstd.h>
@@ -6,8 +6,7 @@
 namespace hawthornlane::net {
 namespace {
 
-/// Fast: 800 KB of routes take 1.5 ms of a core and become 33 KB (one run of a small
-/// program around `pack`).
+/// The fastest level is enough: 800 KB of routes take 1.5 ms of one core and become 33 KB.
 constexpr int level = 1;
 
 }  // namespace
@@ -16,14 +15,14 @@
   std::string packed(ZSTD_compressBound(text.size()), '\0');
   const std::size_t size =
       ZSTD_compress(packed.data(), packed.size(), text.data(), text.size(), level);
-  // The buffer has room for the worst case, the only error that there is here.
+  // The only possible error is a buffer that is too small, and this one fits the worst case.
   packed.resize(ZSTD_isError(size) != 0 ? 0 : size);
   packed.shrink_to_fit();
   return packed;
 }
 
 std::optional<std::string> unpack(std::string_view packed, std::size_t most) {
-  // Also beyond `most`: the two values that stand for an error and for an unknown size.
+  // The values for an error and for an unknown size exceed `most` too.
   const unsigned long long size = ZSTD_getFrameContentSize(packed.data(), packed.size());
   if (size > most) {
     return std::nullopt;
--- a/libs/net/src/rpc_client.cc
+++ b/libs/net/src/rpc_client.cc
@@ -1,4 +1,4 @@
-// The calling side of the connection between two hosts.
+// Client side of calls between hosts.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// For a connection to another host of the deployment: its links take milliseconds,
-/// a lost first packet is sent again after a second.
+/// Timeout for connecting to another host of the deployment. Links take milliseconds;
+/// a lost first packet is retransmitted after one second.
 constexpr auto connect_limit = std::chrono::milliseconds(1500);
 constexpr std::size_t read_size = std::size_t{16} * 1024;
-/// Requests that are written together; what comes later may still be dropped.
+/// Size, in bytes, at which a write batch is full. Requests outside the batch can still be dropped.
 constexpr std::size_t batch_size = std::size_t{64} * 1024;
 
 }  // namespace
@@ -42,13 +42,13 @@
   http::endpoint where;
   std::map<std::uint64_t, std::unique_ptr<pending>> calls;
   std::uint64_t next_id = 1;
-  /// A request that nobody has begun to write.
+  /// A queued request whose write has not started.
   struct unsent_request {
     std::uint64_t id = 0;
     std::string bytes;
   };
-  /// Invariant: each belongs to a call that still waits; `unsent_bytes` is their sum. A
-  /// call that has timed out is not sent any more.
+  /// Invariant: each entry belongs to a pending call, and `unsent_bytes` is the sum of their
+  /// sizes. The request of a call that timed out is removed and never sent.
   std::deque<unsent_request> unsent;
   std::size_t unsent_bytes = 0;
   std::shared_ptr<timed_socket> socket;
@@ -89,7 +89,7 @@
     asio::post(this->context, [done = std::move(done), why] { done(why, {}); });
   }
 
-  /// False when that request has been begun already.
+  /// Removes a queued request. False when its write has already started.
   bool drop_unsent(std::uint64_t id) {
     const auto found = std::find_if(this->unsent.begin(), this->unsent.end(),
                                     [id](const unsent_request& item) { return item.id == id; });
@@ -101,7 +101,7 @@
     return true;
   }
 
-  /// Some requests in the order in which they were made.
+  /// Takes the next requests from the queue, in order.
   std::string next_batch() {
     std::string batch;
     while (!this->unsent.empty() && batch.size() < batch_size) {
@@ -134,7 +134,7 @@
   }
 
   void fail_all(rpc_failure why) {
-    // Not the calls that are made meanwhile: their requests wait for the next connection.
+    // Calls made by the callbacks are not failed: their requests wait for the next connection.
     std::vector<std::uint64_t> ended;
     for (const auto& [id, item] : this->calls) {
       ended.push_back(id);
@@ -219,8 +219,8 @@
   if (this->shared->socket) {
     this->shared->socket->close();
   }
-  // Not from within the destructor: whoever waits may be in the middle of its own,
-  // or may use what holds this client.
+  // The callbacks run later, not within this destructor: the callee may itself be in
+  // destruction, or may use the object that owns this client.
   this->shared->fail_later();
 }
 
--- a/libs/net/src/rpc_server.cc
+++ b/libs/net/src/rpc_server.cc
@@ -1,4 +1,4 @@
-// The serving side of the connection between two hosts.
+// Server side of calls between hosts.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -18,17 +18,18 @@
 
 constexpr std::size_t read_size = std::size_t{16} * 1024;
 constexpr std::size_t standard_waiting_bytes = std::size_t{16} * 1024 * 1024;
-/// One connection's part of what may wait.
+/// One connection may queue this fraction (1/n) of the process's limit.
 constexpr std::size_t connection_part = 4;
 
-/// Bytes of answers that wait in all connections of a server. The bound is the process's:
-/// one of 16 MB for each of 56 connections was none to a process of 88 MB.
+/// Bytes of responses that are queued on all connections of a server. The limit covers the
+/// whole process: a limit of 16 MB per connection does not protect a process of 88 MB with
+/// 56 connections.
 struct answer_account {
   std::size_t waiting = 0;
   std::size_t most = standard_waiting_bytes;
 };
 
-/// One other host's connection.
+/// A connection from another host.
 struct connection : std::enable_shared_from_this<connection> {
   connection(tcp::socket accepted, asio::io_context& io, deadline_sweeper& sweeper,
              std::shared_ptr<answer_account> answers)
@@ -39,9 +40,9 @@
 
   asio::io_context& context;
   timed_socket socket;
-  /// Invariant: counted in `account`, like the batch that is being written.
+  /// Invariant: its size and `in_batch` are counted in `account->waiting`.
   std::string outgoing;
-  /// Bytes of the batch that is being written.
+  /// Unsent bytes of the batch that is being written.
   std::size_t in_batch = 0;
   std::shared_ptr<answer_account> account;
   bool writing = false;
@@ -67,13 +68,13 @@
     }
   }
 
-  /// So many bytes of the batch wait no more.
+  /// Subtracts written bytes of the batch from the queued bytes.
   void sent(std::size_t bytes) {
     this->in_batch -= bytes;
     this->account->waiting -= bytes;
   }
 
-  /// The largest answer always fits.
+  /// Limit of this connection's queued bytes; one response of the largest size always fits.
   [[nodiscard]] std::size_t largest_backlog() const {
     return std::max(this->account->most / connection_part, largest_payload + frame_head_size);
   }
--- a/libs/net/src/timed_socket.cc
+++ b/libs/net/src/timed_socket.cc
@@ -1,4 +1,4 @@
-// A TCP socket whose operations end at a moment.
+// A TCP socket whose operations have deadlines.
 #include "hawthornlane/net/timed_socket.h"
 
 #include <netinet/tcp.h>
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// Milliseconds after which unacknowledged data ends a connection: a host without
-/// power or behind a partition sends no reset.
+/// Time, in milliseconds, after which unacknowledged data closes a connection. A host that lost
+/// power or is behind a network partition sends no reset.
 constexpr int unacknowledged_ms = 4000;
-/// Of a large batch: 35 ms of a link of 30 Mbit/s.
+/// Bytes written under one timeout; 35 ms on a link of 30 Mbit/s.
 constexpr std::size_t slice_size = std::size_t{128} * 1024;
-/// For one slice to be taken by the other side's kernel.
+/// Timeout for the peer's kernel to accept one slice.
 constexpr auto slice_limit = std::chrono::seconds(3);
 
 }  // namespace
@@ -138,7 +138,7 @@
         if (!watching->hook || error == asio::error::operation_aborted) {
           return;
         }
-        // The hook may end the watch, which destroys its own storage.
+        // The hook may stop the watch, which would destroy the function while it runs.
         const std::function<void()> told = std::move(watching->hook);
         watching->hook = nullptr;
         char byte = 0;
--- a/libs/net/test/frame_test.cc
+++ b/libs/net/test/frame_test.cc
@@ -1,4 +1,5 @@
-// Frames come out whole whatever the pieces in which they arrive; broken ones do not.
+// Guards against frames that are lost or corrupted when their bytes arrive in pieces, and
+// against corrupted frames being accepted.
 #include "hawthornlane/net/frame.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("frames are the same for every place where their bytes are cut") {
+TEST_CASE("frames are decoded wherever their bytes are split") {
   const std::string bytes = two_frames();
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     INFO("cut at " << cut);
@@ -39,9 +40,9 @@
   }
 }
 
-TEST_CASE("a changed byte breaks the stream, or changes only what is not checked") {
+TEST_CASE("a frame with a changed length, checksum, kind or payload is not accepted") {
   const std::string bytes = two_frames();
-  // The payload, its length, its checksum and the kind of the first frame.
+  // Offsets in the first frame: length, checksum, kind, payload.
   for (const std::size_t at : {0U, 3U, 4U, 18U, 20U, 24U}) {
     INFO("byte " << at);
     std::string buffer = bytes;
@@ -51,7 +52,7 @@
   }
 }
 
-TEST_CASE("a buffer between two frames does not keep the memory of a large one") {
+TEST_CASE("an empty buffer does not keep the memory of a large frame") {
   struct row {
     const char* what;
     std::size_t capacity;
--- a/libs/net/test/packing_test.cc
+++ b/libs/net/test/packing_test.cc
@@ -1,4 +1,5 @@
-// Packed text comes back whole; other bytes and absurd sizes do not pass.
+// Guards against compressed text that does not decompress to the original, and against
+// malformed or oversized input being accepted.
 #include "hawthornlane/net/packing.h"
 
 #include <catch2/catch.hpp>
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("packed text comes back whole") {
+TEST_CASE("compressed text decompresses to the original") {
   struct row {
     const char* what;
     std::string text;
@@ -49,7 +50,7 @@
   }
 }
 
-TEST_CASE("what is no packed text, or too long, is nothing") {
+TEST_CASE("input that is malformed or decompresses to too many bytes is rejected") {
   const std::string whole = pack(repeated(90'000));
   std::string changed = whole;
   changed[changed.size() / 2] = static_cast<char>(changed[changed.size() / 2] ^ 0x55);
@@ -61,16 +62,16 @@
       {"no bytes", ""},
       {"plain text", "{\"version\":3}"},
       {"random bytes", random_bytes(3000)},
-      {"a part", whole.substr(0, whole.size() / 2)},
-      {"a head only", whole.substr(0, 8)},
-      {"more bytes behind it", whole + "x"},
+      {"a truncated text", whole.substr(0, whole.size() / 2)},
+      {"the header only", whole.substr(0, 8)},
+      {"trailing bytes", whole + "x"},
       {"a text of 100 MB", pack(std::string(100'000'000, 'a'))},
   };
   for (const row& item : rows) {
     INFO(item.what);
     CHECK_FALSE(unpack(item.bytes, most));
   }
-  // Changed bytes may still be a text, but not that one and never a longer one.
+  // Corrupted input may still decompress, but never to more than the limit.
   const auto other = unpack(changed, most);
   CHECK((!other || other->size() <= most));
 }
--- a/libs/net/test/rpc_test.cc
+++ b/libs/net/test/rpc_test.cc
@@ -1,4 +1,4 @@
-// Calls between hosts: answered, refused, timed out, cut, and given up.
+// Calls between hosts: success, refusal, timeout, connection loss, and the limits of the queues.
 #include "hawthornlane/net/rpc.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 constexpr std::uint16_t echo = 1;
 constexpr std::uint16_t silent = 2;
 
-/// A server that echoes, refuses or says nothing, by the method.
+/// A server that echoes, refuses or sends nothing, depending on the method.
 class call_fixture {
 public:
   call_fixture()
@@ -63,24 +63,24 @@
 
 }  // namespace
 
-TEST_CASE("how a call ends") {
+TEST_CASE("a call reports a response, a refusal or a timeout") {
   call_fixture all;
   rpc_client client(all.context, all.sweeper, all.server.where());
   CHECK(all.call(client, echo) == rpc_failure::none);
   CHECK(all.last_answer == "payload");
   CHECK(all.call(client, 9) == rpc_failure::refused);
   CHECK(all.call(client, silent, 100ms) == rpc_failure::unknown);
-  // The connection was given up as silent; the next call makes a new one.
+  // The client closed the silent connection; the next call opens a new one.
   CHECK(all.call(client, echo) == rpc_failure::none);
 }
 
-TEST_CASE("a host that does not listen is unreachable at once") {
+TEST_CASE("a call to a host that does not listen fails as unreachable") {
   call_fixture all;
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", 1});
   CHECK(all.call(client, echo) == rpc_failure::unreachable);
 }
 
-TEST_CASE("bytes that are no frame end their connection only") {
+TEST_CASE("bytes that are not a frame close only the connection they arrive on") {
   call_fixture all;
   asio::ip::tcp::socket rude(all.context);
   rude.connect({asio::ip::make_address("127.0.0.1"), all.server.where().port});
@@ -93,7 +93,7 @@
   CHECK(error);
 }
 
-TEST_CASE("a client that goes away tells those who wait, but not from its destructor") {
+TEST_CASE("destroying a client fails its pending calls, but not within the destructor") {
   call_fixture all;
   bool told = false;
   {
@@ -107,7 +107,7 @@
   all.run_until([&told] { return told; });
 }
 
-TEST_CASE("answers that nobody reads are bounded for the process, not for each connection") {
+TEST_CASE("unread responses are limited for the whole process, not per connection") {
   constexpr std::size_t most = std::size_t{4} * 1024 * 1024;
   constexpr std::size_t answer_size = std::size_t{1} * 1024 * 1024;
   call_fixture all;
@@ -116,7 +116,7 @@
                       reply(std::string(answer_size, 'a'));
                     });
   server.limit_waiting_bytes(most);
-  // Eight hosts ask for 40 MB again and again and read nothing.
+  // Eight hosts repeatedly request 40 MB in total and read nothing.
   std::string asks;
   for (std::uint64_t call = 1; call <= 5; ++call) {
     append_frame(asks, {frame_kind::request, echo, call, ""});
@@ -140,7 +140,7 @@
   }
   CHECK(largest > answer_size);
   CHECK(largest <= most + 100 * frame_head_size);
-  // Who asks now is refused at once, and answered when the others are gone.
+  // A new request is refused at once, and served once the other connections are closed.
   rpc_client client(all.context, all.sweeper, server.where());
   CHECK(all.call(client, echo) == rpc_failure::refused);
   deaf.clear();
@@ -148,9 +148,9 @@
   CHECK(all.call(client, echo) == rpc_failure::none);
 }
 
-TEST_CASE("requests to a host that takes nothing fail at once when too many bytes wait") {
+TEST_CASE("requests to a host that accepts nothing fail at once when the queue is full") {
   call_fixture all;
-  // A listener that never accepts: its queue of connections is full after some.
+  // A listener that never accepts; nothing reads the requests.
   asio::ip::tcp::acceptor full(all.context, {asio::ip::make_address("127.0.0.1"), 0});
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", full.local_endpoint().port()});
   std::vector<rpc_failure> ends;
@@ -159,7 +159,7 @@
     client.call(echo, payload, 5s,
                 [&](rpc_failure why, const std::string&) { ends.push_back(why); });
   }
-  // Some fit before the limit; the rest is not kept.
+  // Requests beyond the queue's limit fail at once.
   all.run_until([&] { return ends.size() >= 8; });
   CHECK(std::count(ends.begin(), ends.end(), rpc_failure::unreachable) >= 8);
 }
@@ -168,28 +168,28 @@
   call_fixture all;
   asio::ip::tcp::acceptor slow(all.context);
   slow.open(asio::ip::tcp::v4());
-  // Else the kernels may hold 10 MB for a host that reads nothing.
+  // Without this the kernel may buffer 10 MB for a host that reads nothing.
   slow.set_option(asio::socket_base::receive_buffer_size(4096));
   slow.bind({asio::ip::make_address("127.0.0.1"), 0});
   slow.listen();
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", slow.local_endpoint().port()});
   constexpr int requests = 5;
   constexpr std::size_t large = std::size_t{2} * 1024 * 1024;
-  // By request: those of one pass of the sweeper end in any order.
+  // Keyed by request: calls that expire in the same sweep end in any order.
   std::map<int, rpc_failure> ends;
   for (int number = 0; number < requests; ++number) {
     client.call(echo, std::string(large, 'p'), 300ms,
                 [&ends, number](rpc_failure why, const std::string&) { ends[number] = why; });
   }
   all.run_until([&] { return ends.size() == requests; });
-  // The first one fills what the kernels hold for a host that reads nothing.
+  // The first request fills the kernel's buffers.
   CHECK(ends.at(0) == rpc_failure::unknown);
   CHECK(ends.at(requests - 1) == rpc_failure::unreachable);
 }
 
-TEST_CASE("a call that is made because another one failed goes over the next connection") {
+TEST_CASE("a call made from the callback of a failed call uses the next connection") {
   call_fixture all;
-  // Takes connections and ends each of them.
+  // Accepts connections and closes each of them.
   asio::ip::tcp::acceptor ending(all.context, {asio::ip::make_address("127.0.0.1"), 0});
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", ending.local_endpoint().port()});
   int retries = 0;
--- a/libs/relay/include/hawthornlane/relay/backend_pool.h
+++ b/libs/relay/include/hawthornlane/relay/backend_pool.h
@@ -1,4 +1,4 @@
-// Connections to backend servers, and one call over one of them.
+// A pool of connections to backend servers, and sending a call over one of them.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,24 +16,24 @@
 
 namespace hawthornlane::relay {
 
-/// How one try at one backend server ended.
+/// How one attempt at one backend server ended.
 enum class try_outcome : std::uint8_t {
-  /// The whole answer was read or handed on.
+  /// The whole response was read or forwarded.
   whole,
-  /// Nothing was sent: the server has not seen the call.
+  /// Nothing was sent; the server has not received the call.
   not_sent,
   /// The server states that it did not run the call.
   not_run,
-  /// Sent, but no whole answer came, or a refusal that does not say whether it ran: it may
-  /// have run.
+  /// Sent, but the response was incomplete, or a refusal that does not say whether the call
+  /// ran: it may have run.
   broken,
-  /// The time was over before the answer was whole.
+  /// The deadline passed before the response was complete.
   timed_out,
-  /// The caller left; the server's connection was closed.
+  /// The caller disconnected; the connection to the server was closed.
   abandoned,
 };
 
-/// The answer of a try, or its head when the body went to the sink.
+/// The response of an attempt; without a body when the body went to the sink.
 struct backend_answer {
   int status = 0;
   std::vector<http::header> headers;
@@ -41,33 +41,33 @@
   answer_terms terms;
 };
 
-/// Receives a streamed answer; false ends the transfer.
+/// Receives a streamed response. Returning false ends the transfer.
 struct stream_sink {
   std::function<boost::asio::awaitable<bool>(const backend_answer& head)> on_head;
   std::function<boost::asio::awaitable<bool>(std::string_view bytes)> on_bytes;
 };
 
-/// One call as it is sent to one server.
+/// One call to one server.
 struct backend_request {
   http::endpoint where;
-  /// Of the server that is meant. A connection to its former incarnation leads nowhere.
+  /// Incarnation of the addressed server. A connection to an earlier incarnation is dead.
   incarnation server_start;
   std::string method;
   std::string target;
   std::vector<http::header> headers;
-  /// Owned by the caller of `run`, which outlives the try.
+  /// Owned by the caller of `run`; must outlive the attempt.
   std::string_view body;
   request_id id;
   net::steady_time until = net::never;
-  /// A kept connection that the server has just closed would lose the call; one
-  /// that may not be repeated takes only those used within the last moments.
+  /// The call may be sent again. A call on a pooled connection that the server has just closed
+  /// is lost, so a call that is not repeatable uses only recently used connections.
   bool repeatable = false;
 };
 
-/// Lets somebody else end a try that is under way.
+/// Cancels an attempt that is in progress.
 class try_handle {
 public:
-  /// Closes the server's connection; the try ends as abandoned.
+  /// Closes the connection to the server; the attempt ends as `abandoned`.
   void abandon();
 
 private:
@@ -76,16 +76,16 @@
   bool abandoned = false;
 };
 
-/// Counts for metrics and for the decision log.
+/// Counters for metrics and for the decision log.
 struct pool_counters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
   std::uint64_t foreign_answers = 0;
-  /// Refusals that could have been meant for an earlier call of their connection.
+  /// Refusals without a request id, possibly meant for an earlier call on the same connection.
   std::uint64_t unnamed_refusals = 0;
 };
 
-/// Keeps idle connections of each server. For one thread.
+/// Keeps idle connections to each server. Not thread-safe.
 class backend_pool {
 public:
   backend_pool(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
@@ -94,13 +94,13 @@
   backend_pool& operator=(const backend_pool&) = delete;
   ~backend_pool();
 
-  /// Sends one call and reads its answer. An event stream goes to `sink`; any other
-  /// answer is read whole into `answer`, so that a broken one can be told apart
-  /// before the caller sees a byte. `detail` says why a try failed.
+  /// Sends one call and reads its response. An event stream goes to `sink`. Any other
+  /// response is read completely into `answer`, so that a broken one is detected
+  /// before the caller receives a byte. `detail` says why an attempt failed.
   boost::asio::awaitable<try_outcome> run(const backend_request& request, const stream_sink& sink,
                                           try_handle& handle, backend_answer& answer,
                                           std::string& detail);
-  /// Closes idle connections that are too old, and those of servers that are gone.
+  /// Closes idle connections that are too old, and those to servers that are no longer listed.
   void close_idle(const std::function<bool(const http::endpoint&)>& still_listed);
 
   [[nodiscard]] const pool_counters& counters() const { return this->counts; }
@@ -119,7 +119,7 @@
   boost::asio::awaitable<try_outcome> read_body(link& used, const backend_request& request,
                                                 const stream_sink& sink, struct answer_parser& from,
                                                 backend_answer& answer, std::string& detail);
-  /// What a whole answer says about the run.
+  /// Derives from a complete response whether the call ran.
   try_outcome outcome_of(const link& used, const backend_answer& answer, std::string& detail);
 
   boost::asio::io_context& context;
--- a/libs/relay/include/hawthornlane/relay/call_terms.h
+++ b/libs/relay/include/hawthornlane/relay/call_terms.h
@@ -1,5 +1,5 @@
-// What a call says of itself, decoded once from the platform's headers, and the
-// hooks by which the relay reads and writes them.
+// Metadata of a call, decoded once from the platform's headers, and the codec that
+// reads and writes these headers.
 #pragma once
 
 #include <cstdint>
@@ -15,68 +15,68 @@
 
 namespace hawthornlane::relay {
 
-/// One shared piece of a prompt.
+/// One part of a prompt that several prompts may share.
 struct prompt_part {
   std::string id;
   token_count tokens{0};
 };
 
-/// What a caller sent with a call, besides method, path and body.
+/// Metadata that a caller sent with a call, besides method, path and body.
 struct call_terms {
   request_id id;
-  /// Without a port.
+  /// From the Host header, without the port.
   std::string host_name;
-  /// The secret that names the caller's account; never to be logged or passed on.
+  /// The secret that identifies the caller's account. Must not be logged or forwarded.
   std::optional<std::string> key;
-  /// How long the caller will wait, from now.
+  /// How long the caller waits, counted from now.
   std::optional<duration> deadline;
-  /// Calls about the same object carry the same value.
+  /// Affinity key: calls about the same object have the same value.
   std::string affinity;
   std::string model;
-  /// Tokens of the whole prompt, and the most that the turn may generate.
+  /// Tokens of the whole prompt, and the maximum that the turn may generate.
   token_count prompt{0};
   token_count most_output{0};
   std::vector<prompt_part> prefix;
-  /// The caller's stream broke after this event.
+  /// Last event that the caller received before its stream broke.
   std::optional<std::uint64_t> last_event;
   std::optional<program_id> program;
   session_id session;
-  /// Time left until the program should be finished.
+  /// Time left until the program's deadline.
   std::optional<duration> program_time_left;
-  /// Tokens that all turns of the program may generate.
+  /// Token budget: the maximum that all turns of the program together may generate.
   std::optional<token_count> budget;
-  /// The turn that this one goes on from.
+  /// The turn that this one continues.
   std::optional<request_id> previous;
 };
 
-/// What the hosts add to a call for one backend server.
+/// Metadata that hosts add to a call for one backend server.
 struct dispatch_terms {
-  /// The server that may run it; any other refuses.
+  /// The server that may run the call; any other refuses it.
   backend_server_id server;
   duration time_left{};
   std::optional<std::uint64_t> last_event;
-  /// There are client accounts: a caller's key goes no further than this host.
+  /// Set when there are client accounts: the caller's key is not forwarded.
   bool hides_key = false;
-  /// On whose behalf the call runs.
+  /// The account on whose behalf the call runs.
   std::optional<client_account> account;
-  /// How long the server keeps what the call read and generated.
+  /// How long the server keeps the tokens that the call read and generated in its cache.
   std::optional<duration> pin;
 };
 
-/// What a backend server said with its answer.
+/// Metadata of a backend server's response.
 struct answer_terms {
   std::optional<request_id> id;
   /// The server states that it did not run the call.
   bool not_run = false;
-  /// The answer bears the server's signature.
+  /// The response carries the server's signature.
   bool is_signed = false;
 };
 
-/// Reads and writes the platform's header names; the adapter provides it.
+/// Reads and writes the platform's headers; provided by the platform's adapter.
 struct call_codec {
   std::function<std::optional<call_terms>(const http::request&, failure&)> decode_call;
-  /// The headers to send to a server: the caller's without those that concern only
-  /// its connection or that only hosts may set, then the hosts' own.
+  /// The headers to send to a server: the caller's, except hop-by-hop headers and those that
+  /// only hosts may set, followed by the hosts' own.
   std::function<std::vector<http::header>(const http::request&, const dispatch_terms&)>
       dispatch_headers;
   std::function<answer_terms(int status, const std::vector<http::header>&)> decode_answer;
--- a/libs/relay/include/hawthornlane/relay/caller_link.h
+++ b/libs/relay/include/hawthornlane/relay/caller_link.h
@@ -1,4 +1,4 @@
-// One caller's connection: requests read strictly, answers written as they come.
+// One caller's connection: parses requests strictly and writes responses as they arrive.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,45 +19,45 @@
 /// How reading a request ended.
 enum class read_outcome : std::uint8_t {
   request,
-  /// The caller closed, or was idle for too long; there is nothing to answer.
+  /// The caller closed the connection or was idle for too long; no response is due.
   closed,
-  /// What arrived is not acceptable; the failure says why.
+  /// The request is invalid; the failure says why.
   refused,
 };
 
-/// Reads requests from one caller and writes their answers. For one thread.
+/// Reads requests from one caller and writes the responses. Not thread-safe.
 class caller_link {
 public:
   explicit caller_link(net::timed_socket& connected) : socket(connected) {}
 
-  /// Waits for the next request. Whole requests that have arrived are kept for
-  /// the next call, so a caller may send ahead.
+  /// Waits for the next request. Further data that has arrived is buffered for the next
+  /// `read`, so callers may pipeline requests.
   boost::asio::awaitable<read_outcome> read(const caller_limits& limits, http::request& into,
                                             failure& reason);
 
-  /// Writes a whole answer. All writers return false once the caller is gone.
+  /// Writes a complete response. All writers return false once the caller has disconnected.
   boost::asio::awaitable<bool> respond(int status, const std::vector<http::header>& headers,
                                        std::string_view body);
-  /// Writes the head of an answer whose body comes in pieces.
+  /// Writes the head of a response whose body follows in pieces.
   boost::asio::awaitable<bool> start(int status, const std::vector<http::header>& headers);
   boost::asio::awaitable<bool> write(std::string_view piece);
   boost::asio::awaitable<bool> finish();
-  /// Ends an answer that is not whole, so that it cannot look whole.
+  /// Resets the connection, so that an incomplete response cannot look complete.
   void break_off();
 
-  /// Answers of this connection say that it will be closed.
+  /// Announces in the following responses that the connection will be closed.
   void close_after_this() { this->keep = false; }
   /// Whether the connection may carry another request.
   [[nodiscard]] bool usable() const { return this->keep && !this->is_gone; }
   [[nodiscard]] bool started() const { return this->has_started; }
   [[nodiscard]] bool gone() const { return this->is_gone; }
-  /// The caller closed its connection while it was being served.
+  /// Records that the caller closed the connection while its request was being served.
   void note_gone() { this->is_gone = true; }
   [[nodiscard]] net::timed_socket& connection() { return this->socket; }
 
 private:
   struct request_parser;
-  /// Reads until the head is whole and checks it; `length` is its size.
+  /// Reads until the head is complete and validates it. `length` is its size, bytes.
   boost::asio::awaitable<read_outcome> read_head(const caller_limits& limits, std::size_t& length,
                                                  failure& reason);
   boost::asio::awaitable<read_outcome> read_body(const caller_limits& limits, request_parser& from,
@@ -70,7 +70,7 @@
   bool keep = true;
   bool is_gone = false;
   bool has_started = false;
-  /// The request was HTTP/1.0, which knows no chunks.
+  /// Whether responses may use chunked encoding; false for HTTP/1.0, which does not support it.
   bool chunks = true;
 };
 
--- a/libs/relay/include/hawthornlane/relay/event_splitter.h
+++ b/libs/relay/include/hawthornlane/relay/event_splitter.h
@@ -1,4 +1,4 @@
-// Cuts a stream of server-sent events into whole events.
+// Splits a stream of server-sent events into complete events.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,21 @@
 
 namespace hawthornlane::relay {
 
-/// One whole event.
+/// One complete event.
 struct stream_event {
-  /// As received, with its empty line.
+  /// As received, including the terminating empty line.
   std::string bytes;
   std::optional<std::uint64_t> id;
   /// The `data:` lines, joined by line feeds.
   std::string data;
 };
 
-/// Takes bytes as they arrive and returns events as they become whole, so that a
-/// server that stops in the middle of an event leaves nothing at the caller.
+/// Buffers bytes and returns events once they are complete, so that no partial event
+/// reaches the caller when a server stops in the middle of one.
 class event_splitter {
 public:
   std::vector<stream_event> add(std::string_view bytes);
-  /// True when the stream may end here.
+  /// True when no partial event is buffered, so the stream may end here.
   [[nodiscard]] bool between_events() const { return this->rest.empty(); }
 
 private:
--- a/libs/relay/include/hawthornlane/relay/framing.h
+++ b/libs/relay/include/hawthornlane/relay/framing.h
@@ -1,4 +1,4 @@
-// Strict checks of HTTP heads, and headers that concern one connection only.
+// Strict validation of HTTP request heads, and removal of hop-by-hop headers.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,18 @@
 
 namespace hawthornlane::relay {
 
-/// Why the head of a request must not be forwarded: each of these can make two
-/// readers see the end of the request at different places. Nothing when it may be.
+/// Checks whether the head of a request is safe to forward. Returns the reason when it is not:
+/// each such fault can make two parsers disagree on where the request ends (request smuggling).
+/// Returns nothing when the head is valid.
 std::optional<std::string> framing_fault(std::string_view head);
 
-/// Length of the head with its empty line; nothing while it is not whole.
+/// Length of the head including the empty line; nothing while the head is incomplete.
 std::optional<std::size_t> head_length(std::string_view bytes);
 
-/// True for names equal but for letter case.
+/// Compares two names, letter case ignored.
 bool same_name(std::string_view a, std::string_view b);
 
-/// The headers without those that concern one connection only.
+/// Returns the headers without hop-by-hop headers.
 std::vector<http::header> end_to_end(const std::vector<http::header>& headers);
 
 }  // namespace hawthornlane::relay
--- a/libs/relay/src/backend_pool.cc
+++ b/libs/relay/src/backend_pool.cc
@@ -1,4 +1,4 @@
-// Connections to backend servers, and one call over one of them.
+// A pool of connections to backend servers, and sending a call over one of them.
 #include "hawthornlane/relay/backend_pool.h"
 
 #include <fmt/format.h>
@@ -20,24 +20,24 @@
 namespace {
 
 constexpr std::size_t read_size = std::size_t{16} * 1024;
-/// Servers are a millisecond away; a lost first packet is sent again after one
-/// second, and by then another server is the better choice.
+/// Round trips to servers take about a millisecond. A lost first packet is retransmitted after
+/// one second; trying another server is faster.
 constexpr auto connect_limit = std::chrono::milliseconds(400);
-/// Idle connections kept for each server; more is rare at a host's share of its calls.
+/// Idle connections kept per server. One host's share of a server's calls rarely needs more.
 constexpr std::size_t most_idle = 16;
-/// Servers without a Keep-Alive header close idle connections after some seconds.
+/// For servers without a Keep-Alive header, which close idle connections after a few seconds.
 constexpr auto longest_idle = std::chrono::seconds(4);
-/// For calls that may not be repeated: servers were seen to drop idle connections
-/// early without a word.
+/// For calls that are not repeatable: some servers drop idle connections early without
+/// notice.
 constexpr auto longest_idle_once = std::chrono::milliseconds(1500);
-/// Part of the server's own Keep-Alive time that is used.
+/// Fraction of the server's advertised Keep-Alive time that is used.
 constexpr double idle_share = 0.6;
-/// Answers to other calls that are skipped before a connection is given up.
+/// Responses to other calls that are skipped before the connection is closed.
 constexpr int most_foreign_answers = 3;
-/// Largest answer that is read whole.
+/// Largest response that is buffered, bytes.
 constexpr std::size_t largest_answer = std::size_t{8} * 1024 * 1024;
 constexpr int first_failure_status = 300;
-/// To a caller these say that the call has not run and never will.
+/// A caller understands these statuses as: the call has not run and will not run.
 constexpr std::array promising_statuses{408, 421, 429, 503};
 
 std::optional<std::chrono::seconds> keep_alive_time(const std::vector<http::header>& headers) {
@@ -88,12 +88,13 @@
   net::steady_time usable_until;
   incarnation server_start;
   bool reused = false;
-  /// Set by the writer; a try that ends before the body was sent spoils the connection.
+  /// Set by the writer. A connection on which the response ends before the request was fully
+  /// sent is not reused.
   bool sent = false;
   bool reusable = false;
 };
 
-/// Reads one answer from a connection's bytes.
+/// Parses one response from a connection's bytes.
 struct answer_parser {
   bhttp::response_parser<bhttp::string_body> parser;
 
@@ -104,7 +105,7 @@
     this->parser.skip(no_body);
   }
 
-  /// Takes bytes out of `buffer`; an error means that they are no answer.
+  /// Consumes bytes from `buffer`; an error means that they are not a valid response.
   error_code feed(std::string& buffer) {
     while (!buffer.empty() && !this->parser.is_done()) {
       error_code error;
@@ -225,8 +226,8 @@
   if (!used) {
     co_return try_outcome::not_sent;
   }
-  // The body may be long, and a server may answer before it has read it all: the
-  // answer is read while the request is still being written.
+  // A server may respond before it has read a long body, so the response is read while the
+  // request is still being written.
   link& current = *used;
   current.sent = false;
   current.reusable = false;
@@ -288,7 +289,7 @@
       co_return outcome == try_outcome::timed_out ? outcome : try_outcome::broken;
     }
   }
-  detail = "too many answers to other calls";
+  detail = "too many responses to other calls";
   co_return try_outcome::broken;
 }
 
@@ -314,7 +315,7 @@
       break;
     }
     if (whole.size() > largest_answer) {
-      detail = "the answer is too large";
+      detail = "the response is too large";
       co_return try_outcome::broken;
     }
     error_code error = co_await used.socket.read_more(used.buffer, read_size, request.until);
@@ -347,17 +348,17 @@
 try_outcome backend_pool::outcome_of(const link& used, const backend_answer& answer,
                                      std::string& detail) {
   if (answer.terms.not_run) {
-    // A late answer to an earlier call comes where this call's is due.
+    // On a reused connection a refusal without an id may be a late response to an earlier call.
     const bool is_certain = answer.terms.id || !used.reused;
     if (is_certain) {
       return try_outcome::not_run;
     }
     ++this->counts.unnamed_refusals;
-    detail = "a refusal on a kept connection that names no call";
+    detail = "a refusal without a request id on a reused connection";
     return try_outcome::broken;
   }
   if (promises_not_run(answer.status)) {
-    detail = fmt::format("status {} without a word on whether the call ran", answer.status);
+    detail = fmt::format("status {} does not say whether the call ran", answer.status);
     return try_outcome::broken;
   }
   return try_outcome::whole;
--- a/libs/relay/src/caller_link.cc
+++ b/libs/relay/src/caller_link.cc
@@ -15,21 +15,21 @@
 namespace {
 
 constexpr std::size_t read_size = std::size_t{16} * 1024;
-/// For one write to be taken by a caller; slower ones hold memory too long.
+/// Timeout of one write to a caller. A slower caller would hold memory for too long.
 constexpr auto write_limit = std::chrono::seconds(5);
-/// A whole body may take this many times as long as a head.
+/// The timeout of a body is this multiple of the timeout of a head.
 constexpr int body_time_factor = 2;
-/// A little over the limit, so that the refusal can name the header limit.
+/// Bytes read beyond the header limit, so that exceeding it is detected and reported as such.
 constexpr std::size_t head_slack = 1;
 
 using parser_type = bhttp::request_parser<bhttp::string_body>;
 
-/// As Beast numbers versions.
+/// HTTP/1.0 in Beast's version numbers.
 constexpr unsigned http_1_0 = 10;
 
 net::steady_time after(duration time) { return std::chrono::steady_clock::now() + time; }
 
-/// Feeds `buffer` to the parser and removes what it has taken.
+/// Feeds `buffer` to the parser and removes the consumed bytes.
 error_code feed(parser_type& parser, std::string& buffer) {
   while (!buffer.empty() && !parser.is_done()) {
     error_code error;
@@ -81,7 +81,7 @@
         this->buffer, std::min(read_size, limits.header_bytes + head_slack),
         begun ? head_until : idle_until);
     if (error == asio::error::timed_out && begun) {
-      reason = {error_kind::request_timeout, "the head did not arrive in time"};
+      reason = {error_kind::request_timeout, "the request head did not arrive in time"};
       co_return read_outcome::refused;
     }
     if (error) {
@@ -90,7 +90,7 @@
   }
   length = head_length(this->buffer).value_or(this->buffer.size());
   if (length > limits.header_bytes) {
-    reason = {error_kind::header_too_large, "the head exceeds the limit"};
+    reason = {error_kind::header_too_large, "the request head exceeds the limit"};
     co_return read_outcome::refused;
   }
   if (const auto fault = framing_fault(std::string_view(this->buffer).substr(0, length))) {
@@ -112,7 +112,7 @@
   while (!fault && !from.parser.is_done()) {
     const error_code error = co_await this->socket.read_more(this->buffer, read_size, until);
     if (error == asio::error::timed_out) {
-      reason = {error_kind::request_timeout, "the body did not arrive in time"};
+      reason = {error_kind::request_timeout, "the request body did not arrive in time"};
       co_return read_outcome::refused;
     }
     if (error) {
--- a/libs/relay/src/event_splitter.cc
+++ b/libs/relay/src/event_splitter.cc
@@ -1,4 +1,4 @@
-// Cuts a stream of server-sent events into whole events.
+// Splits a stream of server-sent events into complete events.
 #include "hawthornlane/relay/event_splitter.h"
 
 #include <charconv>
@@ -6,8 +6,8 @@
 namespace hawthornlane::relay {
 namespace {
 
-/// Length of the first event in `bytes` with its empty line; nothing while the
-/// event is not whole. Lines end with LF or CR LF.
+/// Length of the first event in `bytes` including the empty line; nothing while the
+/// event is incomplete. Lines end with LF or CR LF.
 std::optional<std::size_t> event_length(std::string_view bytes) {
   std::size_t line_start = 0;
   while (true) {
--- a/libs/relay/src/framing.cc
+++ b/libs/relay/src/framing.cc
@@ -1,4 +1,4 @@
-// Strict checks of HTTP heads.
+// Strict validation of HTTP request heads.
 #include "hawthornlane/relay/framing.h"
 
 #include <algorithm>
@@ -42,7 +42,7 @@
   });
 }
 
-/// What the header lines say of the body.
+/// Counts of the headers that decide the body's length, and of Host headers.
 struct body_headers {
   int lengths = 0;
   int encodings = 0;
@@ -70,7 +70,7 @@
   } else if (same_name(name, "transfer-encoding")) {
     ++seen.encodings;
     if (!same_name(value, "chunked")) {
-      return "Transfer-Encoding is not chunked alone";
+      return "Transfer-Encoding is not exactly chunked";
     }
   } else if (same_name(name, "host")) {
     ++seen.hosts;
@@ -82,16 +82,16 @@
   const std::size_t first = line.find(' ');
   const std::size_t last = line.rfind(' ');
   if (first == std::string_view::npos || first == last || !is_token(line.substr(0, first))) {
-    return "the request line is not METHOD TARGET VERSION";
+    return "the request line does not have the form METHOD TARGET VERSION";
   }
   const std::string_view target = line.substr(first + 1, last - first - 1);
   if (target.empty() || target.front() != '/' || target.find(' ') != std::string_view::npos ||
       has_control_letter(target)) {
-    return "the target is not a path";
+    return "the request target is not a path";
   }
   const std::string_view version = line.substr(last + 1);
   if (version != "HTTP/1.1" && version != "HTTP/1.0") {
-    return "the version is neither HTTP/1.1 nor HTTP/1.0";
+    return "the HTTP version is neither HTTP/1.1 nor HTTP/1.0";
   }
   return std::nullopt;
 }
@@ -136,7 +136,7 @@
     return "there are several Content-Length headers";
   }
   if (seen.encodings > 1 || (seen.encodings == 1 && seen.lengths == 1)) {
-    return "the body's length is given in more than one way";
+    return "the body length is specified in more than one way";
   }
   if (seen.hosts != 1) {
     return "there is not exactly one Host header";
--- a/libs/relay/test/event_splitter_test.cc
+++ b/libs/relay/test/event_splitter_test.cc
@@ -1,4 +1,5 @@
-// Events come out whole, whatever the pieces in which their bytes arrive.
+// Guards against events that are lost, merged or forwarded incomplete when their bytes arrive in
+// pieces.
 #include "hawthornlane/relay/event_splitter.h"
 
 #include <catch2/catch.hpp>
@@ -12,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE("events are the same for every place where the bytes are cut") {
+TEST_CASE("events are complete wherever their bytes are split") {
   for (std::size_t cut = 0; cut <= three_events.size(); ++cut) {
     INFO("cut at " << cut);
     event_splitter splitter;
@@ -31,7 +32,7 @@
   }
 }
 
-TEST_CASE("an event that is cut off does not come out") {
+TEST_CASE("an incomplete event is not returned") {
   event_splitter splitter;
   CHECK(splitter.add("id: 1\ndata: one\n").empty());
   CHECK_FALSE(splitter.between_events());
--- a/libs/relay/test/framing_test.cc
+++ b/libs/relay/test/framing_test.cc
@@ -1,4 +1,5 @@
-// Tables of heads that must not be forwarded, and of headers that stay behind.
+// Guards against request smuggling: a head whose end two parsers can place differently must not be
+// forwarded, nor must hop-by-hop headers.
 #include "hawthornlane/relay/framing.h"
 
 #include <catch2/catch.hpp>
@@ -6,7 +7,7 @@
 using namespace hawthornlane;
 using namespace hawthornlane::relay;
 
-TEST_CASE("a head whose framing can be read in two ways is refused") {
+TEST_CASE("a head with ambiguous or invalid framing is refused") {
   struct row {
     const char* what;
     const char* head;
@@ -31,17 +32,17 @@
        false},
       {"another encoding", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
        false},
-      {"blank before the colon", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\n", false},
+      {"space before the colon", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\n", false},
       {"folded header", "GET / HTTP/1.1\r\nHost: h\r\nX-A: b\r\n c\r\n\r\n", false},
       {"bare line feed", "GET / HTTP/1.1\nHost: h\r\n\r\n", false},
       {"bare carriage return", "GET / HTTP/1.1\r\nHost: h\r\nX-A: b\rX-B: c\r\n\r\n", false},
       {"no host", "GET / HTTP/1.1\r\nX-A: b\r\n\r\n", false},
       {"two hosts", "GET / HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n", false},
-      {"a whole address as target", "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n", false},
-      {"a blank in the target", "GET /a b HTTP/1.1\r\nHost: h\r\n\r\n", false},
+      {"an absolute URL as target", "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n", false},
+      {"a space in the target", "GET /a b HTTP/1.1\r\nHost: h\r\n\r\n", false},
       {"no version", "GET /\r\nHost: h\r\n\r\n", false},
       {"an unknown version", "GET / HTTP/2.0\r\nHost: h\r\n\r\n", false},
-      {"a control letter in a value", "GET / HTTP/1.1\r\nHost: h\r\nX-A: \x01\r\n\r\n", false},
+      {"a control character in a value", "GET / HTTP/1.1\r\nHost: h\r\nX-A: \x01\r\n\r\n", false},
   };
   for (const row& item : rows) {
     INFO(item.what);
@@ -49,7 +50,7 @@
   }
 }
 
-TEST_CASE("headers of one connection are not passed on") {
+TEST_CASE("hop-by-hop headers are not forwarded") {
   const std::vector<http::header> given{{"Host", "h"},
                                         {"Connection", "keep-alive, X-Own"},
                                         {"Keep-Alive", "timeout=5"},
--- a/programs/client/caller_commands.cc
+++ b/programs/client/caller_commands.cc
@@ -1,4 +1,4 @@
-// `call`: runs a whole program, one call a line of a file, as a caller would.
+// The `call` command: runs a whole program as a caller would, with one call per line of a file.
 #include <fmt/format.h>
 
 #include <boost/json.hpp>
@@ -20,7 +20,7 @@
 constexpr int most_tries = 20;
 constexpr auto retry_wait = std::chrono::milliseconds(300);
 
-/// Reads server-sent events: prints text, keeps the answer.
+/// Parses server-sent events: prints the text and stores the final answer.
 class stream_reader {
 public:
   explicit stream_reader(bool quiet_output) : quiet(quiet_output) {}
@@ -60,7 +60,7 @@
   json::object answer;
 };
 
-/// A caller's side of one program.
+/// The caller's side of one program.
 class program_run {
 public:
   program_run(connection& to, output as) : hosts(to), form(as) {}
@@ -83,7 +83,7 @@
   }
 
 private:
-  /// The addresses to use for the program, best first.
+  /// Queries the addresses to use for the program, best first.
   void ask_addresses() {
     std::string reason;
     const std::string target = "/v1/addresses?program=" + this->program;
@@ -119,7 +119,7 @@
       std::this_thread::sleep_for(retry_wait);
       this->ask_addresses();
     }
-    fmt::print(stderr, "no program could be opened: {}\n", this->last_reason);
+    fmt::print(stderr, "cannot open a program: {}\n", this->last_reason);
     return false;
   }
 
@@ -157,7 +157,7 @@
     if (!this->form.json) {
       fmt::print("> {}\n", tool ? "tool " + field(call, "tool") : field(call, "say"));
     }
-    // The ticket names the call, so sending it again is safe at any host.
+    // The ticket identifies the call, so it is safe to retry at any host.
     for (int attempt = 0; attempt < most_tries; ++attempt) {
       const http::endpoint at =
           this->addresses.at(static_cast<std::size_t>(attempt) % this->addresses.size());
@@ -171,7 +171,7 @@
                                 ? parsed_object(answer->body)
                                 : reader.whole();
       const std::string outcome = field(result, "outcome");
-      // Without a ticket for the next call the answer is asked for once more.
+      // An answer without a ticket for the next call is incomplete, so the call is retried.
       if (answer && outcome == "kept" && result.contains("ticket")) {
         this->finish_turn(result, at);
         return exit_good;
@@ -188,7 +188,7 @@
                                                                        : exit_refused;
   }
 
-  /// Whether the call may be sent again, under a fresh ticket if one was given.
+  /// Whether the call may be retried. Uses the new ticket if the result contains one.
   bool may_go_on(const json::object& result, bool tool) {
     const std::string error = field(result, "error");
     if (result.empty() || error == "not_owner" || error == "not_ready" ||
@@ -198,7 +198,7 @@
     const bool has_ticket = result.contains("ticket");
     this->take_ticket(result);
     if (error == "may_have_run") {
-      // Without a ticket nothing was decided: the same ticket tells.
+      // Without a ticket the outcome is still open; a retry with the same ticket reveals it.
       return !has_ticket || !tool;
     }
     return error == "not_run" || error == "over_limit" || error == "no_backend_server";
@@ -257,7 +257,7 @@
   }
   std::ifstream calls(file);
   if (!calls) {
-    fmt::print(stderr, "{}: cannot be read\n", file);
+    fmt::print(stderr, "{}: cannot read the file\n", file);
     return exit_usage;
   }
   return run.run(calls);
--- a/programs/client/commands.cc
+++ b/programs/client/commands.cc
@@ -1,4 +1,4 @@
-// Operators' commands.
+// Commands for operators.
 #include "commands.h"
 
 #include "json_fields.h"
@@ -23,7 +23,7 @@
 constexpr int force_tries = 75;
 constexpr auto force_wait = std::chrono::milliseconds(200);
 
-/// Prints rows as a table, columns in the order of the first row.
+/// Prints rows as a table. The first row defines the columns and their order.
 void print_table(const json::array& rows) {
   if (rows.empty()) {
     fmt::print("(none)\n");
@@ -58,7 +58,7 @@
 std::optional<std::string> read_file(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    fmt::print(stderr, "{}: cannot be read\n", path);
+    fmt::print(stderr, "{}: cannot read the file\n", path);
     return std::nullopt;
   }
   std::ostringstream text;
@@ -66,7 +66,8 @@
   return text.str();
 }
 
-/// The name in a document's text, for its address; the daemon checks the rest.
+/// Extracts the service's name from a document's text, for the request's URL. The daemon validates
+/// the document.
 std::string service_in(const std::string& text) {
   std::istringstream lines(text);
   std::string line;
@@ -89,7 +90,7 @@
 }
 
 int unreachable(const std::string& reason) {
-  fmt::print(stderr, "no host answers: {}\n", reason);
+  fmt::print(stderr, "no host responds: {}\n", reason);
   return exit_unreachable;
 }
 
@@ -113,12 +114,12 @@
   fmt::print(stderr, "refused ({}): {}{}{}\n", answer.status, field(body, "meaning"),
              field(body, "detail").empty() ? "" : ": ", field(body, "detail"));
   if (field(body, "error") == "confirmation_required") {
-    fmt::print(stderr, "to go on, repeat with --confirm {}\n", field(body, "digest"));
+    fmt::print(stderr, "to confirm, repeat the command with --confirm {}\n", field(body, "digest"));
   }
   return exit_refused;
 }
 
-/// Asks for JSON, prints it or hands it to `show`.
+/// Requests JSON and prints it, or passes it to `show` when tables are wanted.
 template <class Show>
 int show_answer(connection& hosts, const std::string& target, output form, Show show) {
   std::string reason;
@@ -145,7 +146,7 @@
   std::vector<std::string> behind;
 };
 
-/// Asks every live host which generation it follows.
+/// Asks every live host which generation of the document it uses.
 fleet_status ask_fleet(connection& hosts, const std::string& service, std::uint64_t wanted) {
   fleet_status status;
   std::string reason;
@@ -337,7 +338,8 @@
     }
     print_table(rows);
     if (field(body, "platform_reachable") == "false") {
-      fmt::print(stderr, "the platform does not answer: only this host's latest entries\n");
+      fmt::print(stderr,
+                 "the platform does not respond: showing only the latest entries of this host\n");
     }
   });
 }
--- a/programs/client/commands.h
+++ b/programs/client/commands.h
@@ -8,7 +8,7 @@
 
 namespace hawthornlane::cli {
 
-/// Flags that all commands share.
+/// Output options, common to all commands.
 struct output {
   bool json = false;
 };
@@ -26,12 +26,12 @@
 int program_show(connection& hosts, const std::string& program, output form);
 int drain(connection& hosts, output form);
 
-/// Tells from the hosts' logs what became of a request; needs no host. "-" is standard
-/// input.
+/// Shows from the hosts' log files what happened to a request. Contacts no host. "-" is
+/// standard input.
 int explain_request(const std::string& id, const std::vector<std::string>& files);
 
 // Callers.
-/// Runs a whole program from a file of calls, one JSON object a line.
+/// Runs a whole program from a file with one call per line, each a JSON object.
 int call(connection& hosts, const std::string& file, output form);
 
 }  // namespace hawthornlane::cli
--- a/programs/client/connection.cc
+++ b/programs/client/connection.cc
@@ -1,4 +1,4 @@
-// One-shot HTTP for the command line.
+// Blocking HTTP requests of the command-line client.
 #include "connection.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -35,7 +35,7 @@
   ask.body = body;
   ask.headers = {{"Authorization", "Bearer " + this->credential}, {"X-Operator", this->who}};
   std::optional<http::response> answer;
-  // The context comes first: connections must not outlive it.
+  // Declared before the client, whose connections must not outlive the context.
   asio::io_context context;
   http::client client;
   asio::co_spawn(context,
--- a/programs/client/connection.h
+++ b/programs/client/connection.h
@@ -1,4 +1,4 @@
-// One-shot HTTP for the command line.
+// Blocking HTTP requests of the command-line client.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace hawthornlane::cli {
 
-/// Exit codes; the table is in docs/CLI.md.
+/// Exit codes, as documented in docs/CLI.md.
 enum exit_code : int {
   exit_good = 0,
   exit_fault = 1,
@@ -20,15 +20,16 @@
   exit_may_have_run = 5,
 };
 
-/// Tries hosts in turn until one answers.
+/// Sends requests to the first host that responds.
 class connection {
 public:
   connection(std::vector<http::endpoint> hosts, std::string credential, std::string who);
 
-  /// Nothing when no host answered; the last reason is in `reason`.
+  /// Tries the hosts in turn. Returns nothing when none responds; `reason` is then the last error.
+  /// A request other than GET is not repeated once it may have reached a host.
   std::optional<http::response> ask(const std::string& method, const std::string& target,
                                     const std::string& body, std::string& reason);
-  /// The same at one host only, the body passed on as it arrives.
+  /// Sends the request to one host and passes the body to `sink` as it arrives.
   std::optional<http::response> stream(const http::endpoint& host, const std::string& method,
                                        const std::string& target, const std::string& body,
                                        const http::body_sink& sink, http::fetch_failure& why);
--- a/programs/client/explain_command.cc
+++ b/programs/client/explain_command.cc
@@ -1,4 +1,4 @@
-// `hawthornlane explain`: what became of a request, from the hosts' logs.
+// The `explain` command: shows from the hosts' logs what happened to a request.
 #include <fmt/format.h>
 
 #include <fstream>
@@ -35,14 +35,14 @@
   for (const std::string& name : files) {
     std::ifstream file(name);
     if (!file && name != "-") {
-      fmt::print(stderr, "{}: cannot be read\n", name);
+      fmt::print(stderr, "{}: cannot read the file\n", name);
       return exit_usage;
     }
     read_lines(name == "-" ? std::cin : file, logs);
   }
   const explain::request_story story = explain::story_of(logs, id);
   if (story.lines.empty()) {
-    fmt::print(stderr, "no log line names {}; collect the logs of all front hosts\n", id);
+    fmt::print(stderr, "no log line contains {}; pass the logs of all front hosts\n", id);
     return exit_refused;
   }
   std::vector<std::string> told;
@@ -51,7 +51,7 @@
                                explain::in_words(line)));
   }
   print_part("what happened", told);
-  print_part("what the host believed at that time", story.beliefs);
+  print_part("state known to the host at that time", story.beliefs);
   print_part("other requests of the same program", story.others);
   return exit_good;
 }
--- a/programs/client/json_fields.h
+++ b/programs/client/json_fields.h
@@ -1,4 +1,4 @@
-// Reading fields of JSON answers.
+// Helpers for reading JSON responses.
 #pragma once
 
 #include <boost/json.hpp>
@@ -10,13 +10,13 @@
   return value.is_string() ? std::string(value.as_string()) : boost::json::serialize(value);
 }
 
-/// The field as text; empty when there is none.
+/// The field as text; empty when it is absent.
 inline std::string field(const boost::json::object& object, const char* name) {
   const boost::json::value* value = object.if_contains(name);
   return value == nullptr ? std::string() : as_text(*value);
 }
 
-/// The object that the text holds; an empty one when it holds none.
+/// Parses the text as a JSON object; returns an empty object when it is not one.
 inline boost::json::object parsed_object(const std::string& text) {
   boost::system::error_code error;
   const boost::json::value value = boost::json::parse(text, error);
--- a/programs/client/main.cc
+++ b/programs/client/main.cc
@@ -1,4 +1,4 @@
-// The command-line client of operators and callers.
+// The command-line client for operators and callers.
 #include <docopt.h>
 #include <fmt/format.h>
 
@@ -11,7 +11,8 @@
 
 using namespace hawthornlane;
 
-constexpr const char* usage = R"(hawthornlane: client of the scheduler for agent programs.
+constexpr const char* usage =
+    R"(hawthornlane: command-line client of the scheduler for agent programs.
 
 Usage:
   hawthornlane [options] document check FILE
@@ -31,20 +32,23 @@
   hawthornlane --help
 
 Options:
-  --hosts ADDRESSES    Entry hosts, "IP:port" with commas between; else the
-                       environment's HAWTHORNLANE_HOSTS.
-  --credential SECRET  Else the environment's HAWTHORNLANE_CREDENTIAL.
-  --as NAME            Who acts, for the audit trail; else the environment's USER.
-  --confirm DIGEST     Digest of the checked text, for dangerous changes.
-  --no-wait            Do not wait until the document is in force everywhere.
-  --json               JSON in place of tables.
-  --help               Show this.
+  --hosts ADDRESSES    Hosts to connect to, as a comma-separated list of IP:port. If
+                       not given, the environment variable HAWTHORNLANE_HOSTS is used.
+  --credential SECRET  Credential of the operator or caller. If not given, the
+                       environment variable HAWTHORNLANE_CREDENTIAL is used.
+  --as NAME            Name of the operator, for the audit trail. If not given, the
+                       environment variable USER is used.
+  --confirm DIGEST     Digest of the checked document; confirms a dangerous change.
+  --no-wait            Do not wait until the document is in force on all hosts.
+  --json               Print JSON instead of tables.
+  --help               Show this help.
 
-`explain` tells what became of a request or of a program's requests, and what the
-hosts believed then, from the logs of the platform's hosts; "-" is standard input.
-`drain` stops the first of the hosts. FILE of `call` holds one call a line, as
-{"say": "..."} or {"tool": "...", "path": "/...", "body": {...}}; "-" reads them
-from standard input. Exit codes are listed in docs/CLI.md.
+`explain` shows from the hosts' log files (LOG; "-" is standard input) what happened
+to a request, or to all requests of a program, and the state known to the hosts at
+that time. `drain` starts a planned stop of the first host that can be reached. The
+FILE of `call` contains one call per line, as {"say": "..."} or {"tool": "...",
+"path": "/...", "body": {...}}; "-" is standard input. Exit codes are listed in
+docs/CLI.md.
 )";
 
 std::string option_or(const docopt::value& given, const char* variable) {
@@ -115,7 +119,7 @@
   }
   const auto hosts = read_hosts(option_or(arguments.at("--hosts"), "HAWTHORNLANE_HOSTS"));
   if (hosts.empty()) {
-    fmt::print(stderr, "no hosts: give --hosts or set HAWTHORNLANE_HOSTS\n");
+    fmt::print(stderr, "no valid host addresses: pass --hosts or set HAWTHORNLANE_HOSTS\n");
     return cli::exit_usage;
   }
   cli::connection connection(hosts,
--- a/programs/hawthornlane_disk.cc
+++ b/programs/hawthornlane_disk.cc
@@ -1,4 +1,4 @@
-// The daemon of a disk host on the users' platform.
+// The daemon of a disk host of the platform.
 #include "hawthornlane/disk/disk_host.h"
 #include "run_host.h"
 
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr const char* usage =
-    R"(hawthornlane-disk: keeps turns and budgets on one disk host of the platform.
+    R"(hawthornlane-disk: daemon of a disk host; stores turns and budgets.
 
 Usage:
   hawthornlane-disk [--config FILE] [--check-config]
@@ -17,18 +17,18 @@
   hawthornlane-disk --help
 
 Options:
-  --config FILE        Settings in INI; else the file that the environment's
-                       HAWTHORNLANE_SETTINGS names.
-  --check-config       Check the settings and start nothing; 2 when one is wrong.
-  --describe-config    Print all settings with unit, range and default.
-  --help               Show this.
+  --config FILE        Settings file, in INI format. If not given, the file named by
+                       the environment variable HAWTHORNLANE_SETTINGS is used.
+  --check-config       Check the settings and exit; exit code 2 if any is invalid.
+  --describe-config    Print all settings with unit, range and default, and exit.
+  --help               Show this help.
 
-SIGTERM and SIGINT begin a stop once all that was taken is on disk.
+SIGTERM and SIGINT stop the host once all accepted writes are on disk.
 )";
 
 int run(const disk::disk_settings& settings, const std::string& path) {
-  // One thread: a host has a quarter or half of one core, and tables that are
-  // shared by threads would cost locks and context switches on it.
+  // Single-threaded: a host has only a quarter or half of one core, and sharing tables
+  // between threads would cost locks and context switches.
   asio::io_context context(1);
   disk::disk_host host(context, settings);
   asio::signal_set signals(context, SIGTERM, SIGINT, SIGHUP);
--- a/programs/hawthornlane_front.cc
+++ b/programs/hawthornlane_front.cc
@@ -1,4 +1,4 @@
-// The daemon of a front host on the users' platform.
+// The daemon of a front host of the platform.
 #include "hawthornlane/front/front_host.h"
 #include "run_host.h"
 
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr const char* usage =
-    R"(hawthornlane-front: serves callers on one front host of the platform.
+    R"(hawthornlane-front: daemon of a front host; serves callers.
 
 Usage:
   hawthornlane-front [--config FILE] [--check-config]
@@ -17,18 +17,18 @@
   hawthornlane-front --help
 
 Options:
-  --config FILE        Settings in INI; else the file that the environment's
-                       HAWTHORNLANE_SETTINGS names.
-  --check-config       Check the settings and start nothing; 2 when one is wrong.
-  --describe-config    Print all settings with unit, range and default.
-  --help               Show this.
+  --config FILE        Settings file, in INI format. If not given, the file named by
+                       the environment variable HAWTHORNLANE_SETTINGS is used.
+  --check-config       Check the settings and exit; exit code 2 if any is invalid.
+  --describe-config    Print all settings with unit, range and default, and exit.
+  --help               Show this help.
 
-SIGTERM and SIGINT begin a planned stop, which cuts off no request.
+SIGTERM and SIGINT start a planned stop, which completes in-flight requests.
 )";
 
 int run(const front::front_settings& settings, const std::string& path) {
-  // One thread: a host has a quarter or half of one core, and tables that are
-  // shared by threads would cost locks and context switches on it.
+  // Single-threaded: a host has only a quarter or half of one core, and sharing tables
+  // between threads would cost locks and context switches.
   asio::io_context context(1);
   front::front_host host(context, settings, [&context] { context.stop(); });
   asio::signal_set signals(context, SIGTERM, SIGINT, SIGHUP);
--- a/programs/hawthornlaned.cc
+++ b/programs/hawthornlaned.cc
@@ -1,4 +1,4 @@
-// The daemon: reads its settings, runs one node and its workers, ends on a
+// The daemon: reads its settings and runs one node with its worker threads until a
 // planned stop.
 #include <docopt.h>
 #include <fmt/format.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr const char* usage = R"(hawthornlaned: the scheduler's daemon, one for each entry host.
+constexpr const char* usage = R"(hawthornlaned: daemon of the scheduler; runs on each entry host.
 
 Usage:
   hawthornlaned --config FILE [--check-config] [--log-format FORMAT]
@@ -27,16 +27,16 @@
   hawthornlaned --help
 
 Options:
-  --config FILE        Settings in INI.
-  --check-config       Check the settings and start nothing; 2 when one is wrong.
-  --describe-config    Print all settings with unit, range and default.
-  --log-format FORMAT  text or json; overrides the settings.
-  --help               Show this.
+  --config FILE        Settings file, in INI format.
+  --check-config       Check the settings and exit; exit code 2 if any is invalid.
+  --describe-config    Print all settings with unit, range and default, and exit.
+  --log-format FORMAT  Log format, text or json; overrides the settings.
+  --help               Show this help.
 
-SIGTERM and SIGINT begin a planned stop, which cuts off no request.
+SIGTERM and SIGINT start a planned stop, which completes in-flight requests.
 )";
 
-/// The settings of a running node do not change.
+/// Logs that SIGHUP has no effect: the settings of a running node do not change.
 void explain_reread() {
   hawthornlane::log(hawthornlane::event::signal_explained,
                     {{"signal", "SIGHUP"},
@@ -76,7 +76,7 @@
     return exit_settings;
   }
   if (arguments.at("--check-config").asBool()) {
-    fmt::print("{}: good\n", path);
+    fmt::print("{}: the settings are valid\n", path);
     return exit_good;
   }
   if (arguments.at("--log-format")) {
--- a/programs/run_host.h
+++ b/programs/run_host.h
@@ -1,4 +1,4 @@
-// What the daemons share: settings, signals, exit codes.
+// Common code of the daemons: settings, signals, exit codes, main function.
 #pragma once
 
 #include <docopt.h>
@@ -23,7 +23,7 @@
 constexpr int exit_fault = 1;
 constexpr int exit_settings = 2;
 
-/// The variable in which the platform names the settings file.
+/// Environment variable in which the platform passes the path of the settings file.
 constexpr const char* settings_variable = "HAWTHORNLANE_SETTINGS";
 
 inline std::optional<std::string> read_file(const std::string& path) {
@@ -36,13 +36,13 @@
   return text.str();
 }
 
-/// Reads and checks the settings named on the command line; on failure nothing,
-/// with the complaint printed.
+/// Reads and validates the settings file. On failure prints the problems and returns
+/// nothing.
 template <class Settings, class Reader>
 std::optional<Settings> load_settings(const std::string& path, Reader read) {
   const auto text = read_file(path);
   if (!text) {
-    fmt::print(stderr, "{}: cannot be read\n", path);
+    fmt::print(stderr, "{}: cannot read the file\n", path);
     return std::nullopt;
   }
   std::vector<ini_problem> problems;
@@ -53,7 +53,7 @@
   return settings;
 }
 
-/// The path of the settings file: the option, or the platform's variable.
+/// The path of the settings file: the option if given, otherwise the environment variable.
 inline std::string settings_path(const docopt::value& option) {
   if (option) {
     return option.asString();
@@ -62,8 +62,8 @@
   return given == nullptr ? "" : given;
 }
 
-/// Addresses and names of a running host do not change; a new file counts from the
-/// next start. The line shows whether it could be used.
+/// Logs whether the settings file is readable. Addresses and names of a running host cannot
+/// change, so a new file takes effect at the next start.
 inline void reread_settings(const std::string& path) {
   const bool readable = read_file(path).has_value();
   log(event::settings_reread, {{"settings", path},
@@ -71,7 +71,7 @@
                                {"detail", "in force from the next start"}});
 }
 
-/// Follows SIGTERM and SIGINT (planned stop) and SIGHUP (settings read again).
+/// Handles SIGTERM and SIGINT by calling `stop`, and SIGHUP by calling `reread`.
 inline void follow_signals(boost::asio::signal_set& signals, const std::function<void()>& stop,
                            const std::function<void()>& reread) {
   signals.async_wait([&signals, stop, reread](const boost::system::error_code& error, int signal) {
@@ -87,18 +87,18 @@
   });
 }
 
-/// What makes one daemon different from another.
+/// Everything that differs between the daemons.
 template <class Settings>
 struct host_program {
   const char* name;
   const char* usage;
   std::function<const std::vector<key_rule>&()> schema;
   std::function<std::optional<Settings>(std::string_view, std::vector<ini_problem>&)> read;
-  /// Runs until a planned stop has ended.
+  /// Runs until a planned stop has completed.
   std::function<int(const Settings&, const std::string& path)> run;
 };
 
-/// The daemons' common main: command line, settings, logs, faults.
+/// The common main function of the daemons: command line, settings, logging, error handling.
 template <class Settings>
 int daemon_main(int argc, char** argv, const host_program<Settings>& what) {
   const auto arguments =
@@ -113,7 +113,7 @@
     return exit_settings;
   }
   if (arguments.at("--check-config").asBool()) {
-    fmt::print("{}: good\n", path);
+    fmt::print("{}: the settings are valid\n", path);
     return exit_good;
   }
   set_log_format(log_format::json);
--- a/stand_ins/include/hawthornlane/stand_ins/object_platform.h
+++ b/stand_ins/include/hawthornlane/stand_ins/object_platform.h
@@ -1,5 +1,5 @@
-// Stand-in for the users' platform store: objects by kind and name, one revision
-// counter, conditional updates, watches, and the faults that it has.
+// Stand-in for the platform's object store: objects by kind and name, one revision
+// counter, conditional updates, watches, and injected faults.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,18 +11,18 @@
 
 namespace hawthornlane::stand_ins {
 
-/// How the store treats the calls that reach it.
+/// How the store treats requests.
 enum class store_mood : std::uint8_t {
   serving,
-  /// Every call gets 503; nothing is done.
+  /// Every request gets status 503; nothing is executed.
   busy,
-  /// Calls are taken and never answered; nothing is done.
+  /// Requests are accepted but get no response; nothing is executed.
   silent,
-  /// Writes are done, but their answers are lost.
+  /// Writes are executed, but their responses are lost.
   losing_answers,
 };
 
-/// Serves until destroyed. For the thread that runs the io_context.
+/// Serves until destroyed. To be used only on the thread that runs the io_context.
 class object_platform {
 public:
   object_platform(boost::asio::io_context& context, const http::endpoint& listen_at);
@@ -32,17 +32,18 @@
 
   [[nodiscard]] http::endpoint where() const;
   void set_mood(store_mood mood);
-  /// Watches hear nothing, and then lose their place in the history.
+  /// While true, watches get no events. Setting it to false discards the history, so that watches
+  /// get status 410 and must list again.
   void set_deaf_watches(bool deaf);
-  /// Writes an object as the operator or a server would; `spec` is JSON.
+  /// Writes an object, as an operator or a server would. `spec` is JSON.
   void put(const std::string& kind, const std::string& name, const std::string& spec);
-  /// Puts `item` as it is into each listing of the kind, first of all its items.
+  /// Inserts the text `item` unchanged as the first item of each listing of the kind.
   void list_raw(const std::string& kind, const std::string& item);
   void remove(const std::string& kind, const std::string& name);
-  /// The spec of an object, or an empty text.
+  /// The spec of an object as JSON, or an empty string.
   [[nodiscard]] std::string spec_of(const std::string& kind, const std::string& name) const;
   [[nodiscard]] std::string status_of(const std::string& kind, const std::string& name) const;
-  /// Calls served so far.
+  /// Number of requests so far.
   [[nodiscard]] std::uint64_t calls() const;
 
   struct state;
--- a/stand_ins/include/hawthornlane/stand_ins/plain_service.h
+++ b/stand_ins/include/hawthornlane/stand_ins/plain_service.h
@@ -1,4 +1,4 @@
-// Stand-in for a plain service whose calls may not be repeated.
+// Stand-in for a plain service whose calls are not repeatable.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,8 +11,8 @@
 
 namespace hawthornlane::stand_ins {
 
-/// Answers every POST and counts how often each request id arrived; GET /counts
-/// tells the counts.
+/// Answers every POST and counts the requests by request id. Any other method, such as
+/// GET /counts, returns the counts.
 class plain_service {
 public:
   plain_service(boost::asio::io_context& context, const http::endpoint& listen_at);
--- a/stand_ins/include/hawthornlane/stand_ins/scripted_backend.h
+++ b/stand_ins/include/hawthornlane/stand_ins/scripted_backend.h
@@ -1,4 +1,4 @@
-// Stand-in for a backend server of the users' platform that behaves as a test says.
+// Stand-in for a backend server of the platform; a test scripts its behavior.
 #pragma once
 
 #include <algorithm>
@@ -17,44 +17,45 @@
 
 /// What the server does with one request.
 enum class backend_act : std::uint8_t {
-  /// Runs it and answers: by events on a request for tokens, else by a body.
+  /// Runs it and responds: with an event stream to a request for tokens, otherwise with a body.
   answer,
-  /// Refuses it as full, and says that it was not run.
+  /// Refuses it as overloaded with status 503 and states that it was not run.
   shed,
-  /// Runs it; the connection is reset before the answer.
+  /// Runs it; resets the connection before the response.
   lose_answer,
-  /// Runs it; the answer ends in the middle.
+  /// Runs it; the response ends in the middle.
   truncate,
-  /// Runs it; a second answer, to another call, follows on the connection.
+  /// Runs it; a second response, to another call, follows on the connection.
   answer_twice,
-  /// Runs it; an answer to another call comes first.
+  /// Runs it; a response to another call precedes the response.
   answer_foreign_first,
-  /// Runs it; the answer has no length and ends with the connection.
+  /// Runs it; the response has no length and ends when the connection closes.
   answer_unframed,
-  /// Answers bytes that are no answer.
+  /// Sends bytes that are not an HTTP response.
   garble,
-  /// Runs it and says nothing.
+  /// Runs it and sends no response.
   hang,
-  /// Runs it; a success without the server's signature.
+  /// Runs it; a successful response without the server's signature.
   unsigned_answer,
-  /// Refuses it as full with status 429, and says that it was not run.
+  /// Refuses it as overloaded with status 429 and states that it was not run.
   shed_as_too_many,
-  /// Refuses it as meant for another server.
+  /// Refuses it with status 421, as addressed to another server.
   misdirect,
-  /// Runs it; a signed failure with that status, which does not say that it was not run.
+  /// Runs it; a signed error response with that status, which does not state that it was not run.
   fail_408,
   fail_429,
   fail_500,
   fail_503,
   fail_504,
-  /// Runs it; a refusal comes first that says "not run" and names no call.
+  /// Runs it; a refusal precedes the response that states "not run" and carries no request id.
   answer_refusal_first,
 };
 
-/// The acts of a group of servers, in the order in which requests reach any of them.
+/// The behaviors of a group of servers: one for each request, in the order in which requests reach
+/// any of them.
 class act_script {
 public:
-  /// The last act goes on for ever.
+  /// The last one repeats for all further requests.
   void set(std::vector<backend_act> acts) {
     this->acts = std::move(acts);
     this->next = 0;
@@ -73,11 +74,11 @@
 /// One request that reached the server.
 struct backend_arrival {
   http::request request;
-  /// The server began to work on it.
+  /// The server executed it.
   bool ran = false;
 };
 
-/// Serves until destroyed. For the thread that runs the io_context.
+/// Serves until destroyed. To be used only on the thread that runs the io_context.
 class scripted_backend {
 public:
   scripted_backend(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
@@ -88,23 +89,23 @@
   scripted_backend& operator=(const scripted_backend&) = delete;
 
   [[nodiscard]] http::endpoint where() const;
-  /// The id under which the server is registered.
+  /// The instance id under which the server is registered.
   [[nodiscard]] const std::string& instance() const;
-  /// Events of a streamed answer, and the time between two.
+  /// Sets the number of events of a streamed response and the time between two.
   void set_events(int events, std::chrono::milliseconds pause = {});
-  /// From now on a request is read so long after its connection is free for it.
+  /// Sets a delay before each request is read from a connection.
   void set_read_pause(std::chrono::milliseconds pause);
   [[nodiscard]] const std::vector<backend_arrival>& arrivals() const;
-  /// How often a request of that id was run.
+  /// Number of times that a request with that id was run.
   [[nodiscard]] int runs(const std::string& id) const;
-  /// Streams whose connection the other side closed before their end.
+  /// Number of streams whose connection the peer closed before the end.
   [[nodiscard]] int cancelled() const;
-  /// Told of every request as it arrives.
+  /// Sets a hook that is called with every request that arrives.
   void on_arrival(std::function<void(const backend_arrival&)> hook);
-  /// The object by which the server registers itself in the platform's store.
+  /// The JSON object by which the server registers itself in the platform's store.
   [[nodiscard]] std::string entry(const std::string& service, const std::string& zone,
                                   bool draining = false) const;
-  /// The same for a server that is reached at another address.
+  /// The same with another address.
   [[nodiscard]] std::string entry_at(const http::endpoint& where, const std::string& service,
                                      const std::string& zone, bool draining) const;
 
--- a/stand_ins/programs/run_stand_in.h
+++ b/stand_ins/programs/run_stand_in.h
@@ -1,4 +1,4 @@
-// The thin program round a stand-in.
+// The common main function of the stand-in programs.
 #pragma once
 
 #include <fmt/format.h>
@@ -14,8 +14,8 @@
 
 namespace hawthornlane::stand_ins {
 
-/// Serves what `make` returns at the address given as the first argument, or at a
-/// port that the kernel chooses; prints the address and runs until it is ended.
+/// Serves the stand-in that `make` returns, at the address given as the first argument or at
+/// a port that the kernel chooses. Prints the address and runs until SIGINT or SIGTERM.
 template <class Make>
 int run_stand_in(int argc, char** argv, Make make) {
   constexpr int exit_usage = 2;
--- a/stand_ins/src/engine.cc
+++ b/stand_ins/src/engine.cc
@@ -65,7 +65,7 @@
 
 using shared_state = std::shared_ptr<engine::state>;
 
-/// A chat-completions request as far as the stand-in reads it.
+/// The fields of a chat-completions request that the stand-in uses.
 struct completion_request {
   std::string request_id;
   std::string program;
--- a/stand_ins/src/object_platform.cc
+++ b/stand_ins/src/object_platform.cc
@@ -1,4 +1,4 @@
-// Stand-in for the users' platform store.
+// Stand-in for the platform's object store.
 #include "hawthornlane/stand_ins/object_platform.h"
 
 #include <boost/asio/redirect_error.hpp>
@@ -21,7 +21,7 @@
 constexpr int conflict = 409;
 constexpr int gone = 410;
 constexpr int unavailable = 503;
-/// Longer than any caller waits.
+/// Delay in place of a response; longer than any caller waits.
 constexpr auto for_ever = std::chrono::seconds(60);
 constexpr auto look_pause = std::chrono::milliseconds(5);
 
@@ -63,11 +63,11 @@
   };
 
   std::map<std::pair<std::string, std::string>, object> objects;
-  /// By kind: what listings hold besides, as it is.
+  /// Additional items of listings, by kind; inserted unchanged.
   std::multimap<std::string, std::string> raw_items;
   std::vector<change> history;
   std::uint64_t revision = 1;
-  /// Changes before this are not told any more.
+  /// Revision at which the history begins; watches from an earlier one get status 410.
   std::uint64_t history_begins = 0;
   store_mood mood = store_mood::serving;
   bool deaf = false;
--- a/stand_ins/src/platform.cc
+++ b/stand_ins/src/platform.cc
@@ -82,7 +82,7 @@
   return answer;
 }
 
-/// Answers a request for one object; `lost` when the answer must not arrive.
+/// Serves a request for one object. Sets `lost` when the response must not be sent.
 http::response serve_object(platform::state& state, const http::request& ask,
                             const std::string& key, bool& lost) {
   const std::lock_guard lock(state.mutex);
@@ -148,8 +148,10 @@
   }
 }
 
-/// Throws to cut the connection off without an answer.
-[[noreturn]] void cut_off() { throw std::runtime_error("cut off"); }
+/// Throws, which closes the connection without a response.
+[[noreturn]] void cut_off() {
+  throw std::runtime_error("injected fault: the connection is closed without a response");
+}
 
 asio::awaitable<void> serve(shared_state state, const http::request& ask, http::exchange& reply) {
   if (ask.path == "/faults") {
--- a/stand_ins/src/scripted_backend.cc
+++ b/stand_ins/src/scripted_backend.cc
@@ -1,4 +1,4 @@
-// Stand-in for a backend server that behaves as a test says.
+// Stand-in for a backend server of the platform; a test scripts its behavior.
 #include "hawthornlane/stand_ins/scripted_backend.h"
 
 #include <fmt/format.h>
@@ -30,7 +30,7 @@
 
 constexpr int misdirected = 421;
 
-/// The status of an act that is a failure of the server's own; 0 for all others.
+/// The status of a behavior that fails with an error response; 0 for all others.
 int failure_status(backend_act act) {
   switch (act) {
     case backend_act::fail_408:
@@ -48,7 +48,7 @@
   }
 }
 
-/// The status by which an act refuses a request that it does not run; 0 for all others.
+/// The status of a behavior that refuses the request without running it; 0 for all others.
 int refusal_status(backend_act act) {
   switch (act) {
     case backend_act::shed:
@@ -98,7 +98,7 @@
     return fmt::format("id: {}\ndata: piece {}\n\n", event, event);
   }
 
-  /// The event after which the caller wants the stream to go on; 0: from its start.
+  /// The event after which the caller resumes the stream; 0 means from the start.
   static int last_event_of(const http::request& request) {
     return std::stoi(request.find_header("Last-Event-Id").value_or("0"));
   }
