--- a/libs/http/test/server_test.cc
+++ b/libs/http/test/server_test.cc
@@ -1,5 +1,5 @@
-// Tests of the HTTP server against callers that behave badly: each gets the
-// answer of the error table, and a well-behaved one is served all the while.
+// Guards the HTTP server against misbehaving callers: an invalid or slow request gets the
+// response of the error table, and other callers are still served.
 #include "hawthornlane/http/server.h"
 
 #include <boost/asio/connect.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A server that echoes bodies, on a thread of its own.
+/// A server that echoes bodies, on its own thread.
 class echo_server {
 public:
   echo_server() {
@@ -29,22 +29,22 @@
       answer.body = ask.method + " " + ask.path + " " + ask.body;
       co_await reply.respond(std::move(answer));
     };
-    const auto refuse = [](error_kind kind, std::string_view) {
+    const auto make_error_response = [](error_kind kind, std::string_view) {
       http::response answer;
       answer.status = answer_for(kind).http_status;
       answer.body = std::string(answer_for(kind).name);
       return answer;
     };
     this->server = std::make_unique<http::server>(this->context, http::endpoint{"127.0.0.1", 0},
-                                                  limits, handle, refuse);
+                                                  limits, handle, make_error_response);
     this->thread = std::jthread([this] { this->context.run(); });
   }
   echo_server(const echo_server&) = delete;
   echo_server& operator=(const echo_server&) = delete;
   ~echo_server() { this->context.stop(); }
 
-  /// Sends the bytes, perhaps closes the sending side, and reads until the end.
-  std::string talk(const std::string& bytes, bool half_close = false) const {
+  /// Sends the bytes, optionally shuts down the sending side, and reads until the end.
+  std::string exchange_bytes(const std::string& bytes, bool half_close = false) const {
     asio::io_context own;
     tcp::socket socket(own);
     const http::endpoint at = this->server->where();
@@ -73,13 +73,14 @@
 
 }  // namespace
 
-TEST_CASE("a caller that behaves badly gets the table's answer and harms nobody") {
-  struct manner {
+TEST_CASE(
+    "an invalid or slow request gets the error table's response and other callers are served") {
+  struct misbehavior {
     std::string name;
     std::string bytes;
     std::string expected;
   };
-  const auto row = GENERATE(values<manner>({
+  const auto row = GENERATE(values<misbehavior>({
       {"body too large", request("/", "", std::string(10'001, 'x')), "413 "},
       {"announced body too large", "POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", "413 "},
       {"headers flooded", request("/", "X-Long: " + std::string(8000, 'x') + "\r\n"), "413 "},
@@ -89,27 +90,28 @@
       {"slow sender", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf", "408 "},
   }));
   const echo_server server;
-  const std::string answer = server.talk(row.bytes);
+  const std::string answer = server.exchange_bytes(row.bytes);
   INFO(row.name << "\nactual answer:\n" << answer);
   CHECK(answer.starts_with("HTTP/1.1 " + row.expected));
-  const std::string good = server.talk(request("/a", "", "b"));
+  const std::string good = server.exchange_bytes(request("/a", "", "b"));
   CHECK(good.starts_with("HTTP/1.1 200 "));
   CHECK(good.ends_with("POST /a b"));
 }
 
-TEST_CASE("a caller that closes its sending side still gets its answer") {
+TEST_CASE("a caller that shuts down its sending side still gets its response") {
   const echo_server server;
-  CHECK(server.talk(request("/a", "", "b"), true).ends_with("POST /a b"));
+  CHECK(server.exchange_bytes(request("/a", "", "b"), true).ends_with("POST /a b"));
 }
 
-TEST_CASE("a connection that is cut in a request leaves the others alone") {
+TEST_CASE("a connection that ends in the middle of a request does not affect others") {
   const echo_server server;
-  const std::string cut = server.talk("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf", true);
+  const std::string cut =
+      server.exchange_bytes("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf", true);
   CHECK(cut.starts_with("HTTP/1.1 400 "));
-  CHECK(server.talk(request("/a", "", "b")).ends_with("POST /a b"));
+  CHECK(server.exchange_bytes(request("/a", "", "b")).ends_with("POST /a b"));
 }
 
-TEST_CASE("an address is IP and port and nothing else") {
+TEST_CASE("only an address of the form IP:port is parsed") {
   CHECK(http::endpoint_from_string("127.0.0.1:80") == http::endpoint{"127.0.0.1", 80});
   const auto bad =
       GENERATE(as<std::string>{}, "", ":80", "127.0.0.1", "127.0.0.1:", "h:70000", "127.0.0.1:8x");
--- a/libs/net/include/hawthornlane/net/compression.h
+++ b/libs/net/include/hawthornlane/net/compression.h
@@ -1,4 +1,4 @@
-// Text made short for the way between hosts, with zstd.
+// Compression of text that is sent between hosts, with zstd.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,11 @@
 
 namespace hawthornlane::net {
 
-/// The text in fewer bytes; never fails, though bytes without repetition grow a little.
+/// Compresses the text. Never fails; incompressible input grows a little.
 std::string compress(std::string_view text);
 
-/// The text of `pack`; nothing when the bytes are no such text, or when it would have
-/// more than `most` bytes, which is found out before memory is taken for it.
-std::optional<std::string> decompress(std::string_view packed, std::size_t most);
+/// Reverses `compress`. Returns nothing when the bytes are not valid compressed text, or when the
+/// text would be longer than `max_bytes` bytes, which is checked before memory is allocated for it.
+std::optional<std::string> decompress(std::string_view compressed, std::size_t max_bytes);
 
 }  // namespace hawthornlane::net
--- a/libs/net/test/compression_test.cc
+++ b/libs/net/test/compression_test.cc
@@ -1,4 +1,5 @@
-// Packed text comes back whole; other bytes and absurd sizes do not pass.
+// Guards against compressed text that does not decompress to the original, and against
+// malformed or oversized input being accepted.
 #include "hawthornlane/net/compression.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t most = 100'000;
+constexpr std::size_t max_bytes = 100'000;
 
 std::string repeated(std::size_t bytes) {
   std::string text;
@@ -29,11 +30,11 @@
 
 }  // namespace
 
-TEST_CASE("packed text comes back whole") {
+TEST_CASE("compressed text decompresses to the original") {
   struct row {
     const char* what;
     std::string text;
-    std::size_t packed_at_most;
+    std::size_t max_compressed_size;
   };
   const row rows[] = {
       {"nothing", "", 20},
@@ -43,13 +44,13 @@
   };
   for (const row& item : rows) {
     INFO(item.what);
-    const std::string packed = compress(item.text);
-    CHECK(packed.size() <= item.packed_at_most);
-    CHECK(decompress(packed, most) == item.text);
+    const std::string compressed = compress(item.text);
+    CHECK(compressed.size() <= item.max_compressed_size);
+    CHECK(decompress(compressed, max_bytes) == item.text);
   }
 }
 
-TEST_CASE("what is no packed text, or too long, is nothing") {
+TEST_CASE("input that is malformed or decompresses to too many bytes is rejected") {
   const std::string whole = compress(repeated(90'000));
   std::string changed = whole;
   changed[changed.size() / 2] = static_cast<char>(changed[changed.size() / 2] ^ 0x55);
@@ -61,16 +62,16 @@
       {"no bytes", ""},
       {"plain text", "{\"version\":3}"},
       {"random bytes", random_bytes(3000)},
-      {"a part", whole.substr(0, whole.size() / 2)},
-      {"a head only", whole.substr(0, 8)},
-      {"more bytes behind it", whole + "x"},
+      {"a truncated text", whole.substr(0, whole.size() / 2)},
+      {"the header only", whole.substr(0, 8)},
+      {"trailing bytes", whole + "x"},
       {"a text of 100 MB", compress(std::string(100'000'000, 'a'))},
   };
   for (const row& item : rows) {
     INFO(item.what);
-    CHECK_FALSE(decompress(item.bytes, most));
+    CHECK_FALSE(decompress(item.bytes, max_bytes));
   }
-  // Changed bytes may still be a text, but not that one and never a longer one.
-  const auto other = decompress(changed, most);
-  CHECK((!other || other->size() <= most));
+  // Corrupted input may still decompress, but never to more than the limit.
+  const auto other = decompress(changed, max_bytes);
+  CHECK((!other || other->size() <= max_bytes));
 }
--- a/libs/net/test/rpc_test.cc
+++ b/libs/net/test/rpc_test.cc
@@ -1,4 +1,4 @@
-// Calls between hosts: answered, refused, timed out, cut, and given up.
+// Calls between hosts: success, refusal, timeout, connection loss, and the limits of the queues.
 #include "hawthornlane/net/rpc.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 constexpr std::uint16_t echo = 1;
 constexpr std::uint16_t silent = 2;
 
-/// A server that echoes, refuses or says nothing, by the method.
+/// A server that echoes, refuses or sends nothing, depending on the method.
 class call_fixture {
 public:
   call_fixture()
@@ -36,11 +36,11 @@
                  }
                }) {}
 
-  rpc_failure call(rpc_client& client, std::uint16_t method, duration limit = 500ms) {
+  rpc_failure call(rpc_client& client, std::uint16_t method, duration timeout = 500ms) {
     std::optional<rpc_failure> why;
-    client.call(method, "payload", limit, [&](rpc_failure result, const std::string& answer) {
+    client.call(method, "payload", timeout, [&](rpc_failure result, const std::string& answer) {
       why = result;
-      this->last_answer = answer;
+      this->last_response = answer;
     });
     this->run_until([&] { return why.has_value(); });
     return *why;
@@ -58,99 +58,99 @@
   asio::io_context context;
   deadline_sweeper sweeper;
   rpc_server server;
-  std::string last_answer;
+  std::string last_response;
 };
 
 }  // namespace
 
-TEST_CASE("how a call ends") {
+TEST_CASE("a call reports a response, a refusal or a timeout") {
   call_fixture all;
   rpc_client client(all.context, all.sweeper, all.server.where());
   CHECK(all.call(client, echo) == rpc_failure::none);
-  CHECK(all.last_answer == "payload");
+  CHECK(all.last_response == "payload");
   CHECK(all.call(client, 9) == rpc_failure::refused);
   CHECK(all.call(client, silent, 100ms) == rpc_failure::unknown);
-  // The connection was given up as silent; the next call makes a new one.
+  // The client closed the silent connection; the next call opens a new one.
   CHECK(all.call(client, echo) == rpc_failure::none);
 }
 
-TEST_CASE("a host that does not listen is unreachable at once") {
+TEST_CASE("a call to a host that does not listen fails as unreachable") {
   call_fixture all;
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", 1});
   CHECK(all.call(client, echo) == rpc_failure::unreachable);
 }
 
-TEST_CASE("bytes that are no frame end their connection only") {
+TEST_CASE("bytes that are not a frame close only the connection they arrive on") {
   call_fixture all;
-  asio::ip::tcp::socket rude(all.context);
-  rude.connect({asio::ip::make_address("127.0.0.1"), all.server.where().port});
-  asio::write(rude, asio::buffer(std::string(100, 'x')));
+  asio::ip::tcp::socket invalid_client(all.context);
+  invalid_client.connect({asio::ip::make_address("127.0.0.1"), all.server.where().port});
+  asio::write(invalid_client, asio::buffer(std::string(100, 'x')));
   rpc_client client(all.context, all.sweeper, all.server.where());
   CHECK(all.call(client, echo) == rpc_failure::none);
   char byte = 0;
   boost::system::error_code error;
-  rude.read_some(asio::buffer(&byte, 1), error);
+  invalid_client.read_some(asio::buffer(&byte, 1), error);
   CHECK(error);
 }
 
-TEST_CASE("a client that goes away tells those who wait, but not from its destructor") {
+TEST_CASE("destroying a client fails its pending calls, but not within the destructor") {
   call_fixture all;
-  bool told = false;
+  bool notified = false;
   {
     rpc_client client(all.context, all.sweeper, all.server.where());
-    client.call(silent, "payload", 10s, [&told](rpc_failure why, const std::string&) {
+    client.call(silent, "payload", 10s, [&notified](rpc_failure why, const std::string&) {
       CHECK(why == rpc_failure::unknown);
-      told = true;
+      notified = true;
     });
   }
-  CHECK_FALSE(told);
-  all.run_until([&told] { return told; });
+  CHECK_FALSE(notified);
+  all.run_until([&notified] { return notified; });
 }
 
-TEST_CASE("answers that nobody reads are bounded for the process, not for each connection") {
-  constexpr std::size_t most = std::size_t{4} * 1024 * 1024;
-  constexpr std::size_t answer_size = std::size_t{1} * 1024 * 1024;
+TEST_CASE("unread responses are limited for the whole process, not per connection") {
+  constexpr std::size_t max_bytes = std::size_t{4} * 1024 * 1024;
+  constexpr std::size_t response_size = std::size_t{1} * 1024 * 1024;
   call_fixture all;
   rpc_server server(all.context, all.sweeper, {"127.0.0.1", 0},
                     [](std::uint16_t, const std::string&, const rpc_reply& reply) {
-                      reply(std::string(answer_size, 'a'));
+                      reply(std::string(response_size, 'a'));
                     });
-  server.limit_queued_bytes(most);
-  // Eight hosts ask for 40 MB again and again and read nothing.
+  server.limit_queued_bytes(max_bytes);
+  // Eight hosts repeatedly request 40 MB in total and read nothing.
   std::string asks;
   for (std::uint64_t call = 1; call <= 5; ++call) {
     append_frame(asks, {frame_kind::request, echo, call, ""});
   }
-  std::vector<std::unique_ptr<asio::ip::tcp::socket>> deaf;
+  std::vector<std::unique_ptr<asio::ip::tcp::socket>> non_reading;
   for (int number = 0; number < 8; ++number) {
-    deaf.push_back(std::make_unique<asio::ip::tcp::socket>(all.context));
-    deaf.back()->open(asio::ip::tcp::v4());
-    deaf.back()->set_option(asio::socket_base::receive_buffer_size(4096));
-    deaf.back()->connect({asio::ip::make_address("127.0.0.1"), server.where().port});
+    non_reading.push_back(std::make_unique<asio::ip::tcp::socket>(all.context));
+    non_reading.back()->open(asio::ip::tcp::v4());
+    non_reading.back()->set_option(asio::socket_base::receive_buffer_size(4096));
+    non_reading.back()->connect({asio::ip::make_address("127.0.0.1"), server.where().port});
   }
   std::size_t largest = 0;
   const auto until = std::chrono::steady_clock::now() + 500ms;
   while (std::chrono::steady_clock::now() < until) {
-    for (const auto& socket : deaf) {
+    for (const auto& socket : non_reading) {
       asio::write(*socket, asio::buffer(asks));
     }
     all.context.restart();
     all.context.poll();
     largest = std::max(largest, server.queued_bytes());
   }
-  CHECK(largest > answer_size);
-  CHECK(largest <= most + 100 * frame_head_size);
-  // Who asks now is refused at once, and answered when the others are gone.
+  CHECK(largest > response_size);
+  CHECK(largest <= max_bytes + 100 * frame_head_size);
+  // A new request is refused at once, and served once the other connections are closed.
   rpc_client client(all.context, all.sweeper, server.where());
   CHECK(all.call(client, echo) == rpc_failure::refused);
-  deaf.clear();
+  non_reading.clear();
   all.run_until([&] { return server.queued_bytes() == 0; });
   CHECK(all.call(client, echo) == rpc_failure::none);
 }
 
-TEST_CASE("requests to a host that takes nothing fail at once when too many bytes wait") {
+TEST_CASE("requests to a host that accepts nothing fail at once when the queue is full") {
   call_fixture all;
-  // A listener that never accepts: its queue of connections is full after some.
+  // A listener that never accepts; nothing reads the requests.
   asio::ip::tcp::acceptor full(all.context, {asio::ip::make_address("127.0.0.1"), 0});
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", full.local_endpoint().port()});
   std::vector<rpc_failure> ends;
@@ -159,7 +159,7 @@
     client.call(echo, payload, 5s,
                 [&](rpc_failure why, const std::string&) { ends.push_back(why); });
   }
-  // Some fit before the limit; the rest is not kept.
+  // Requests beyond the queue's limit fail at once.
   all.run_until([&] { return ends.size() >= 8; });
   CHECK(std::count(ends.begin(), ends.end(), rpc_failure::unreachable) >= 8);
 }
@@ -168,28 +168,28 @@
   call_fixture all;
   asio::ip::tcp::acceptor slow(all.context);
   slow.open(asio::ip::tcp::v4());
-  // Else the kernels may hold 10 MB for a host that reads nothing.
+  // Without this the kernel may buffer 10 MB for a host that reads nothing.
   slow.set_option(asio::socket_base::receive_buffer_size(4096));
   slow.bind({asio::ip::make_address("127.0.0.1"), 0});
   slow.listen();
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", slow.local_endpoint().port()});
   constexpr int requests = 5;
   constexpr std::size_t large = std::size_t{2} * 1024 * 1024;
-  // By request: those of one pass of the sweeper end in any order.
+  // Keyed by request: calls that expire in the same sweep end in any order.
   std::map<int, rpc_failure> ends;
   for (int number = 0; number < requests; ++number) {
     client.call(echo, std::string(large, 'p'), 300ms,
                 [&ends, number](rpc_failure why, const std::string&) { ends[number] = why; });
   }
   all.run_until([&] { return ends.size() == requests; });
-  // The first one fills what the kernels hold for a host that reads nothing.
+  // The first request fills the kernel's buffers.
   CHECK(ends.at(0) == rpc_failure::unknown);
   CHECK(ends.at(requests - 1) == rpc_failure::unreachable);
 }
 
-TEST_CASE("a call that is made because another one failed goes over the next connection") {
+TEST_CASE("a call made from the callback of a failed call uses the next connection") {
   call_fixture all;
-  // Takes connections and ends each of them.
+  // Accepts connections and closes each of them.
   asio::ip::tcp::acceptor ending(all.context, {asio::ip::make_address("127.0.0.1"), 0});
   rpc_client client(all.context, all.sweeper, {"127.0.0.1", ending.local_endpoint().port()});
   int retries = 0;
--- a/programs/client/commands.cc
+++ b/programs/client/commands.cc
@@ -1,4 +1,4 @@
-// Operators' commands.
+// Commands for operators.
 #include "commands.h"
 
 #include "json_fields.h"
@@ -20,10 +20,10 @@
 namespace {
 
 constexpr int first_error_status = 400;
-constexpr int force_tries = 75;
-constexpr auto force_wait = std::chrono::milliseconds(200);
+constexpr int max_status_polls = 75;
+constexpr auto status_poll_interval = std::chrono::milliseconds(200);
 
-/// Prints rows as a table, columns in the order of the first row.
+/// Prints rows as a table. The first row defines the columns and their order.
 void print_table(const json::array& rows) {
   if (rows.empty()) {
     fmt::print("(none)\n");
@@ -58,7 +58,7 @@
 std::optional<std::string> read_file(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    fmt::print(stderr, "{}: cannot be read\n", path);
+    fmt::print(stderr, "{}: cannot read the file\n", path);
     return std::nullopt;
   }
   std::ostringstream text;
@@ -66,7 +66,8 @@
   return text.str();
 }
 
-/// The name in a document's text, for its address; the daemon checks the rest.
+/// Extracts the service's name from a document's text, for the request's URL. The daemon validates
+/// the document.
 std::string service_in(const std::string& text) {
   std::istringstream lines(text);
   std::string line;
@@ -89,7 +90,7 @@
 }
 
 int unreachable(const std::string& reason) {
-  fmt::print(stderr, "no host answers: {}\n", reason);
+  fmt::print(stderr, "no host responds: {}\n", reason);
   return exit_unreachable;
 }
 
@@ -113,40 +114,41 @@
   fmt::print(stderr, "refused ({}): {}{}{}\n", answer.status, field(body, "meaning"),
              field(body, "detail").empty() ? "" : ": ", field(body, "detail"));
   if (field(body, "error") == "confirmation_required") {
-    fmt::print(stderr, "to go on, repeat with --confirm {}\n", field(body, "digest"));
+    fmt::print(stderr, "to confirm, repeat the command with --confirm {}\n", field(body, "digest"));
   }
   return exit_refused;
 }
 
-/// Asks for JSON, prints it or hands it to `show`.
+/// Requests JSON and prints it, or passes it to `show` when tables are wanted.
 template <class Show>
-int show_answer(connection& hosts, const std::string& target, output form, Show show) {
+int show_answer(connection& hosts, const std::string& target, output options, Show show) {
   std::string reason;
   const auto answer = hosts.ask("GET", target, "", reason);
   if (!answer) {
     return unreachable(reason);
   }
   const json::object body = parsed_object(answer->body);
-  if (form.json) {
+  if (options.json) {
     fmt::print("{}\n", json::serialize(body));
   }
   if (answer->status >= first_error_status) {
     return report_refusal(*answer, body);
   }
-  if (!form.json) {
+  if (!options.json) {
     show(body);
   }
-  return exit_good;
+  return exit_ok;
 }
 
 struct fleet_status {
   std::size_t hosts = 0;
   std::size_t in_force = 0;
-  std::vector<std::string> behind;
+  std::vector<std::string> outdated;
 };
 
-/// Asks every live host which generation it follows.
-fleet_status ask_fleet(connection& hosts, const std::string& service, std::uint64_t wanted) {
+/// Asks every live host which generation of the document it uses.
+fleet_status query_fleet(connection& hosts, const std::string& service,
+                         std::uint64_t expected_generation) {
   fleet_status status;
   std::string reason;
   const auto listing = hosts.ask("GET", "/v1/admin/hosts", "", reason);
@@ -165,31 +167,32 @@
     const auto shown = hosts.ask_one(*address, "GET", "/v1/admin/documents/" + service, "", why);
     const json::object document = shown ? parsed_object(shown->body) : json::object();
     const json::value* at = document.if_contains("generation");
-    if (at != nullptr && at->to_number<std::uint64_t>() >= wanted) {
+    if (at != nullptr && at->to_number<std::uint64_t>() >= expected_generation) {
       ++status.in_force;
     } else {
-      status.behind.push_back(field(host, "host"));
+      status.outdated.push_back(field(host, "host"));
     }
   }
   return status;
 }
 
-int wait_in_force(connection& hosts, const std::string& service, std::uint64_t wanted) {
+int wait_in_force(connection& hosts, const std::string& service,
+                  std::uint64_t expected_generation) {
   const auto began = std::chrono::steady_clock::now();
   fleet_status status;
-  for (int attempt = 0; attempt < force_tries; ++attempt) {
-    status = ask_fleet(hosts, service, wanted);
+  for (int attempt = 0; attempt < max_status_polls; ++attempt) {
+    status = query_fleet(hosts, service, expected_generation);
     if (status.hosts > 0 && status.in_force == status.hosts) {
       const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
       fmt::print("in force on {} of {} hosts after {:.2f} s\n", status.in_force, status.hosts,
                  took.count());
-      return exit_good;
+      return exit_ok;
     }
-    std::this_thread::sleep_for(force_wait);
+    std::this_thread::sleep_for(status_poll_interval);
   }
   fmt::print(stderr, "in force on {} of {} hosts; behind: {}\n", status.in_force, status.hosts,
-             fmt::join(status.behind, ", "));
-  return exit_fault;
+             fmt::join(status.outdated, ", "));
+  return exit_error;
 }
 
 std::uint64_t current_generation(connection& hosts, const std::string& service) {
@@ -204,7 +207,7 @@
 
 }  // namespace
 
-int document_check(connection& hosts, const std::string& file, output form) {
+int document_check(connection& hosts, const std::string& file, output options) {
   const auto text = read_file(file);
   if (!text) {
     return exit_usage;
@@ -215,7 +218,7 @@
     return unreachable(reason);
   }
   const json::object body = parsed_object(answer->body);
-  if (form.json) {
+  if (options.json) {
     fmt::print("{}\n", json::serialize(body));
   } else {
     print_findings(body);
@@ -223,12 +226,12 @@
   }
   const std::string error = field(body, "error");
   if (error == "confirmation_required" || error.empty()) {
-    return exit_good;
+    return exit_ok;
   }
   return report_refusal(*answer, body);
 }
 
-int document_diff(connection& hosts, const std::string& file, output form) {
+int document_diff(connection& hosts, const std::string& file, output options) {
   const auto text = read_file(file);
   if (!text) {
     return exit_usage;
@@ -263,18 +266,18 @@
       changes.push_back(json::value("+ " + line));
     }
   }
-  if (form.json) {
+  if (options.json) {
     fmt::print("{}\n", json::serialize(changes));
-    return exit_good;
+    return exit_ok;
   }
   for (const json::value& change : changes) {
     fmt::print("{}\n", as_text(change));
   }
-  return exit_good;
+  return exit_ok;
 }
 
 int document_apply(connection& hosts, const std::string& file, const std::string& confirm,
-                   bool wait, output form) {
+                   bool wait, output options) {
   const auto text = read_file(file);
   if (!text) {
     return exit_usage;
@@ -290,7 +293,7 @@
     return unreachable(reason);
   }
   const json::object body = parsed_object(answer->body);
-  if (form.json) {
+  if (options.json) {
     fmt::print("{}\n", json::serialize(body));
   } else {
     print_findings(body);
@@ -299,36 +302,38 @@
     return report_refusal(*answer, body);
   }
   const auto at = body.at("generation").to_number<std::uint64_t>();
-  if (!form.json) {
+  if (!options.json) {
     fmt::print("service {} is at generation {}\n", service, at);
   }
-  return wait ? wait_in_force(hosts, service, at) : exit_good;
+  return wait ? wait_in_force(hosts, service, at) : exit_ok;
 }
 
-int document_status(connection& hosts, output form) {
-  return show_answer(hosts, "/v1/admin/documents", form, [&hosts](const json::object& body) {
+int document_status(connection& hosts, output options) {
+  return show_answer(hosts, "/v1/admin/documents", options, [&hosts](const json::object& body) {
     for (const json::value& row : body.at("documents").as_array()) {
       const json::object& document = row.as_object();
       const std::string service = field(document, "service");
       const auto at = document.at("generation").to_number<std::uint64_t>();
-      const fleet_status fleet = ask_fleet(hosts, service, at);
+      const fleet_status fleet = query_fleet(hosts, service, at);
       fmt::print(
           "{}  generation {}  digest {}  team {}  in force on {} of {} hosts{}\n", service, at,
           field(document, "digest"), field(document, "owner_team"), fleet.in_force, fleet.hosts,
-          fleet.behind.empty() ? "" : fmt::format("; behind: {}", fmt::join(fleet.behind, ", ")));
+          fleet.outdated.empty() ? ""
+                                 : fmt::format("; behind: {}", fmt::join(fleet.outdated, ", ")));
     }
   });
 }
 
-int document_show(connection& hosts, const std::string& service, output form) {
-  return show_answer(hosts, "/v1/admin/documents/" + service, form, [](const json::object& body) {
-    fmt::print("# generation {}, digest {}\n{}", field(body, "generation"), field(body, "digest"),
-               field(body, "text"));
-  });
+int document_show(connection& hosts, const std::string& service, output options) {
+  return show_answer(hosts, "/v1/admin/documents/" + service, options,
+                     [](const json::object& body) {
+                       fmt::print("# generation {}, digest {}\n{}", field(body, "generation"),
+                                  field(body, "digest"), field(body, "text"));
+                     });
 }
 
-int audit(connection& hosts, const std::string& subject, output form) {
-  return show_answer(hosts, "/v1/admin/audit", form, [&subject](const json::object& body) {
+int audit(connection& hosts, const std::string& subject, output options) {
+  return show_answer(hosts, "/v1/admin/audit", options, [&subject](const json::object& body) {
     json::array rows;
     for (const json::value& row : body.at("entries").as_array()) {
       if (subject.empty() || field(row.as_object(), "subject") == subject) {
@@ -337,38 +342,39 @@
     }
     print_table(rows);
     if (field(body, "platform_reachable") == "false") {
-      fmt::print(stderr, "the platform does not answer: only this host's latest entries\n");
+      fmt::print(stderr,
+                 "the platform does not respond: showing only the latest entries of this host\n");
     }
   });
 }
 
-int document_history(connection& hosts, const std::string& service, output form) {
-  return audit(hosts, service, form);
+int document_history(connection& hosts, const std::string& service, output options) {
+  return audit(hosts, service, options);
 }
 
-int list(connection& hosts, const std::string& what, output form) {
-  return show_answer(hosts, "/v1/admin/" + what, form,
+int list(connection& hosts, const std::string& what, output options) {
+  return show_answer(hosts, "/v1/admin/" + what, options,
                      [&what](const json::object& body) { print_table(body.at(what).as_array()); });
 }
 
-int program_show(connection& hosts, const std::string& program, output form) {
-  return show_answer(hosts, "/v1/admin/programs/" + program, form,
+int program_show(connection& hosts, const std::string& program, output options) {
+  return show_answer(hosts, "/v1/admin/programs/" + program, options,
                      [](const json::object& body) { print_table(json::array{body}); });
 }
 
-int drain(connection& hosts, output form) {
+int drain(connection& hosts, output options) {
   std::string reason;
   const auto answer = hosts.ask("POST", "/v1/admin/drain", "", reason);
   if (!answer) {
     return unreachable(reason);
   }
   const json::object body = parsed_object(answer->body);
-  if (form.json) {
+  if (options.json) {
     fmt::print("{}\n", json::serialize(body));
   } else {
     fmt::print("host {} is {}\n", field(body, "host"), field(body, "state"));
   }
-  return answer->status < first_error_status ? exit_good : report_refusal(*answer, body);
+  return answer->status < first_error_status ? exit_ok : report_refusal(*answer, body);
 }
 
 }  // namespace hawthornlane::cli
--- a/programs/client/explain_command.cc
+++ b/programs/client/explain_command.cc
@@ -1,4 +1,4 @@
-// `hawthornlane explain`: what became of a request, from the hosts' logs.
+// The `explain` command: shows from the hosts' logs what happened to a request.
 #include <fmt/format.h>
 
 #include <fstream>
@@ -35,25 +35,25 @@
   for (const std::string& name : files) {
     std::ifstream file(name);
     if (!file && name != "-") {
-      fmt::print(stderr, "{}: cannot be read\n", name);
+      fmt::print(stderr, "{}: cannot read the file\n", name);
       return exit_usage;
     }
     read_lines(name == "-" ? std::cin : file, logs);
   }
-  const explain::request_report story = explain::request_report_for(logs, id);
-  if (story.lines.empty()) {
-    fmt::print(stderr, "no log line names {}; collect the logs of all front hosts\n", id);
+  const explain::request_report report = explain::request_report_for(logs, id);
+  if (report.lines.empty()) {
+    fmt::print(stderr, "no log line contains {}; pass the logs of all front hosts\n", id);
     return exit_refused;
   }
-  std::vector<std::string> told;
-  for (const explain::log_line& line : story.lines) {
-    told.push_back(fmt::format("{} {} {}: {}", line.field("time"), line.host, line.field("request"),
-                               explain::describe_line(line)));
+  std::vector<std::string> events;
+  for (const explain::log_line& line : report.lines) {
+    events.push_back(fmt::format("{} {} {}: {}", line.field("time"), line.host,
+                                 line.field("request"), explain::describe_line(line)));
   }
-  print_part("what happened", told);
-  print_part("what the host believed at that time", story.host_state);
-  print_part("other requests of the same program", story.other_requests);
-  return exit_good;
+  print_part("what happened", events);
+  print_part("state known to the host at that time", report.host_state);
+  print_part("other requests of the same program", report.other_requests);
+  return exit_ok;
 }
 
 }  // namespace hawthornlane::cli
--- a/programs/client/main.cc
+++ b/programs/client/main.cc
@@ -1,4 +1,4 @@
-// The command-line client of operators and callers.
+// The command-line client for operators and callers.
 #include <docopt.h>
 #include <fmt/format.h>
 
@@ -11,7 +11,8 @@
 
 using namespace hawthornlane;
 
-constexpr const char* usage = R"(hawthornlane: client of the scheduler for agent programs.
+constexpr const char* usage =
+    R"(hawthornlane: command-line client of the scheduler for agent programs.
 
 Usage:
   hawthornlane [options] document check FILE
@@ -31,20 +32,23 @@
   hawthornlane --help
 
 Options:
-  --hosts ADDRESSES    Entry hosts, "IP:port" with commas between; else the
-                       environment's HAWTHORNLANE_HOSTS.
-  --credential SECRET  Else the environment's HAWTHORNLANE_CREDENTIAL.
-  --as NAME            Who acts, for the audit trail; else the environment's USER.
-  --confirm DIGEST     Digest of the checked text, for dangerous changes.
-  --no-wait            Do not wait until the document is in force everywhere.
-  --json               JSON in place of tables.
-  --help               Show this.
+  --hosts ADDRESSES    Hosts to connect to, as a comma-separated list of IP:port. If
+                       not given, the environment variable HAWTHORNLANE_HOSTS is used.
+  --credential SECRET  Credential of the operator or caller. If not given, the
+                       environment variable HAWTHORNLANE_CREDENTIAL is used.
+  --as NAME            Name of the operator, for the audit trail. If not given, the
+                       environment variable USER is used.
+  --confirm DIGEST     Digest of the checked document; confirms a dangerous change.
+  --no-wait            Do not wait until the document is in force on all hosts.
+  --json               Print JSON instead of tables.
+  --help               Show this help.
 
-`explain` tells what became of a request or of a program's requests, and what the
-hosts believed then, from the logs of the platform's hosts; "-" is standard input.
-`drain` stops the first of the hosts. FILE of `call` holds one call a line, as
-{"say": "..."} or {"tool": "...", "path": "/...", "body": {...}}; "-" reads them
-from standard input. Exit codes are listed in docs/CLI.md.
+`explain` shows from the hosts' log files (LOG; "-" is standard input) what happened
+to a request, or to all requests of a program, and the state known to the hosts at
+that time. `drain` starts a planned stop of the first host that can be reached. The
+FILE of `call` contains one call per line, as {"say": "..."} or {"tool": "...",
+"path": "/...", "body": {...}}; "-" is standard input. Exit codes are listed in
+docs/CLI.md.
 )";
 
 std::string option_or(const docopt::value& given, const char* variable) {
@@ -67,43 +71,43 @@
 }
 
 int run(std::map<std::string, docopt::value>& arguments, cli::connection& hosts) {
-  const cli::output form{arguments.at("--json").asBool()};
+  const cli::output options{arguments.at("--json").asBool()};
   const auto chosen = [&arguments](const char* name) { return arguments.at(name).asBool(); };
   const auto text = [&arguments](const char* name) {
     return arguments.at(name) ? arguments.at(name).asString() : std::string();
   };
   if (chosen("document")) {
     if (chosen("check")) {
-      return cli::document_check(hosts, text("FILE"), form);
+      return cli::document_check(hosts, text("FILE"), options);
     }
     if (chosen("diff")) {
-      return cli::document_diff(hosts, text("FILE"), form);
+      return cli::document_diff(hosts, text("FILE"), options);
     }
     if (chosen("apply")) {
       return cli::document_apply(hosts, text("FILE"), text("--confirm"), !chosen("--no-wait"),
-                                 form);
+                                 options);
     }
     if (chosen("status")) {
-      return cli::document_status(hosts, form);
+      return cli::document_status(hosts, options);
     }
-    return chosen("show") ? cli::document_show(hosts, text("SERVICE"), form)
-                          : cli::document_history(hosts, text("SERVICE"), form);
+    return chosen("show") ? cli::document_show(hosts, text("SERVICE"), options)
+                          : cli::document_history(hosts, text("SERVICE"), options);
   }
   if (chosen("audit")) {
-    return cli::audit(hosts, text("SUBJECT"), form);
+    return cli::audit(hosts, text("SUBJECT"), options);
   }
   for (const char* what : {"hosts", "servers", "programs"}) {
     if (chosen(what)) {
-      return cli::list(hosts, what, form);
+      return cli::list(hosts, what, options);
     }
   }
   if (chosen("program")) {
-    return cli::program_show(hosts, text("ID"), form);
+    return cli::program_show(hosts, text("ID"), options);
   }
   if (chosen("drain")) {
-    return cli::drain(hosts, form);
+    return cli::drain(hosts, options);
   }
-  return cli::call(hosts, text("FILE"), form);
+  return cli::call(hosts, text("FILE"), options);
 }
 
 }  // namespace
@@ -115,7 +119,7 @@
   }
   const auto hosts = read_hosts(option_or(arguments.at("--hosts"), "HAWTHORNLANE_HOSTS"));
   if (hosts.empty()) {
-    fmt::print(stderr, "no hosts: give --hosts or set HAWTHORNLANE_HOSTS\n");
+    fmt::print(stderr, "no valid host addresses: pass --hosts or set HAWTHORNLANE_HOSTS\n");
     return cli::exit_usage;
   }
   cli::connection connection(hosts,
@@ -125,6 +129,6 @@
     return run(arguments, connection);
   } catch (const std::exception& fault) {
     fmt::print(stderr, "hawthornlane: {}\n", fault.what());
-    return cli::exit_fault;
+    return cli::exit_error;
   }
 }
--- a/programs/run_host.h
+++ b/programs/daemon_main.h
@@ -1,4 +1,4 @@
-// What the daemons share: settings, signals, exit codes.
+// Common code of the daemons: settings, signals, exit codes, main function.
 #pragma once
 
 #include <docopt.h>
@@ -19,11 +19,11 @@
 
 namespace hawthornlane::programs {
 
-constexpr int exit_good = 0;
-constexpr int exit_fault = 1;
+constexpr int exit_ok = 0;
+constexpr int exit_error = 1;
 constexpr int exit_settings = 2;
 
-/// The variable in which the platform names the settings file.
+/// Environment variable in which the platform passes the path of the settings file.
 constexpr const char* settings_variable = "HAWTHORNLANE_SETTINGS";
 
 inline std::optional<std::string> read_file(const std::string& path) {
@@ -36,13 +36,13 @@
   return text.str();
 }
 
-/// Reads and checks the settings named on the command line; on failure nothing,
-/// with the complaint printed.
+/// Reads and validates the settings file. On failure prints the problems and returns
+/// nothing.
 template <class Settings, class Reader>
 std::optional<Settings> load_settings(const std::string& path, Reader read) {
   const auto text = read_file(path);
   if (!text) {
-    fmt::print(stderr, "{}: cannot be read\n", path);
+    fmt::print(stderr, "{}: cannot read the file\n", path);
     return std::nullopt;
   }
   std::vector<ini_problem> problems;
@@ -53,7 +53,7 @@
   return settings;
 }
 
-/// The path of the settings file: the option, or the platform's variable.
+/// The path of the settings file: the option if given, otherwise the environment variable.
 inline std::string settings_path(const docopt::value& option) {
   if (option) {
     return option.asString();
@@ -62,16 +62,16 @@
   return given == nullptr ? "" : given;
 }
 
-/// Addresses and names of a running host do not change; a new file counts from the
-/// next start. The line shows whether it could be used.
-inline void reread_settings(const std::string& path) {
+/// Logs whether the settings file is readable. Addresses and names of a running host cannot
+/// change, so a new file takes effect at the next start.
+inline void log_settings_reread(const std::string& path) {
   const bool readable = read_file(path).has_value();
   log(event::settings_reread, {{"settings", path},
                                {"readable", readable ? "yes" : "no"},
                                {"detail", "in force from the next start"}});
 }
 
-/// Follows SIGTERM and SIGINT (planned stop) and SIGHUP (settings read again).
+/// Handles SIGTERM and SIGINT by calling `stop`, and SIGHUP by calling `reread`.
 inline void follow_signals(boost::asio::signal_set& signals, const std::function<void()>& stop,
                            const std::function<void()>& reread) {
   signals.async_wait([&signals, stop, reread](const boost::system::error_code& error, int signal) {
@@ -87,25 +87,25 @@
   });
 }
 
-/// What makes one daemon different from another.
+/// Everything that differs between the daemons.
 template <class Settings>
-struct host_program {
+struct daemon_definition {
   const char* name;
   const char* usage;
   std::function<const std::vector<key_rule>&()> schema;
   std::function<std::optional<Settings>(std::string_view, std::vector<ini_problem>&)> read;
-  /// Runs until a planned stop has ended.
+  /// Runs until a planned stop has completed.
   std::function<int(const Settings&, const std::string& path)> run;
 };
 
-/// The daemons' common main: command line, settings, logs, faults.
+/// The common main function of the daemons: command line, settings, logging, error handling.
 template <class Settings>
-int daemon_main(int argc, char** argv, const host_program<Settings>& what) {
+int daemon_main(int argc, char** argv, const daemon_definition<Settings>& what) {
   const auto arguments =
       docopt::docopt(what.usage, {argv + 1, argv + argc}, true, "hawthornlane 0.1");
   if (arguments.at("--describe-config").asBool()) {
     fmt::print("{}", describe(what.schema()));
-    return exit_good;
+    return exit_ok;
   }
   const std::string path = settings_path(arguments.at("--config"));
   const auto settings = load_settings<Settings>(path, what.read);
@@ -113,8 +113,8 @@
     return exit_settings;
   }
   if (arguments.at("--check-config").asBool()) {
-    fmt::print("{}: good\n", path);
-    return exit_good;
+    fmt::print("{}: the settings are valid\n", path);
+    return exit_ok;
   }
   set_log_format(log_format::json);
   set_log_host(settings->host.get());
@@ -124,7 +124,7 @@
   } catch (const std::exception& fault) {
     flush_log();
     fmt::print(stderr, "{}: {}\n", what.name, fault.what());
-    return exit_fault;
+    return exit_error;
   }
 }
 
--- a/programs/hawthornlaned.cc
+++ b/programs/hawthornlaned.cc
@@ -1,4 +1,4 @@
-// The daemon: reads its settings, runs one node and its workers, ends on a
+// The daemon: reads its settings and runs one node with its worker threads until a
 // planned stop.
 #include <docopt.h>
 #include <fmt/format.h>
@@ -10,16 +10,16 @@
 #include <thread>
 #include <vector>
 
+#include "daemon_main.h"
 #include "hawthornlane/node/node.h"
 #include "hawthornlane/telemetry/log.h"
-#include "run_host.h"
 
 namespace asio = boost::asio;
 using namespace hawthornlane::programs;
 
 namespace {
 
-constexpr const char* usage = R"(hawthornlaned: the scheduler's daemon, one for each entry host.
+constexpr const char* usage = R"(hawthornlaned: daemon of the scheduler; runs on each entry host.
 
 Usage:
   hawthornlaned --config FILE [--check-config] [--log-format FORMAT]
@@ -27,17 +27,17 @@
   hawthornlaned --help
 
 Options:
-  --config FILE        Settings in INI.
-  --check-config       Check the settings and start nothing; 2 when one is wrong.
-  --describe-config    Print all settings with unit, range and default.
-  --log-format FORMAT  text or json; overrides the settings.
-  --help               Show this.
+  --config FILE        Settings file, in INI format.
+  --check-config       Check the settings and exit; exit code 2 if any is invalid.
+  --describe-config    Print all settings with unit, range and default, and exit.
+  --log-format FORMAT  Log format, text or json; overrides the settings.
+  --help               Show this help.
 
-SIGTERM and SIGINT begin a planned stop, which cuts off no request.
+SIGTERM and SIGINT start a planned stop, which completes in-flight requests.
 )";
 
-/// The settings of a running node do not change.
-void explain_reread() {
+/// Logs that SIGHUP has no effect: the settings of a running node do not change.
+void log_reread_ignored() {
   hawthornlane::log(hawthornlane::event::signal_explained,
                     {{"signal", "SIGHUP"},
                      {"detail",
@@ -51,14 +51,14 @@
   hawthornlane::node host(context, settings, [&context] { context.stop(); });
   asio::signal_set signals(context, SIGTERM, SIGINT, SIGHUP);
   follow_signals(
-      signals, [&host] { host.stop("signal"); }, explain_reread);
+      signals, [&host] { host.stop("signal"); }, log_reread_ignored);
   std::vector<std::jthread> workers;
   for (std::uint32_t worker = 1; worker < settings.workers; ++worker) {
     workers.emplace_back([&context] { context.run(); });
   }
   context.run();
   workers.clear();
-  return exit_good;
+  return exit_ok;
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
   const auto arguments = docopt::docopt(usage, {argv + 1, argv + argc}, true, "hawthornlaned 0.1");
   if (arguments.at("--describe-config").asBool()) {
     fmt::print("{}", hawthornlane::describe(hawthornlane::node_schema()));
-    return exit_good;
+    return exit_ok;
   }
   const std::string path = arguments.at("--config").asString();
   auto settings =
@@ -76,8 +76,8 @@
     return exit_settings;
   }
   if (arguments.at("--check-config").asBool()) {
-    fmt::print("{}: good\n", path);
-    return exit_good;
+    fmt::print("{}: the settings are valid\n", path);
+    return exit_ok;
   }
   if (arguments.at("--log-format")) {
     const bool json = arguments.at("--log-format").asString() == "json";
@@ -89,6 +89,6 @@
     return run(*settings);
   } catch (const std::exception& fault) {
     fmt::print(stderr, "hawthornlaned: {}\n", fault.what());
-    return exit_fault;
+    return exit_error;
   }
 }
