--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -415,14 +415,14 @@
     quota_lease_view lease{disk_id("disk-0"), set, {}, {}};
     for (std::size_t at = 0; at < manager_count; ++at) {
       set.members.emplace_back(fmt::format("disk-{}", at));
-      lease.heard.push_back({set.members.back(), {}, {}});
+      lease.probe_results.push_back({set.members.back(), {}, {}});
     }
     timestamp now{};
     manager.set_share(1.0 / manager_count, now);
     std::size_t granted = 0;
     const auto check = [&](std::size_t at) {
       now += std::chrono::microseconds(100);
-      for (member_probe_result& word : lease.heard) {
+      for (member_probe_result& word : lease.probe_results) {
         word.received_at = now;
       }
       const account& caller = table->accounts()[at * 7919 % accounts];
--- a/libs/accounts/include/hawthornlane/accounts/account_scope.h
+++ b/libs/accounts/include/hawthornlane/accounts/account_scope.h
@@ -8,10 +8,10 @@
 
 namespace hawthornlane {
 
-/// Name of an account's program, line or turn as hosts and disks use it. Equal names of two
+/// Name of an account's program, session or turn as hosts and disks use it. Equal names of two
 /// accounts stay distinct. The account's length goes first, so that no two pairs of account and id
-/// yield the same text. The account is empty for callers without a key; others may have one at the
-/// same time.
+/// yield the same text. Callers without a key have an empty account; they may exist beside callers
+/// with a key.
 inline std::string within_account(const client_account& account, std::string_view id) {
   std::string name = std::to_string(account.get().size());
   name += ':';
--- a/libs/accounts/include/hawthornlane/accounts/account_table.h
+++ b/libs/accounts/include/hawthornlane/accounts/account_table.h
@@ -21,6 +21,7 @@
   /// Calls that may be made at once in addition to the rate.
   double burst = 0;
 
+  /// True if the account is limited.
   [[nodiscard]] bool limits() const { return this->calls_per_second > 0; }
   friend bool operator==(const account_limit&, const account_limit&) = default;
   template <class Archive>
@@ -65,12 +66,13 @@
   [[nodiscard]] std::size_t key_count() const { return this->keys; }
 
 private:
-  /// One key: its place in `text` and its account.
+  /// One key: its position in `text` and its account.
   struct slot {
     std::uint64_t hash = 0;
     std::uint32_t offset = 0;
     /// 0: the slot is free.
     std::uint32_t length = 0;
+    /// Index of the key's account in `all`.
     std::uint32_t owner = 0;
   };
 
--- a/libs/cache/include/hawthornlane/cache/pause_predictor.h
+++ b/libs/cache/include/hawthornlane/cache/pause_predictor.h
@@ -23,9 +23,9 @@
   /// Fraction of such pauses that end within `time`.
   [[nodiscard]] double ends_within(const service_name& service, const std::string& tool,
                                    duration time) const;
-  /// Decides to keep the prefix if the expected saving in prefill, within the time `held_for` that
-  /// the server would hold it, is at least the cost of its memory to others. `pressure`: seconds of
-  /// other programs' prefill lost per second for which these tokens are held.
+  /// Decides to keep the prefix if the prefill time that is expected to be saved by holding it for
+  /// `held_for` is at least the prefill time that other programs lose because of its memory.
+  /// `pressure`: seconds of other programs' prefill lost per second for which the prefix is held.
   [[nodiscard]] retention decide(const service_name& service, const std::string& tool,
                                  double prefill_seconds, duration held_for, double pressure) const;
 
--- a/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
+++ b/libs/cache/include/hawthornlane/cache/prefix_cache_model.h
@@ -1,4 +1,4 @@
-// Estimates the contents of a backend server's prefix cache from the calls sent there.
+// Estimates which programs' prefixes one backend server has cached, from the calls sent there.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 namespace hawthornlane {
 
-/// Models a bounded LRU cache. Cache events of engines arrive late and with gaps. The model needs
-/// no messages, and is right as long as the engine evicts in roughly LRU order. A wrong entry costs
-/// one prefill at most.
+/// Models a bounded LRU cache. It is used instead of the engine's own cache events, which arrive
+/// late and with gaps. The model needs no messages, and is right as long as the engine evicts in
+/// roughly LRU order. A wrong entry costs one prefill at most.
 class prefix_cache_model {
 public:
   explicit prefix_cache_model(token_count max_tokens) : capacity(max_tokens) {}
--- a/libs/cache/include/hawthornlane/cache/release_tracker.h
+++ b/libs/cache/include/hawthornlane/cache/release_tracker.h
@@ -21,7 +21,7 @@
 /// A server's report of the programs that it holds; may be late and have gaps.
 struct cache_report {
   backend_server_id server;
-  /// When the report was correct, at the server.
+  /// Time at which the server held these programs, by the clock that also gives `now`.
   timestamp as_of;
   std::set<program_id> holding;
 };
@@ -29,12 +29,13 @@
 struct release_settings {
   duration retry_after = std::chrono::seconds(1);
   duration longest_retry = std::chrono::seconds(30);
-  /// Reports may be this old; calls sent since then are not judged by them.
+  /// A program that a report lacks is taken off the server only if its last call there was sent
+  /// more than this long before the report's `as_of`.
   duration report_lag = std::chrono::seconds(5);
 };
 
-/// Programs at servers by calls and by reports, and the release requests that are due. No I/O or
-/// clock.
+/// Tracks which programs are at which servers, by calls and by reports, and which release requests
+/// are due. No I/O or clock.
 ///
 /// Guarantee: if a program has ended, its release is requested at each server that it was sent to
 /// or that reported it, until the server confirms or a later report no longer contains the program,
--- a/libs/disk/src/disk_membership.cc
+++ b/libs/disk/src/disk_membership.cc
@@ -52,7 +52,7 @@
       this->ledger.identity(), *this->set, timestamp_of(this->set_confirmed_at), {}};
   for (const auto& [name, other] : this->peers) {
     if (other.answered) {
-      view.heard.push_back(
+      view.probe_results.push_back(
           {disk_id(other.entry.disk), timestamp_of(other.received_at), other.heard.fence});
     }
   }
--- a/libs/fleet/include/hawthornlane/fleet/configuration.h
+++ b/libs/fleet/include/hawthornlane/fleet/configuration.h
@@ -47,7 +47,7 @@
   duration timeout{};
   /// Target time to the response, or to a stream's first event.
   duration latency_objective{};
-  /// Target for the longest pause between two events.
+  /// Target for the longest time between two events.
   duration gap_objective{};
   /// Maximum number of backend servers that one call may be sent to.
   std::uint32_t max_attempts = 1;
@@ -55,8 +55,8 @@
   std::uint32_t priority = 0;
   /// Accepts calls without a key, even if there are client accounts.
   bool open_to_all = false;
-  /// Prefer the server that handled the same object last: servers are faster on an object that they
-  /// have handled lately.
+  /// If set, the calls of a program, or else of a session, prefer one server: servers are faster on
+  /// data that they have handled lately. If not set, only calls with the same affinity key do.
   bool sticky = false;
   /// A broken stream may continue at another server after the last complete event.
   bool resumable = false;
@@ -70,14 +70,15 @@
 };
 
 /// Properties of a service's model engines.
-struct engine_terms {
+struct engine_properties {
   std::uint32_t slots = 1;
   token_count cache_capacity{0};
   /// Tokens that one event carries.
   token_count tokens_per_event{1};
+  /// Longest time for which an engine keeps what a call read and generated.
   duration max_pin{};
 
-  friend bool operator==(const engine_terms&, const engine_terms&) = default;
+  friend bool operator==(const engine_properties&, const engine_properties&) = default;
 };
 
 /// One service: a pool of backend servers.
@@ -86,7 +87,7 @@
   /// Connections that one backend server accepts from all hosts together.
   std::uint32_t max_connections = 0;
   /// Set if the servers are model engines.
-  std::optional<engine_terms> engine;
+  std::optional<engine_properties> engine;
 
   friend bool operator==(const service&, const service&) = default;
 };
--- a/libs/fleet/include/hawthornlane/fleet/fleet_view.h
+++ b/libs/fleet/include/hawthornlane/fleet/fleet_view.h
@@ -67,7 +67,7 @@
 /// Guarantees: a state older than the current one is never applied, whatever its source. An entry
 /// of a backend server's earlier incarnation is also ignored, since a write of the ended process
 /// may reach the store after those of the new one. Entries that a listing or an event drops shortly
-/// after an outage of the store are kept until `keep_missing_until`, since a live owner registers
+/// after an outage of the store are kept until `keep_missing_until`, since a live process registers
 /// again; after that a missing entry counts as removed.
 template <class Key, class Entry>
 class registry {
@@ -117,8 +117,8 @@
     return true;
   }
 
-  /// The store was unavailable until now, so missing entries may have expired only because their
-  /// owners could not renew them.
+  /// Call this after an outage of the store: missing entries may have expired only because their
+  /// processes could not renew them.
   void defer_removals_until(timestamp until) { this->keep_missing_until = until; }
   /// Drops missing entries whose removal is final by now.
   void drop_expired_removals(timestamp now) {
@@ -135,6 +135,7 @@
   /// Entries that are missing from the store but may be registered again.
   [[nodiscard]] const std::map<Key, Entry>& pending_removals() const { return this->missing; }
   [[nodiscard]] store_revision at() const { return this->revision; }
+  /// True once a state of the store has been applied.
   [[nodiscard]] bool heard() const { return this->known; }
 
 private:
@@ -143,7 +144,8 @@
   static bool is_outdated(const backend_entry& reported, const backend_entry& known) {
     return reported.start < known.start;
   }
-  /// A host's start is taken from its own clock, which may be set back between two starts.
+  /// Hosts' starts are not compared: a start is taken from the host's own clock, which may be set
+  /// back between two starts.
   static bool is_outdated(const host_entry& /*reported*/, const host_entry& /*known*/) {
     return false;
   }
--- a/libs/fleet/include/hawthornlane/fleet/route_table.h
+++ b/libs/fleet/include/hawthornlane/fleet/route_table.h
@@ -21,9 +21,10 @@
   /// Returns the route with the longest prefix of `path`; null when there is none. Case is ignored
   /// in `host_name`.
   [[nodiscard]] const route* find(std::string_view host_name, std::string_view path) const;
-  /// Selects the service for a call by weight. Calls that belong together pass the same `draw`, so
-  /// that a program stays with one service.
-  [[nodiscard]] static const service_name& choose_service(const route& from, std::uint64_t draw);
+  /// Selects the service for a call by weight. Calls that belong together pass the same
+  /// `group_hash`, so that a program stays with one service.
+  [[nodiscard]] static const service_name& choose_service(const route& from,
+                                                          std::uint64_t group_hash);
   [[nodiscard]] const service* find_service(const service_name& name) const;
 
   [[nodiscard]] const configuration& source() const { return this->config; }
--- a/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
@@ -21,15 +21,17 @@
   /// Leaves time to reach all hosts within the two seconds that users require, even if the reader
   /// has just failed.
   static constexpr duration read_interval = std::chrono::milliseconds(850);
+  /// Additional wait of hosts other than the last reader.
   static constexpr duration takeover_wait = std::chrono::milliseconds(200);
-  /// Between two ranks: longer than a read and the distribution of its result take.
+  /// Additional wait of each further rank: longer than a read and the distribution of its result
+  /// take.
   static constexpr duration rank_step = std::chrono::milliseconds(40);
   static constexpr std::size_t max_rank_steps = 10;
   /// A host without any state first waits for its peers to send it.
   static constexpr duration initial_wait = std::chrono::milliseconds(120);
 
-  store_read_schedule(host_id owner_id, timestamp started)
-      : self(std::move(owner_id)), last_attempt(started) {}
+  store_read_schedule(host_id host, timestamp started)
+      : self(std::move(host)), last_attempt(started) {}
 
   /// That host's read of the store succeeded at that time.
   void record_read(const host_id& by, timestamp at) {
@@ -61,6 +63,7 @@
   }
   [[nodiscard]] duration age(timestamp now) const { return now - this->newest_read; }
   [[nodiscard]] const host_id& last_reader() const { return this->newest_reader; }
+  /// True once any host's read has been recorded.
   [[nodiscard]] bool heard() const { return this->has_read; }
   /// The host whose schedule this is.
   [[nodiscard]] const host_id& owner() const { return this->self; }
--- a/libs/fleet/src/route_table.cc
+++ b/libs/fleet/src/route_table.cc
@@ -43,12 +43,12 @@
   }
 }
 
-const service_name& route_table::choose_service(const route& from, std::uint64_t draw) {
+const service_name& route_table::choose_service(const route& from, std::uint64_t group_hash) {
   std::uint64_t total = 0;
   for (const weighted_service& item : from.services) {
     total += item.weight;
   }
-  std::uint64_t left = total == 0 ? 0 : draw % total;
+  std::uint64_t left = total == 0 ? 0 : group_hash % total;
   for (const weighted_service& item : from.services) {
     if (left < item.weight) {
       return item.service;
--- a/libs/fleet/test/fleet_test.cc
+++ b/libs/fleet/test/fleet_test.cc
@@ -57,8 +57,8 @@
 TEST_CASE("services are not selected against their weights") {
   const route split = make_route("r", "h", "/");
   int second = 0;
-  for (std::uint64_t draw = 0; draw < 1000; ++draw) {
-    second += route_table::choose_service(split, draw) == service_name("b") ? 1 : 0;
+  for (std::uint64_t group_hash = 0; group_hash < 1000; ++group_hash) {
+    second += route_table::choose_service(split, group_hash) == service_name("b") ? 1 : 0;
   }
   CHECK(second == 100);
 }
--- a/libs/limits/include/hawthornlane/limits/active_programs.h
+++ b/libs/limits/include/hawthornlane/limits/active_programs.h
@@ -3,8 +3,8 @@
 //
 // An account may send 6.6 times its usual load, in programs of 4 to 70 calls. With a plain token
 // bucket nearly every program then gets some calls and few get all, and the calls of an abandoned
-// program are wasted. So a program is admitted only if the bucket has room for it besides the
-// programs in progress.
+// program are wasted. So a program is admitted only if the bucket holds enough calls for it in
+// addition to those reserved for programs in progress.
 #pragma once
 
 #include <cstdint>
--- a/libs/limits/include/hawthornlane/limits/credit_split.h
+++ b/libs/limits/include/hawthornlane/limits/credit_split.h
@@ -1,4 +1,5 @@
-// Divides one backend server's window between the hosts that use it.
+// Divides the calls that may be in flight at one backend server, its window, between the hosts that
+// use the server.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +13,14 @@
 /// A host's demand on a server: its calls in flight there and its waiting calls.
 struct credit_demand {
   host_incarnation host;
-  std::int64_t inside = 0;
+  std::int64_t in_flight = 0;
   std::int64_t waiting = 0;
 };
 
-/// A host's share of the window, calls.
+/// A host's share of the window.
 struct credit_grant {
   host_incarnation host;
+  /// Calls that the host may have in flight at the server.
   std::int64_t credits = 0;
 };
 
--- a/libs/limits/include/hawthornlane/limits/fair_queue.h
+++ b/libs/limits/include/hawthornlane/limits/fair_queue.h
@@ -14,18 +14,18 @@
 /// Identifies one waiting call.
 using waiting_id = strong_value<struct waiting_id_tag, std::uint64_t>;
 
-/// One waiting call. The lowest `order` goes first within its account.
+/// One waiting call. The lowest `sort_key` goes first within its account.
 struct waiting_call {
   waiting_id id;
   client_account account;
   double weight = 1;
-  double order = 0;
+  double sort_key = 0;
   /// Predicted server time, seconds; charged to the account when the call is taken.
   double cost = 0;
 };
 
-/// Start-time fair queueing between accounts, a sorted set within each. Adding and taking take
-/// logarithmic time in the number of waiting calls and of accounts that wait.
+/// Start-time fair queueing between accounts, and a sorted set of calls within each account. Adding
+/// or taking a call takes logarithmic time in the number of waiting calls and of their accounts.
 class fair_queue {
 public:
   void add(const waiting_call& call);
@@ -40,7 +40,8 @@
 
 private:
   struct account_state {
-    std::set<std::pair<double, waiting_id>> order;
+    /// The account's waiting calls by `sort_key`.
+    std::set<std::pair<double, waiting_id>> waiting;
     /// Server time taken so far, seconds, divided by the weight. Invariant: at least the queue's
     /// `virtual_time` when the account begins to wait.
     double served = 0;
@@ -48,8 +49,8 @@
   void erase(const waiting_call& call);
 
   std::map<client_account, account_state> accounts;
-  /// Accounts that wait, least served first. Invariant: one entry for each account with a call in
-  /// `order`.
+  /// Accounts with waiting calls, least served first. Invariant: one entry for each account whose
+  /// `waiting` is not empty.
   std::set<std::pair<double, client_account>> by_served;
   std::map<waiting_id, waiting_call> calls;
   double virtual_time = 0;
--- a/libs/limits/include/hawthornlane/limits/quota_lease.h
+++ b/libs/limits/include/hawthornlane/limits/quota_lease.h
@@ -41,16 +41,17 @@
   const ledger_set& set;
   /// When the store last confirmed `set` to this process.
   timestamp set_confirmed_at{};
-  std::vector<member_probe_result> heard;
+  /// Latest responses of the other disks.
+  std::vector<member_probe_result> probe_results;
 };
 
-/// True if no other host can have replaced this one: the store has just confirmed the set or a
-/// majority responds, and no responder knows a newer set. This lets a member that is cut off from
-/// the store detect its replacement: a joining disk raises the fence at so many members that every
-/// majority contains one of them.
+/// True if no other host can have replaced this one: within `quota_lease_duration` the store has
+/// confirmed the set or a majority has responded, and no responder knows a newer set. This lets a
+/// member that is cut off from the store detect its replacement: a joining disk raises the fence at
+/// so many members that every majority contains one of them.
 inline bool holds_quota_lease(const quota_lease_view& view, timestamp now) {
   const bool is_outdated =
-      std::any_of(view.heard.begin(), view.heard.end(),
+      std::any_of(view.probe_results.begin(), view.probe_results.end(),
                   [&view](const member_probe_result& word) { return word.fence > view.set.epoch; });
   if (is_outdated) {
     return false;
@@ -59,7 +60,7 @@
     return true;
   }
   std::set<disk_id> responding{view.self};
-  for (const member_probe_result& word : view.heard) {
+  for (const member_probe_result& word : view.probe_results) {
     if (now - word.received_at < quota_lease_duration) {
       responding.insert(word.disk);
     }
--- a/libs/limits/include/hawthornlane/limits/quota_manager.h
+++ b/libs/limits/include/hawthornlane/limits/quota_manager.h
@@ -16,8 +16,8 @@
 
 namespace hawthornlane {
 
-/// How far the operator lets calls exceed a quota: no span of `window` may hold more than
-/// (calls_per_second * window + burst) * (1 + excess) + slack calls.
+/// How far the operator lets calls exceed a quota: no time span of length `window` may hold more
+/// than (calls_per_second * window + burst) * (1 + excess) + slack calls.
 struct quota_tolerance {
   duration window = std::chrono::seconds(1);
   double excess = 0;
@@ -40,16 +40,16 @@
 
 /// A log record: the state of buckets at one time.
 struct quota_record {
-  /// How long the manager has managed quotas, seconds. Excludes the time in which its process did
+  /// Seconds for which the manager has managed quotas. Excludes the time in which its process did
   /// not run, so it does not depend on a clock that may be set.
-  double age = 0;
+  double managed_seconds = 0;
   /// Records before this one no longer count.
   bool is_reset = false;
   std::vector<quota_bucket_record> bucket_records;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->age, this->is_reset, this->bucket_records);
+    archive(this->managed_seconds, this->is_reset, this->bucket_records);
   }
 };
 
@@ -57,9 +57,9 @@
 ///
 /// Invariant: in any span of t seconds the manager grants an account at most its share of burst +
 /// tolerance + t * calls_per_second calls, or 1 + share * t * calls_per_second where that is more.
-/// This includes spans in which its process restarts: a grant is logged before the asker is
-/// answered, and `restore` reads it back. Without the log all buckets would be empty after a loss
-/// of power, just when the callers come back.
+/// This includes spans in which its process restarts: a grant is logged before the response is
+/// sent, and `restore` reads it back. Without the log all buckets would be empty after a loss of
+/// power, just when the callers come back.
 class quota_manager {
 public:
   quota_manager() = default;
@@ -79,7 +79,8 @@
   quota_record take_changes(timestamp now);
   /// Returns all buckets, as the first record of a new log.
   [[nodiscard]] quota_record whole(timestamp now) const;
-  /// Calls that were refused only because they would have begun a program without room for it.
+  /// Number of calls that were refused although the bucket held a call: each would have begun a
+  /// program, and the bucket held too few calls to admit it.
   [[nodiscard]] std::uint64_t programs_held_back() const { return this->held_back; }
   /// Estimated calls per program; 0: not known yet.
   [[nodiscard]] double calls_of_a_program() const { return this->calls_per_program.mean(); }
@@ -90,16 +91,17 @@
   struct bucket {
     account_limit limit;
     limit_version version;
-    /// Calls that may be granted at the age `refilled_age`, seconds.
+    /// Calls that could be granted when `managed_seconds` was `refilled_at`.
     double level = 0;
-    double refilled_age = 0;
+    /// In seconds, as `managed_seconds`.
+    double refilled_at = 0;
   };
 
   [[nodiscard]] double capacity_of(const account_limit& limit) const;
   [[nodiscard]] double rate_of(const account_limit& limit) const;
-  [[nodiscard]] double age(timestamp now) const;
-  [[nodiscard]] double level_at(const bucket& from, double age) const;
-  /// Level that the bucket must have for the call to be granted, calls.
+  [[nodiscard]] double managed_seconds(timestamp now) const;
+  [[nodiscard]] double level_at(const bucket& from, double managed_seconds) const;
+  /// Calls that the bucket must hold for the call to be granted.
   [[nodiscard]] double level_needed(const quota_request& request, const bucket& from,
                                     timestamp now);
   /// Counts the call if its program was admitted here.
@@ -112,16 +114,17 @@
   quota_tolerance tolerance;
   /// This host's share of each quota; 0: it is not a manager.
   double own_share = 0;
-  /// Age at `resumed_at`, seconds.
-  double age_at_resume = 0;
+  /// Value of `managed_seconds` at `resumed_at`.
+  double managed_at_resume = 0;
   timestamp resumed_at{};
   std::unordered_map<client_account, bucket> buckets;
   /// By account, for accounts with programs in progress. Not logged: after a restart the programs
-  /// in progress go on, and others are admitted besides them.
+  /// in progress continue, but no calls are reserved for them when others are admitted.
   std::unordered_map<client_account, active_programs> programs;
   program_size_estimate calls_per_program;
   std::uint64_t held_back = 0;
-  /// Nothing has been logged since this host last became a manager.
+  /// True if nothing has been logged since this host last stopped being a manager. The next record
+  /// is then marked as a reset.
   bool reset_is_unlogged = false;
   /// Accounts whose buckets are not logged yet.
   std::set<client_account> changed;
--- a/libs/limits/include/hawthornlane/limits/quota_messages.h
+++ b/libs/limits/include/hawthornlane/limits/quota_messages.h
@@ -32,8 +32,9 @@
   client_account account;
   account_limit limit;
   limit_version version;
-  /// A call without a program is granted whenever the bucket holds one call. Where present, it is
-  /// sent after the rest.
+  /// A call without a program is granted whenever the bucket holds one call. Not part of
+  /// `serialize`: front hosts append it to the encoded request, and requests of older versions end
+  /// before it.
   std::optional<quota_program> program = std::nullopt;
 
   template <class Archive>
@@ -45,7 +46,7 @@
 enum class quota_outcome : std::uint8_t {
   /// The call may run, once, at any time from now on.
   granted,
-  /// The manager's share of the quota is used up.
+  /// The bucket holds too few calls, or those that it holds are reserved for programs in progress.
   refused,
   /// The host is not a quota manager now, or cannot be sure that it still is.
   not_kept,
--- a/libs/limits/include/hawthornlane/limits/quota_round.h
+++ b/libs/limits/include/hawthornlane/limits/quota_round.h
@@ -13,9 +13,9 @@
 enum class quota_decision : std::uint8_t {
   undecided,
   granted,
-  /// All managers that responded have used up their shares.
+  /// No manager granted the call, and at least one refused it.
   over_limit,
-  /// No manager responded.
+  /// No manager granted or refused the call: each failed or responded `not_kept`.
   unknown,
 };
 
--- a/libs/limits/include/hawthornlane/limits/server_window.h
+++ b/libs/limits/include/hawthornlane/limits/server_window.h
@@ -8,7 +8,7 @@
 
 namespace hawthornlane {
 
-/// Bounds and targets of a window; sizes in calls.
+/// Bounds and targets of a window, the limit of calls in flight at one server. Sizes in calls.
 struct window_limits {
   double min_size = 1;
   double max_size = 64;
@@ -17,10 +17,10 @@
   duration token_time_target = std::chrono::milliseconds(29);
 };
 
-/// Adapts to a backend server's measured time between tokens: additive increase while the target is
-/// met and the window is full, multiplicative decrease while it is missed. Engines have no
-/// priorities, and only calls that are still outside the engine can be reordered. The window keeps
-/// the excess outside.
+/// A window that adapts to the server's measured time between tokens: additive increase while the
+/// target is met and the window is full, multiplicative decrease while the target is missed.
+/// Engines have no priorities, and only calls that are still outside the engine can be reordered.
+/// So calls beyond the window wait outside.
 class server_window {
 public:
   explicit server_window(window_limits configured)
--- a/libs/limits/src/credit_split.cc
+++ b/libs/limits/src/credit_split.cc
@@ -17,7 +17,7 @@
   while (remaining > 0) {
     std::vector<std::size_t> unsatisfied;
     for (std::size_t at = 0; at < demands.size(); ++at) {
-      if (grants[at].credits < demands[at].inside + demands[at].waiting) {
+      if (grants[at].credits < demands[at].in_flight + demands[at].waiting) {
         unsatisfied.push_back(at);
       }
     }
@@ -27,7 +27,7 @@
     const auto count = static_cast<std::int64_t>(unsatisfied.size());
     const std::int64_t step = std::max<std::int64_t>(1, remaining / count);
     for (const std::size_t at : unsatisfied) {
-      const std::int64_t unmet = demands[at].inside + demands[at].waiting - grants[at].credits;
+      const std::int64_t unmet = demands[at].in_flight + demands[at].waiting - grants[at].credits;
       const std::int64_t granted = std::min({step, unmet, remaining});
       grants[at].credits += granted;
       remaining -= granted;
--- a/libs/limits/src/fair_queue.cc
+++ b/libs/limits/src/fair_queue.cc
@@ -7,11 +7,11 @@
 
 void fair_queue::add(const waiting_call& call) {
   account_state& account = this->accounts[call.account];
-  if (account.order.empty()) {
+  if (account.waiting.empty()) {
     account.served = std::max(account.served, this->virtual_time);
     this->by_served.emplace(account.served, call.account);
   }
-  account.order.emplace(call.order, call.id);
+  account.waiting.emplace(call.sort_key, call.id);
   this->calls.insert_or_assign(call.id, call);
   this->cost_sum += call.cost;
 }
@@ -21,7 +21,7 @@
     return nullptr;
   }
   const account_state& account = this->accounts.at(this->by_served.begin()->second);
-  return &this->calls.at(account.order.begin()->second);
+  return &this->calls.at(account.waiting.begin()->second);
 }
 
 std::optional<waiting_call> fair_queue::take() {
@@ -35,10 +35,10 @@
   this->virtual_time = std::max(this->virtual_time, account.served);
   this->by_served.erase({account.served, taken.account});
   account.served += taken.cost / taken.weight;
-  if (!account.order.empty()) {
+  if (!account.waiting.empty()) {
     this->by_served.emplace(account.served, taken.account);
   }
-  if (account.order.empty() && account.served <= this->virtual_time) {
+  if (account.waiting.empty() && account.served <= this->virtual_time) {
     this->accounts.erase(taken.account);
   }
   return taken;
@@ -55,8 +55,8 @@
 
 void fair_queue::erase(const waiting_call& call) {
   account_state& account = this->accounts[call.account];
-  account.order.erase({call.order, call.id});
-  if (account.order.empty()) {
+  account.waiting.erase({call.sort_key, call.id});
+  if (account.waiting.empty()) {
     this->by_served.erase({account.served, call.account});
   }
   this->cost_sum -= call.cost;
--- a/libs/limits/src/quota_manager.cc
+++ b/libs/limits/src/quota_manager.cc
@@ -20,12 +20,12 @@
 void quota_manager::restore(const quota_record& record) {
   if (record.is_reset) {
     this->buckets.clear();
-    this->age_at_resume = 0;
+    this->managed_at_resume = 0;
   }
-  this->age_at_resume = std::max(this->age_at_resume, record.age);
+  this->managed_at_resume = std::max(this->managed_at_resume, record.managed_seconds);
   for (const quota_bucket_record& bucket_record : record.bucket_records) {
     this->buckets[bucket_record.account] = {bucket_record.limit, bucket_record.version,
-                                            bucket_record.level, record.age};
+                                            bucket_record.level, record.managed_seconds};
   }
 }
 
@@ -35,16 +35,16 @@
     this->buckets.clear();
     this->programs.clear();
     this->changed.clear();
-    this->age_at_resume = 0;
+    this->managed_at_resume = 0;
     this->reset_is_unlogged = true;
   } else if (becomes_manager) {
     this->resumed_at = now;
   }
   // Fill the buckets at the old share up to now.
-  const double age = this->age(now);
+  const double managed_seconds = this->managed_seconds(now);
   for (auto& [name, item] : this->buckets) {
-    item.level = becomes_manager ? item.level : this->level_at(item, age);
-    item.refilled_age = becomes_manager ? item.refilled_age : age;
+    item.level = becomes_manager ? item.level : this->level_at(item, managed_seconds);
+    item.refilled_at = becomes_manager ? item.refilled_at : managed_seconds;
   }
   this->own_share = share;
 }
@@ -61,12 +61,13 @@
   return limit.calls_per_second * this->own_share;
 }
 
-double quota_manager::age(timestamp now) const {
-  return this->age_at_resume + to_seconds(now - this->resumed_at);
+double quota_manager::managed_seconds(timestamp now) const {
+  return this->managed_at_resume + to_seconds(now - this->resumed_at);
 }
 
-double quota_manager::level_at(const bucket& from, double age) const {
-  const double filled = from.level + this->rate_of(from.limit) * (age - from.refilled_age);
+double quota_manager::level_at(const bucket& from, double managed_seconds) const {
+  const double filled =
+      from.level + this->rate_of(from.limit) * (managed_seconds - from.refilled_at);
   return std::min(filled, this->capacity_of(from.limit));
 }
 
@@ -77,9 +78,9 @@
     // The state of an account that has requested nothing since this host became a manager.
     item = {request.limit, request.version, 0, 0};
   }
-  const double age = this->age(now);
-  item.level = this->level_at(item, age);
-  item.refilled_age = age;
+  const double managed_seconds = this->managed_seconds(now);
+  item.level = this->level_at(item, managed_seconds);
+  item.refilled_at = managed_seconds;
   if (request.version > item.version) {
     item.limit = request.limit;
     item.version = request.version;
@@ -147,15 +148,16 @@
 }
 
 void quota_manager::forget_idle(timestamp now) {
-  const double age = this->age(now);
+  const double managed_seconds = this->managed_seconds(now);
   for (auto& [account, begun] : this->programs) {
     begun.remove_expired(now);
   }
   std::erase_if(this->buckets, [&](const auto& entry) {
     const bucket& item = entry.second;
     const double full = this->capacity_of(item.limit) - rounding_error;
-    return !this->changed.contains(entry.first) && this->rate_of(item.limit) * age >= full &&
-           this->level_at(item, age) >= full;
+    return !this->changed.contains(entry.first) &&
+           this->rate_of(item.limit) * managed_seconds >= full &&
+           this->level_at(item, managed_seconds) >= full;
   });
   std::erase_if(this->programs, [](const auto& entry) { return entry.second.empty(); });
 }
@@ -166,12 +168,12 @@
 
 quota_record quota_manager::take_changes(timestamp now) {
   quota_record record;
-  record.age = this->age(now);
+  record.managed_seconds = this->managed_seconds(now);
   record.is_reset = std::exchange(this->reset_is_unlogged, false);
   for (const client_account& account : this->changed) {
     bucket& item = this->buckets.at(account);
-    item.level = this->level_at(item, record.age);
-    item.refilled_age = record.age;
+    item.level = this->level_at(item, record.managed_seconds);
+    item.refilled_at = record.managed_seconds;
     record.bucket_records.push_back(record_of(account, item));
   }
   this->changed.clear();
@@ -180,11 +182,12 @@
 
 quota_record quota_manager::whole(timestamp now) const {
   quota_record record;
-  record.age = this->own_share == 0 ? this->age_at_resume : this->age(now);
+  record.managed_seconds =
+      this->own_share == 0 ? this->managed_at_resume : this->managed_seconds(now);
   record.is_reset = true;
   for (const auto& [account, item] : this->buckets) {
     bucket filled = item;
-    filled.level = this->level_at(item, record.age);
+    filled.level = this->level_at(item, record.managed_seconds);
     record.bucket_records.push_back(record_of(account, filled));
   }
   return record;
--- a/libs/limits/test/active_programs_test.cc
+++ b/libs/limits/test/active_programs_test.cc
@@ -34,7 +34,8 @@
   begun.record_grant(program_key(7));
   CHECK(begun.needed(10, 1, at(1)) == Approx(10 + 8));
   CHECK(begun.needed(10, 0.1, at(1)) == Approx(1));
-  // Nothing is reserved for a silent program, but it stays admitted when it asks again.
+  // Nothing is reserved for a program that makes no calls, but it is still admitted when it asks
+  // again.
   CHECK(begun.needed(10, 1, at(3)) == Approx(10 + 8));
   CHECK(begun.needed(10, 1, at(3.5)) == Approx(10));
   begun.remove_expired(at(15.5));
@@ -179,9 +180,9 @@
     }
   }
 
-  /// Time on idle servers of the programs of the overload, seconds: of all, and of those that ended
-  /// in time.
+  /// Work of the programs that began during the overload, in seconds on an idle server.
   double total_work = 0;
+  /// The part of `total_work` that belongs to programs that ended in time.
   double completed_work = 0;
 
 private:
--- a/libs/limits/test/limits_test.cc
+++ b/libs/limits/test/limits_test.cc
@@ -45,7 +45,7 @@
   CHECK(heavy == 60);
 }
 
-// If idle time counted as a claim, the account's first calls would block all others.
+// If an idle account accumulated credit, its first calls would block all others.
 TEST_CASE("an account that was idle does not get more than its share afterwards") {
   fair_queue queue;
   for (std::uint64_t id = 0; id < 50; ++id) {
--- a/libs/limits/test/quota_grants.h
+++ b/libs/limits/test/quota_grants.h
@@ -16,7 +16,7 @@
 
 class grant_history {
 public:
-  /// A call was granted at that time, and the asker was told.
+  /// A call was granted at that time, and the front host has received the response.
   void record_grant(timestamp at) { this->granted.push_back(at); }
   void record_limit_change(account_limit limit, timestamp at) {
     this->limits.push_back({limit, at});
@@ -24,7 +24,8 @@
   [[nodiscard]] std::size_t limit_changes() const { return this->limits.size(); }
   [[nodiscard]] account_limit newest_limit() const { return this->limits.back().limit; }
 
-  /// Calls by which the worst window exceeds the operator's tolerance; correct if at most 0.
+  /// Calls by which the worst time span exceeds the operator's tolerance; at most 0 if the managers
+  /// are correct.
   [[nodiscard]] double worst_excess() {
     std::sort(this->granted.begin(), this->granted.end());
     double worst = -1e9;
@@ -45,8 +46,8 @@
     timestamp at{};
   };
 
-  /// Calls allowed between two times that are at most a window apart. While a change of the limit
-  /// spreads, the hosts may use the rate of one limit and the burst of the other.
+  /// Calls allowed between two times that are at most `tolerance.window` apart. While a change of
+  /// the limit spreads, the hosts may use the rate of one limit and the burst of the other.
   [[nodiscard]] double allowed(timestamp from, timestamp to) const {
     account_limit most;
     for (std::size_t index = 0; index < this->limits.size(); ++index) {
--- a/libs/limits/test/quota_history_test.cc
+++ b/libs/limits/test/quota_history_test.cc
@@ -1,5 +1,5 @@
-// Random histories of faults. No window may hold more calls than the operator tolerates, and
-// without faults an account gets its whole quota.
+// Random histories of faults. No window, a time span of length `quota_tolerance::window`, may hold
+// more calls than the operator tolerates, and without faults an account gets its whole quota.
 //
 // RC_PARAMS="seed=N max_success=N" runs other histories than the default ones.
 #include <rapidcheck.h>
--- a/libs/limits/test/quota_lease_test.cc
+++ b/libs/limits/test/quota_lease_test.cc
@@ -78,7 +78,7 @@
   INFO(item.what);
   const ledger_set set{set_epoch(4), disks("abc"), {}};
   quota_lease_view view{disk('a'), set, at(item.set_confirmed), {}};
-  view.heard = {{disk('b'), at(item.b_responded), set_epoch(item.fence_of_b)},
-                {disk('c'), at(item.c_responded), set_epoch(0)}};
+  view.probe_results = {{disk('b'), at(item.b_responded), set_epoch(item.fence_of_b)},
+                        {disk('c'), at(item.c_responded), set_epoch(0)}};
   CHECK(holds_quota_lease(view, at(10s)) == item.holds);
 }
--- a/libs/limits/test/quota_manager_test.cc
+++ b/libs/limits/test/quota_manager_test.cc
@@ -273,7 +273,7 @@
   void restart_some(double seconds, double chance) {
     for (quota_manager& manager : this->managers) {
       if (this->happens(chance)) {
-        // The grants and the age are logged by then.
+        // A restart: all earlier grants have been logged, so the new manager restores a snapshot.
         const quota_record snapshot = manager.whole(at(seconds));
         manager = quota_manager(tolerance);
         if (this->happens(0.7)) {
@@ -297,7 +297,7 @@
   std::vector<quota_manager> managers;
 };
 
-/// Calls that the operator allows in a window.
+/// Calls that the operator allows in a time span of length `window`.
 double max_calls_in_window(account_limit limit) {
   const double quota_calls = limit.calls_per_second * window + limit.burst;
   return quota_calls * (1 + tolerance.excess) + tolerance.slack;
--- a/libs/limits/test/quota_simulation.h
+++ b/libs/limits/test/quota_simulation.h
@@ -60,7 +60,7 @@
     }
   }
 
-  /// Calls by which the worst window exceeds the operator's tolerance; correct if at most 0.
+  /// Calls by which the worst time span exceeds the operator's tolerance; at most 0 if correct.
   [[nodiscard]] double worst_excess() { return this->grants.worst_excess(); }
   [[nodiscard]] std::size_t served_between(timestamp from, timestamp to) const {
     return static_cast<std::size_t>(
@@ -84,8 +84,8 @@
     bool writing = false;
     std::optional<ledger_set> set;
     timestamp set_confirmed_at{};
-    std::map<int, member_probe_result> heard;
-    /// Like `heard`, but also set for hosts that have never responded.
+    std::map<int, member_probe_result> probe_results;
+    /// Like `probe_results`, but also set for hosts that have never responded.
     std::map<int, timestamp> alive_at;
     set_epoch fence;
     set_epoch copied;
@@ -193,7 +193,7 @@
     item.unsent.clear();
     item.writing = false;
     item.set.reset();
-    item.heard.clear();
+    item.probe_results.clear();
     item.copied = set_epoch(0);
     for (int other = 0; other < disk_hosts; ++other) {
       item.alive_at[other] = this->clock_of(item);
@@ -234,7 +234,7 @@
           if (asker.starts != starts) {
             return;
           }
-          asker.heard[other] = {name_of(other), this->clock_of(asker), fence};
+          asker.probe_results[other] = {name_of(other), this->clock_of(asker), fence};
           asker.alive_at[other] = this->clock_of(asker);
           this->copied_of[{host, other}] = copied;
         });
@@ -316,10 +316,10 @@
       return false;
     }
     quota_lease_view view{name_of(number), *host.set, host.set_confirmed_at, {}};
-    for (const auto& [other, word] : host.heard) {
-      view.heard.push_back(word);
+    for (const auto& [other, word] : host.probe_results) {
+      view.probe_results.push_back(word);
       if (this->bug == injected_bug::ignores_fences) {
-        view.heard.back().fence = set_epoch(0);
+        view.probe_results.back().fence = set_epoch(0);
       }
     }
     return this->bug == injected_bug::ignores_lease ||
--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -1,9 +1,9 @@
 // Queue of calls for places at backend servers, on the host that holds a server's entry in the
 // placement directory. No I/O, clock or randomness.
 //
-// A place lets one call be at a server. Hosts claim places and the queue grants them. It is built
-// for overload of 1.2 to 2.3 times the servers' capacity for 5 to 15 s. A call is assigned to a
-// server only when it can start there, so calls stay ordered by urgency until then.
+// A place lets one call be at a server. Hosts claim places and the queue grants them. The queue is
+// built for overload of 1.2 to 2.3 times the servers' capacity for 5 to 15 s. A call is assigned to
+// a server only when it can start there, so calls stay ordered by urgency until then.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +36,7 @@
   server_key server;
   /// Calls that may be at the server at once.
   std::uint32_t places = 0;
-  /// Number of servers at which the call claims a place. It takes a grant of at most one of them.
+  /// Number of servers at which the call claims a place. It uses the grant of at most one of them.
   std::uint32_t targets = 1;
   /// A lower value is served first.
   std::uint32_t priority = 0;
@@ -125,7 +125,8 @@
   /// slack by then.
   static constexpr duration overdue_after = std::chrono::milliseconds(1500);
   /// One in this many grants goes to the claim that has waited longest, if it is overdue, whatever
-  /// its priority. A larger share would amount to order of arrival once all claims are overdue.
+  /// its priority. With a larger share, claims would be served in order of arrival once all of them
+  /// are overdue.
   static constexpr std::uint32_t overdue_grant_interval = 32;
   /// Lower bound of the expected rate at which each place of a server becomes free: turns take 0.2
   /// to 1 s at the engines in use.
@@ -207,7 +208,7 @@
   [[nodiscard]] static claim_rank rank_of(const server_queue& server, const waiting_claim& item,
                                           timestamp now);
   static void drop_expired(server_queue& server, timestamp now);
-  /// Number of calls at the server and of grants to it.
+  /// Number of the server's places in use: calls at the server, and grants that no count includes.
   [[nodiscard]] std::uint32_t used(server_key key, const server_queue& server, timestamp now) const;
   static std::vector<waiting_claim>::iterator next_claim(server_queue& server, timestamp now);
   /// Grants all free places to waiting claims.
--- a/libs/placement/include/hawthornlane/placement/placement_directory.h
+++ b/libs/placement/include/hawthornlane/placement/placement_directory.h
@@ -34,7 +34,7 @@
   }
 };
 
-/// A server that has read a part of a prompt, and the number of its tokens that it has read.
+/// A server that has read a part of a prompt, and how many tokens of the part it has read.
 struct part_location {
   prompt_part_key part;
   server_key server;
@@ -80,8 +80,8 @@
 };
 
 /// The entry of each server and each session is held by one host, chosen among the live hosts by
-/// rendezvous hashing. If an entry is lost with its host, a call is placed by hash alone or a
-/// prompt is read twice; the next call of each host writes the entry again.
+/// rendezvous hashing. If a host fails, its entries are lost: calls are placed by hash alone or
+/// prompts are read twice, until the next call of each host writes the entries again.
 class placement_directory {
 public:
   /// A host's count is ignored if it has not been repeated for this long. Hosts report each count
@@ -134,6 +134,7 @@
   timestamp next_drop{};
   /// Most recently written first. Invariant: contains the key of each entry of `lines` once.
   std::list<prompt_part_key> recency;
+  /// Sessions by the key of their last prompt part, which belongs to one session only.
   std::unordered_map<prompt_part_key, session_entry> lines;
 };
 
--- a/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
+++ b/libs/placement/include/hawthornlane/placement/prefix_cache_view.h
@@ -1,5 +1,5 @@
-// Estimates the contents of the prefix caches of a service's servers from the calls that were sent
-// to them. No I/O, clock or randomness.
+// Estimates which servers of a service have cached which parts of prompts, from the calls that were
+// sent to them. No I/O, clock or randomness.
 #pragma once
 
 #include <cstdint>
--- a/libs/placement/include/hawthornlane/placement/server_choice.h
+++ b/libs/placement/include/hawthornlane/placement/server_choice.h
@@ -22,8 +22,8 @@
   double slowdown = 1;
 };
 
-/// Weights of the cost, as fractions of the time that a call takes at its server: an engine that is
-/// slower is slower in all of these.
+/// Weights in the cost of a call, as fractions of the time that a call takes at its server: a
+/// slower engine is slower in all of them.
 struct choice_rules {
   /// Cost of reading one prompt token: 12 us of a turn of 0.3 s at one of the engines in use, 6 us
   /// of 0.2 s at another.
@@ -37,12 +37,12 @@
   /// Relative slowdown of a call at a full server compared with an idle one, since the server reads
   /// the prompts of other calls between the call's tokens.
   double contention = 0.35;
-  /// Cost of another availability zone: a round trip of 2 ms of 0.3 s, and traffic that is charged
-  /// for. The prompt of a turn has about 6 KB.
+  /// Cost of a server in another availability zone: a round trip of 2 ms for a call of 0.3 s, and
+  /// the price of the traffic between zones. The prompt of a turn has about 6 KB.
   double cross_zone_cost = 0.05;
-  /// Numbers of candidates besides the servers that have cached the session: `choices` of all
-  /// servers and `zone_choices` of this zone, chosen by hash. The best of two random choices
-  /// balances load nearly as well as the best of all.
+  /// Numbers of candidates besides the servers that have cached the session: `choices` from all
+  /// servers and `zone_choices` from this host's zone, chosen by hash. The best of two random
+  /// choices balances load nearly as well as the best of all.
   std::size_t choices = 2;
   std::size_t zone_choices = 2;
 };
@@ -50,8 +50,9 @@
 /// Time of a call at a server of typical speed with this load, as a multiple of its time at an idle
 /// one. Reading of the prompt is not included.
 double relative_time(const server_estimate& server, const choice_rules& rules);
-/// Cost of the call in units of a call's time: its own time and the delay of other calls, beyond
-/// the time of a call at an idle server of typical speed.
+/// Extra cost of a call at this server, as a multiple of the call's time at an idle server of
+/// typical speed: the call's time here and the weighted delay of the server's other calls, minus
+/// that time.
 double placement_cost(const server_estimate& server, const choice_rules& rules);
 
 }  // namespace hawthornlane
--- a/libs/placement/include/hawthornlane/placement/server_health.h
+++ b/libs/placement/include/hawthornlane/placement/server_health.h
@@ -29,9 +29,10 @@
   std::uint32_t failures_to_exclude = 2;
   /// Weight of a new outcome in the moving average of the failure rate.
   double newest_weight = 0.25;
-  /// Variance between servers of the logarithm of their call times: a factor of 1.6 either way. A
-  /// sample is weighted by this against the measured variance between calls of its kind. A first
-  /// event that is four times too late says much about a server, a job of unknown length little.
+  /// Variance of log(call time) between servers; 0.25 is a standard deviation of a factor of 1.6.
+  /// The weight of a sample is server_variance / (server_variance + variance of its kind of call):
+  /// a first event that is four times too late says much about a server, a job of unknown length
+  /// little.
   double server_variance = 0.25;
   /// Logarithm of the slowdown above which a server is degraded: three times the usual time.
   /// Servers that became slow took at least four times as long, while a long queue seldom
@@ -57,9 +58,9 @@
 /// it that all servers have in common.
 class baseline_times {
 public:
-  /// Compares `took` with the time that such a call takes at present, and updates that time. If
-  /// `lower_bound` is set, the call has not ended yet: a short time then says nothing (log_ratio
-  /// 0), and the typical time is not updated.
+  /// Compares `took` with the time that such a call takes at present, and updates the typical time.
+  /// If `lower_bound` is set, the call is still pending and `took` is its time so far: a short time
+  /// then says nothing (log_ratio 0), and the typical time is not updated.
   time_sample compare(std::uint64_t kind, duration took, bool lower_bound);
 
 private:
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -26,7 +26,8 @@
 /// A call that needs a server.
 struct placement_request {
   placement_id id;
-  /// Calls with the same key are served faster by the same server; 0 means any server.
+  /// Affinity key: a call is served faster by a server that has served calls with the same key. 0:
+  /// any server.
   std::uint64_t affinity = 0;
   /// Parts of the prompt of a call to a model engine: first the part that all programs of a kind
   /// share, then the parts of the program's own session. Empty for other calls.
@@ -69,8 +70,9 @@
 struct place_target {
   backend_server_id server;
   server_key key;
-  /// Calls that may be at the server. More than it works on at once, so that it is not idle while
-  /// the message about a free place is in transit.
+  /// Number of the server's places. A place lets one call be at the server. There are more places
+  /// than slots (calls that the server works on at once), so that the server is not idle while the
+  /// message about a free place is in transit.
   std::uint32_t places = 0;
   /// True if all places are taken, by this host's estimate.
   bool full = false;
@@ -86,8 +88,8 @@
   double slots_share = 1.0;
   /// Lower bound of this limit, so that a single host can still use the server.
   std::uint32_t min_limit = 2;
-  /// Limit of queued calls, as a multiple of all places of this host. In a longer queue calls would
-  /// only reach their deadlines.
+  /// Limit of queued calls, as a multiple of the calls that this host may have at all servers. In a
+  /// longer queue calls would only reach their deadlines.
   double queue_factor = 2.0;
   /// A call without a prompt goes to the server of its affinity key while that server has at most
   /// this many more calls of this host than the least busy server.
@@ -130,9 +132,10 @@
   directory_update take_update();
   /// Calls of this host at each server that has any.
   [[nodiscard]] std::vector<server_load> own_loads() const;
-  /// Sets the utilization of the servers: calls of all hosts per place, by the latest counts
-  /// received. Loads are exchanged for calls without a prompt only when it is high.
-  void set_utilization(double calls_per_place) { this->utilization = calls_per_place; }
+  /// Sets the utilization of the servers: calls of all hosts per slot, by the latest counts
+  /// received. Hosts report and request loads for calls without a prompt only while the utilization
+  /// is high.
+  void set_utilization(double calls_per_slot) { this->utilization = calls_per_slot; }
   /// Ends of calls without a prompt are reported in batches. Moves a batch that is due by `now`
   /// into the next `take_update`. Returns false if none is due.
   bool flush_ended_calls(timestamp now);
@@ -150,9 +153,9 @@
   /// Places the call, queues it, or refuses it at once because it cannot be served.
   submit_outcome submit(const placement_request& request, timestamp now,
                         std::vector<placement>& placed);
-  /// Servers at which the call should claim a place, the cheapest first. If there are none, the
-  /// call is to be submitted instead. If the first is not full, the call is to be placed there
-  /// without a claim.
+  /// Servers at which the call should claim a place, the cheapest first. If there are none, pass
+  /// the call to `submit` instead. If the first one is not full, place the call there without a
+  /// claim.
   [[nodiscard]] std::vector<place_target> claim_targets(const placement_request& request,
                                                         timestamp now) const;
   /// Places the call at a server that has granted it a place. Empty if the server has been removed
@@ -164,8 +167,8 @@
   /// Records that the first part of a call's answer has arrived. Only the time until then is
   /// compared between calls; the remaining time depends on the length of the answer.
   void started(placement_id id, timestamp now);
-  /// Limits the calls of this host in flight while places are scarce; empty for no limit. Returns
-  /// queued calls that can be placed now.
+  /// Limits the calls of this host in flight at all servers together, for use under overload; empty
+  /// for no limit. Returns queued calls that can be placed now.
   std::vector<placement> set_in_flight_limit(std::optional<std::uint32_t> limit, timestamp now);
   /// Removes a call from the queue.
   void cancel(placement_id id);
@@ -182,7 +185,7 @@
   [[nodiscard]] std::set<backend_server_id> excluded(timestamp now) const;
   /// Servers that are excluded, or degraded and used only if no other server is available.
   [[nodiscard]] std::set<backend_server_id> unhealthy(timestamp now) const;
-  /// Calls that the healthy servers work on at once.
+  /// Total number of slots of the healthy servers: calls that they work on at once.
   [[nodiscard]] double healthy_places(timestamp now) const;
   [[nodiscard]] std::vector<backend_server_id> listed() const;
 
@@ -202,7 +205,7 @@
     /// Number of other hosts' calls, and when it was received.
     double remote_calls = 0;
     timestamp remote_calls_at{};
-    /// Those of `in_flight` that are reported to other hosts.
+    /// Number of the calls in `in_flight` that are reported to other hosts.
     std::uint32_t shared = 0;
     server_health health;
     server_speed speed;
@@ -217,9 +220,10 @@
   /// A call at a server.
   struct running_call {
     backend_server_id server;
-    /// The server's `state_version` when the call was sent. If the server has another one now, the
-    /// call says nothing about it.
+    /// The server's `state_version` when the call was sent. If the server has another one now, it
+    /// has restarted, and the call's result says nothing about the new process.
     server_state_version state_version;
+    /// Kind of the call for the server's health, as in `placement_request`.
     std::uint64_t kind = 0;
     /// True if the call is reported to other hosts: it has a prompt, or utilization is high.
     bool is_reported = false;
@@ -228,17 +232,18 @@
     bool first_event_timed = false;
     /// True if the call has no prompt and its end is reported in a batch.
     bool has_batched_end = false;
-    /// Kind of the call for speed samples: calls with about as many tokens to read take about the
-    /// same time.
-    std::uint64_t timed_kind = 0;
-    /// Time that the call takes at the load of its server, as a multiple of the time at an idle
-    /// server.
-    double load = 1;
-    /// True if its server had no free slot.
+    /// Kind of the call for speed samples: `kind` combined with the number of tokens to read, since
+    /// calls with about as many tokens to read take about the same time.
+    std::uint64_t speed_kind = 0;
+    /// Expected slowdown by the load that the server had when the call was sent: the call's time as
+    /// a multiple of its time at an idle server.
+    double load_slowdown = 1;
+    /// True if the server had no free slot when the call was sent.
     bool is_queued = false;
   };
-  /// Priority, whether the call starts a program, whether `wanted_by` has passed, `wanted_by`, and
-  /// the call's id.
+  /// Sort key of a queued call; the lowest is served first, and false sorts before true. Priority,
+  /// whether the call starts a session, whether `wanted_by` has passed, `wanted_by`, and the call's
+  /// id.
   using queue_key = std::tuple<std::uint32_t, bool, bool, timestamp, placement_id>;
   using server_list = std::vector<const server_state*>;
   /// A listed server with the values that each choice reads.
@@ -340,13 +345,13 @@
   pool_rules rules;
   availability_zone zone;
   std::map<backend_server_id, server_state> servers;
-  // Derived from `servers`, whose entries have stable addresses. Without it 2,200 servers would be
-  // visited several times for each call, which takes 2.5 ms.
+  // Indexes of `servers`, whose entries have stable addresses. Without them each call would visit
+  // 2,200 servers several times, which takes 2.5 ms.
   std::vector<listed_server> listed_servers;
   std::unordered_map<server_key, server_state*> by_key;
-  /// Invariant: the sum of `others`.
+  /// Invariant: the sum of `remote_calls` of all servers.
   double total_remote_calls = 0;
-  /// Limit of this host's calls at the listed servers, and the number that it has.
+  /// Limit of this host's calls at all listed servers together, and the number of its calls there.
   std::size_t places = 0;
   std::size_t calls_at_listed_servers = 0;
   /// Invariant: the sum of `in_flight`. Calls at former incarnations are not included.
@@ -370,7 +375,7 @@
   /// Mean of 1 / `slow_factor` at the last update of all factors.
   double mean_speed = 1;
   double utilization = 0;
-  /// Limit of this host's calls in flight while places are scarce; empty for no limit.
+  /// Limit of this host's calls in flight under overload; empty for no limit.
   std::optional<std::uint32_t> window;
   /// Hash seed that makes the order of equally busy servers differ from host to host.
   std::uint64_t host_seed;
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -17,19 +17,20 @@
 
 /// Priors of the speed estimates, and decay times of samples.
 struct speed_rules {
-  /// Variance between servers of the logarithm of their slowdown: a factor of 1.6 either way. A
-  /// sample of this variance has weight 1, the weight of the prior.
+  /// Variance of log(slowdown) between servers; 0.25 is a standard deviation of a factor of 1.6. A
+  /// sample from a kind of call with this variance has weight 1, the weight of the prior.
   double server_variance = 0.25;
-  /// Variance of the logarithm of a server's temporary slowdowns: 2.5 times slower for a seventh of
-  /// the time.
+  /// Variance of log(slowdown) of one server over time, by temporary slowdowns: it is 2.5 times
+  /// slower for a seventh of the time.
   double temporary_variance = 0.1;
-  /// Samples decay by a factor of e in this time. A host has about one call per two seconds at each
-  /// of 45 servers, so its own estimate is based on about ten calls.
-  duration slow_decay_time = std::chrono::seconds(15);
-  /// Decay time for temporary slowdowns: half of a typical duration of 600 ms.
-  duration fast_decay_time = std::chrono::milliseconds(300);
-  /// Upper bound of the weight of a host's own estimate, and of that of the mean of the other
-  /// hosts. It makes an estimate without new calls halve in 70 s: 15 s times the logarithm of the
+  /// Decay time of the lasting slowdown: the weight of a sample falls by a factor of e in this
+  /// time. A host has about one call per two seconds at each of 45 servers, so its own estimate is
+  /// based on about ten calls.
+  duration lasting_decay_time = std::chrono::seconds(15);
+  /// Decay time of the temporary slowdown: half of its typical duration of 600 ms.
+  duration temporary_decay_time = std::chrono::milliseconds(300);
+  /// Upper bound of the weight of a host's own estimate, and of the weight of the other hosts'
+  /// mean. With it an estimate without new calls halves in 70 s: 15 s times the logarithm of the
   /// sum of both weights.
   double max_weight = 50;
 };
@@ -47,7 +48,7 @@
   /// Lasting slowdown in thousandths of a logarithm, and its weight in eighths.
   std::int16_t slow = 0;
   std::uint16_t slow_weight = 0;
-  /// Current deviation from `slow`, in the same units.
+  /// Temporary slowdown: the current deviation from the lasting one, in the same units.
   std::int16_t fast = 0;
   std::uint16_t fast_weight = 0;
 
@@ -91,17 +92,17 @@
   /// Estimate from this host's own calls only.
   [[nodiscard]] speed_estimate own_estimate(const speed_rules& rules, timestamp now) const;
   /// Lasting slowdown of the server.
-  [[nodiscard]] double slow(const speed_rules& rules, timestamp now) const;
+  [[nodiscard]] double lasting(const speed_rules& rules, timestamp now) const;
   /// Slowdown to expect for a call that is sent now: the lasting and the temporary one together.
   [[nodiscard]] double expected(const speed_rules& rules, timestamp now) const;
   /// Weight of the samples behind the lasting slowdown; 1 is the weight of the prior.
   [[nodiscard]] double weight(const speed_rules& rules, timestamp now) const;
 
 private:
-  decaying_mean own_slow;
-  decaying_mean own_fast;
-  decaying_mean remote_slow;
-  decaying_mean remote_fast;
+  decaying_mean own_lasting;
+  decaying_mean own_temporary;
+  decaying_mean remote_lasting;
+  decaying_mean remote_temporary;
 };
 
 /// Weighted mean of the estimates that several hosts have reported.
@@ -112,10 +113,10 @@
 
 private:
   struct decayed_sum {
-    /// Sums of: the reported values times their decayed weights, the decayed weights, and the
-    /// weights as reported.
+    /// Sum of the reported values, each multiplied by its decayed weight.
     double log_ratios = 0;
-    double decayed = 0;
+    double decayed_weight = 0;
+    /// Sum of the weights as reported, without decay.
     double whole = 0;
 
     void add(double log_ratio, double weight, double decay);
@@ -124,8 +125,8 @@
     [[nodiscard]] double weight(double upper_bound) const;
   };
 
-  decayed_sum slow;
-  decayed_sum fast;
+  decayed_sum lasting;
+  decayed_sum temporary;
 };
 
 /// Which part of a call was timed: up to the first event of its answer, or all of it.
@@ -134,11 +135,13 @@
 /// Current typical time of each kind of call, over all servers of a service.
 class typical_times {
 public:
-  /// Compares a call's time with the typical one, and updates that. `load` is the time of a call at
-  /// the load that the server had, as a multiple of the time at an idle server. `expected` is the
-  /// estimate of the server's slowdown. Empty while too few calls of the kind are known.
+  /// Returns how much slower the call was than is typical for its kind, or nullopt while too few
+  /// calls of the kind are known. Also updates the typical time. `load_slowdown`: expected slowdown
+  /// by the server's load, a factor. `expected`: estimated slowdown of the server itself, as a
+  /// logarithm.
   std::optional<slowdown_sample> compare(std::uint64_t kind, timed_part part, duration took,
-                                         double load, double expected, const speed_rules& rules);
+                                         double load_slowdown, double expected,
+                                         const speed_rules& rules);
 
 private:
   /// Statistics of the logarithm of the time in seconds.
--- a/libs/placement/src/server_pool.cc
+++ b/libs/placement/src/server_pool.cc
@@ -28,7 +28,7 @@
 }
 
 server_pool::queue_key server_pool::key_of(const placement_request& request, timestamp now) {
-  // Programs in progress come before new ones, and calls past their soft deadline come after calls
+  // Sessions in progress come before new ones, and calls past their soft deadline come after calls
   // that can still meet it.
   return {request.priority, !request.begun, request.wanted_by <= now, request.wanted_by,
           request.id};
--- a/libs/placement/src/server_pool_choice.cc
+++ b/libs/placement/src/server_pool_choice.cc
@@ -63,7 +63,7 @@
   if (this->rules.learns_speed) {
     // Uses the lasting slowdown only: if a session left a server because of a temporary slowdown,
     // its prompt would be read again elsewhere.
-    estimated.slowdown = std::exp(server.speed.slow(this->rules.speed, now));
+    estimated.slowdown = std::exp(server.speed.lasting(this->rules.speed, now));
   }
   return estimated;
 }
--- a/libs/placement/src/server_pool_speed.cc
+++ b/libs/placement/src/server_pool_speed.cc
@@ -9,8 +9,8 @@
 namespace hawthornlane {
 namespace {
 
-/// Utilization (calls per place) from which hosts report the ends of calls without a prompt, and
-/// with them speed estimates. Below it a call finds a free place at nearly every server.
+/// Utilization (calls per slot) from which hosts report the ends of calls without a prompt, and
+/// with them speed estimates. Below it a call finds a free slot at nearly every server.
 constexpr double report_ends_from = 0.25;
 /// Utilization from which hosts also report the starts of such calls. It is below
 /// `request_loads_from`, so that counts are known when hosts start to request them.
@@ -30,7 +30,7 @@
 /// also chosen as candidates less often.
 constexpr double slowdown_exponent = 0.5;
 /// Number of candidates for a call without a prompt.
-constexpr std::size_t promptless_choices = 3;
+constexpr std::size_t promptless_candidates = 3;
 /// Calls with fewer tokens to read than this are of one kind; each doubling is a further kind.
 constexpr std::uint64_t read_unit_tokens = 128;
 constexpr duration factor_update_interval = std::chrono::seconds(1);
@@ -129,7 +129,7 @@
   for (const listed_server* item :
        {affinity_server, of_zone.get(), of_all.get(), second_of_all.get()}) {
     const bool is_new = std::find(chosen.begin(), chosen.end(), item) == chosen.end();
-    if (item != nullptr && is_new && chosen.size() < promptless_choices) {
+    if (item != nullptr && is_new && chosen.size() < promptless_candidates) {
       chosen.push_back(item);
     }
   }
@@ -177,23 +177,23 @@
   }
   const server_estimate estimated = this->estimate_server(server, request, now);
   const auto read_units = static_cast<std::uint64_t>(estimated.missing_tokens) / read_unit_tokens;
-  call.timed_kind = rendezvous_weight(call.kind, std::bit_width(read_units));
-  call.load = relative_time(estimated, this->rules.choice);
+  call.speed_kind = rendezvous_weight(call.kind, std::bit_width(read_units));
+  call.load_slowdown = relative_time(estimated, this->rules.choice);
   call.is_queued = estimated.calls + 1 > estimated.slots;
 }
 
 void server_pool::record_speed(const running_call& call, timed_part part, timestamp now) {
   server_state* server = this->server_of(call);
-  // The modeled wait is in units of whole calls, so it can't be compared with the time to the first
-  // event.
+  // For a call that had to queue at the server, the expected wait is known only as a multiple of a
+  // whole call's time, so the time to its first event says nothing about the server's speed.
   const bool is_uninformative = part == timed_part::first_event && call.is_queued;
   if (!this->rules.learns_speed || server == nullptr || is_uninformative) {
     return;
   }
   const duration took = std::chrono::duration_cast<duration>(now - call.sent_at);
   const double expected = server->speed.expected(this->rules.speed, now);
-  const std::optional<slowdown_sample> sample =
-      this->typical.compare(call.timed_kind, part, took, call.load, expected, this->rules.speed);
+  const std::optional<slowdown_sample> sample = this->typical.compare(
+      call.speed_kind, part, took, call.load_slowdown, expected, this->rules.speed);
   if (!sample) {
     return;
   }
@@ -212,7 +212,7 @@
 }
 
 void server_pool::update_slow_factor(server_state& server, timestamp now) {
-  server.slow_factor = std::exp(server.speed.slow(this->rules.speed, now));
+  server.slow_factor = std::exp(server.speed.lasting(this->rules.speed, now));
 }
 
 void server_pool::update_slow_factors(timestamp now) {
@@ -265,7 +265,7 @@
   for (const auto& [id, server] : this->servers) {
     const double weight = server.speed.weight(this->rules.speed, now);
     if (server.listed && weight >= min_shown_weight) {
-      slowdowns.push_back({id, std::exp(server.speed.slow(this->rules.speed, now)), weight});
+      slowdowns.push_back({id, std::exp(server.speed.lasting(this->rules.speed, now)), weight});
     }
   }
   return slowdowns;
--- a/libs/placement/src/server_speed.cc
+++ b/libs/placement/src/server_speed.cc
@@ -69,61 +69,64 @@
 
 void server_speed::add_sample(const slowdown_sample& sample, const speed_rules& rules,
                               timestamp now) {
-  const double from_slow = sample.log_ratio - this->slow(rules, now);
-  this->own_fast.add(from_slow, sample.weight, rules.fast_decay_time, now);
-  this->own_slow.add(sample.log_ratio, sample.weight, rules.slow_decay_time, now);
+  const double from_lasting = sample.log_ratio - this->lasting(rules, now);
+  this->own_temporary.add(from_lasting, sample.weight, rules.temporary_decay_time, now);
+  this->own_lasting.add(sample.log_ratio, sample.weight, rules.lasting_decay_time, now);
 }
 
 void server_speed::set_remote_estimate(const speed_estimate& word, timestamp now) {
-  this->remote_slow = {log_ratio_of(word.slow), weight_of(word.slow_weight), now};
-  this->remote_fast = {log_ratio_of(word.fast), weight_of(word.fast_weight), now};
+  this->remote_lasting = {log_ratio_of(word.slow), weight_of(word.slow_weight), now};
+  this->remote_temporary = {log_ratio_of(word.fast), weight_of(word.fast_weight), now};
 }
 
 speed_estimate server_speed::own_estimate(const speed_rules& rules, timestamp now) const {
-  const double slow_weight = this->own_slow.weight_at(rules.max_weight, rules.slow_decay_time, now);
-  const double fast_weight = this->own_fast.weight_at(rules.max_weight, rules.fast_decay_time, now);
+  const double slow_weight =
+      this->own_lasting.weight_at(rules.max_weight, rules.lasting_decay_time, now);
+  const double fast_weight =
+      this->own_temporary.weight_at(rules.max_weight, rules.temporary_decay_time, now);
   speed_estimate word;
-  word.slow = rounded<std::int16_t>(this->own_slow.mean() * units_per_log_ratio);
+  word.slow = rounded<std::int16_t>(this->own_lasting.mean() * units_per_log_ratio);
   word.slow_weight = rounded<std::uint16_t>(slow_weight * units_per_weight);
-  word.fast = rounded<std::int16_t>(this->own_fast.mean() * units_per_log_ratio);
+  word.fast = rounded<std::int16_t>(this->own_temporary.mean() * units_per_log_ratio);
   word.fast_weight = rounded<std::uint16_t>(fast_weight * units_per_weight);
   return word;
 }
 
-double server_speed::slow(const speed_rules& rules, timestamp now) const {
-  return combined_mean(this->own_slow, this->remote_slow, 1, rules.max_weight,
-                       rules.slow_decay_time, now);
+double server_speed::lasting(const speed_rules& rules, timestamp now) const {
+  return combined_mean(this->own_lasting, this->remote_lasting, 1, rules.max_weight,
+                       rules.lasting_decay_time, now);
 }
 
 double server_speed::expected(const speed_rules& rules, timestamp now) const {
   const double before = rules.server_variance / rules.temporary_variance;
-  const double fast = combined_mean(this->own_fast, this->remote_fast, before, rules.max_weight,
-                                    rules.fast_decay_time, now);
-  return std::clamp(this->slow(rules, now) + fast, -max_log_ratio, max_log_ratio);
+  const double fast = combined_mean(this->own_temporary, this->remote_temporary, before,
+                                    rules.max_weight, rules.temporary_decay_time, now);
+  return std::clamp(this->lasting(rules, now) + fast, -max_log_ratio, max_log_ratio);
 }
 
 double server_speed::weight(const speed_rules& rules, timestamp now) const {
-  return this->own_slow.weight_at(rules.max_weight, rules.slow_decay_time, now) +
-         this->remote_slow.weight_at(rules.max_weight, rules.slow_decay_time, now);
+  return this->own_lasting.weight_at(rules.max_weight, rules.lasting_decay_time, now) +
+         this->remote_lasting.weight_at(rules.max_weight, rules.lasting_decay_time, now);
 }
 
 void speed_mean::add(const speed_estimate& word, duration age, const speed_rules& rules) {
-  this->slow.add(log_ratio_of(word.slow), weight_of(word.slow_weight),
-                 decay_factor(age, rules.slow_decay_time));
-  this->fast.add(log_ratio_of(word.fast), weight_of(word.fast_weight),
-                 decay_factor(age, rules.fast_decay_time));
+  this->lasting.add(log_ratio_of(word.slow), weight_of(word.slow_weight),
+                    decay_factor(age, rules.lasting_decay_time));
+  this->temporary.add(log_ratio_of(word.fast), weight_of(word.fast_weight),
+                      decay_factor(age, rules.temporary_decay_time));
 }
 
 void speed_mean::decayed_sum::add(double log_ratio, double weight, double decay) {
   this->log_ratios += weight * decay * log_ratio;
-  this->decayed += weight * decay;
+  this->decayed_weight += weight * decay;
   this->whole += weight;
 }
 
 double speed_mean::decayed_sum::weight(double upper_bound) const {
   // The weight is capped before it decays, so that the reports of many hosts are forgotten as soon
   // as that of one.
-  return this->whole > upper_bound ? this->decayed * upper_bound / this->whole : this->decayed;
+  return this->whole > upper_bound ? this->decayed_weight * upper_bound / this->whole
+                                   : this->decayed_weight;
 }
 
 speed_estimate speed_mean::word(const speed_rules& rules) const {
@@ -131,24 +134,24 @@
     return rounded<std::uint16_t>(sum.weight(rules.max_weight) * units_per_weight);
   };
   speed_estimate mean;
-  mean.slow_weight = reported(this->slow);
-  mean.fast_weight = reported(this->fast);
+  mean.slow_weight = reported(this->lasting);
+  mean.fast_weight = reported(this->temporary);
   if (mean.slow_weight > 0) {
-    mean.slow =
-        rounded<std::int16_t>(this->slow.log_ratios / this->slow.decayed * units_per_log_ratio);
+    mean.slow = rounded<std::int16_t>(this->lasting.log_ratios / this->lasting.decayed_weight *
+                                      units_per_log_ratio);
   }
   if (mean.fast_weight > 0) {
-    mean.fast =
-        rounded<std::int16_t>(this->fast.log_ratios / this->fast.decayed * units_per_log_ratio);
+    mean.fast = rounded<std::int16_t>(this->temporary.log_ratios / this->temporary.decayed_weight *
+                                      units_per_log_ratio);
   }
   return mean;
 }
 
 std::optional<slowdown_sample> typical_times::compare(std::uint64_t kind, timed_part part,
-                                                      duration took, double load, double expected,
-                                                      const speed_rules& rules) {
+                                                      duration took, double load_slowdown,
+                                                      double expected, const speed_rules& rules) {
   kind_times& times = this->kinds[{kind, part}];
-  const double log_time = std::log(std::max(to_seconds(took), min_seconds) / load);
+  const double log_time = std::log(std::max(to_seconds(took), min_seconds) / load_slowdown);
   ++times.calls;
   if (times.calls == 1) {
     times.mean = log_time;
--- a/libs/placement/test/place_queue_test.cc
+++ b/libs/placement/test/place_queue_test.cc
@@ -40,7 +40,7 @@
   claim_outcome claim(const place_claim& claim) {
     return this->queue.claim(claim, this->now).outcome;
   }
-  /// Ends one call. Returns the calls that its place was granted to.
+  /// Ends one call. Returns the waiting calls that are granted a place now.
   std::vector<std::uint64_t> free_one() {
     this->count(busy_host, places - 1);
     std::vector<std::uint64_t> calls = this->granted();
@@ -55,7 +55,7 @@
     }
     return calls;
   }
-  /// Ends one call and sends the call that is granted its place to the server. Returns that call.
+  /// Ends one call, then starts the waiting call that gets the freed place. Returns the latter.
   std::uint64_t serve_one() {
     this->count(busy_host, places - 1);
     const std::vector<std::uint64_t> calls = this->granted();
--- a/libs/placement/test/server_pool_history_test.cc
+++ b/libs/placement/test/server_pool_history_test.cc
@@ -44,7 +44,7 @@
     const bool any_room = std::any_of(
         this->listed.begin(), this->listed.end(),
         [this](const backend_entry& entry) { return this->calls_at(entry) < entry.slots; });
-    // No call may wait while a server has a free place.
+    // No call may wait while a server has a free slot.
     CHECK((this->pool.waiting() == 0 || !any_room));
   }
 
--- a/libs/placement/test/server_speed_test.cc
+++ b/libs/placement/test/server_speed_test.cc
@@ -37,7 +37,7 @@
     }
   }
   double slow(std::size_t server) const {
-    return std::exp(this->speeds[server].slow(this->rules, at(this->now)));
+    return std::exp(this->speeds[server].lasting(this->rules, at(this->now)));
   }
   double expected(std::size_t server) const {
     return std::exp(this->speeds[server].expected(this->rules, at(this->now)));
@@ -97,10 +97,10 @@
 TEST_CASE("a single sample has limited weight against the prior") {
   server_simulation servers({1, 1, 1});
   servers.call_each(30);
-  CHECK(server_speed().slow(servers.rules, at(0s)) == 0);
+  CHECK(server_speed().lasting(servers.rules, at(0s)) == 0);
   server_speed unknown;
   unknown.add_sample({std::log(2.4), 1}, servers.rules, at(servers.now));
-  CHECK(std::exp(unknown.slow(servers.rules, at(servers.now))) < 1.6);
+  CHECK(std::exp(unknown.lasting(servers.rules, at(servers.now))) < 1.6);
 }
 
 TEST_CASE("without calls an estimate halves in 70 s and is nearly gone after 4 minutes") {
@@ -221,7 +221,7 @@
     for (int number = 0; number < 10; ++number) {
       speed.set_remote_estimate(item.received, at(1s));
     }
-    CHECK(speed.slow(rules, at(1s)) == Approx(item.slow).margin(0.002));
+    CHECK(speed.lasting(rules, at(1s)) == Approx(item.slow).margin(0.002));
     CHECK(speed.own_estimate(rules, at(1s)) == before);
     CHECK(before.slow == 693);
     CHECK(before.slow_weight == 32);
--- a/libs/placement/test/turn_simulation_plan.h
+++ b/libs/placement/test/turn_simulation_plan.h
@@ -68,7 +68,7 @@
   bool limits_in_flight = false;
   /// Calls claim a place when their server is full.
   bool claims = false;
-  /// Every third server is slow, and each server is still slower for a seventh of the time.
+  /// Every third server is slow, and each server is additionally slower for a seventh of the time.
   bool unequal_speeds = false;
   bool learns_speed = false;
   /// Delay of the loads and speeds that hosts report.
--- a/libs/routing/include/hawthornlane/routing/scheduler.h
+++ b/libs/routing/include/hawthornlane/routing/scheduler.h
@@ -67,11 +67,12 @@
   duration exclusion = std::chrono::seconds(10);
   /// Servers considered for a call besides the one with its prefix; never all.
   std::size_t candidates = 4;
-  /// A new program does not evict a prefix used less than this long ago...
+  /// Prefixes used more recently than this are not evicted by new programs.
   duration protected_age = std::chrono::seconds(40);
-  /// ...unless the program has waited this long.
+  /// A call that has waited this long may evict any prefix.
   duration max_prefix_wait = std::chrono::seconds(600);
-  /// Seconds of service already used that one second since the program's start compensates.
+  /// Weight of a program's age in the order of calls: one second since the program's start offsets
+  /// this many seconds of used server time.
   double ageing_rate = 0.5;
   /// Cache size of one server, tokens.
   token_count cache_tokens{300'000};
@@ -86,7 +87,7 @@
   void add_server(const backend_server_id& server, timestamp now);
   /// The server gets no new calls; those waiting for it move to other servers.
   std::vector<schedule_decision> remove_server(const backend_server_id& server, timestamp now);
-  /// Sets this host's share of the server's window, as divided between the hosts.
+  /// Sets this host's share of the server's window: the calls that it may have in flight there.
   void set_credits(const backend_server_id& server, std::int64_t credits);
 
   /// Queues the call; returns the calls that can be sent now.
@@ -107,11 +108,11 @@
   [[nodiscard]] std::size_t waiting() const;
   /// True if any server may get calls, now or after its exclusion.
   [[nodiscard]] bool has_servers() const { return !this->by_load.empty(); }
-  [[nodiscard]] std::int64_t inside(const backend_server_id& server) const;
+  [[nodiscard]] std::int64_t in_flight(const backend_server_id& server) const;
   [[nodiscard]] std::int64_t window(const backend_server_id& server) const;
   /// Predicted wait of a new call at the least busy server, seconds; used to refuse calls early.
   [[nodiscard]] double predicted_wait() const;
-  /// Returns the calls at servers excluded as hung; the host abandons them.
+  /// Returns and clears the calls at servers that were excluded as hung; the host abandons them.
   std::vector<waiting_id> take_given_up();
 
 private:
@@ -122,7 +123,7 @@
     fair_queue uncached_queue;
     prefix_cache_model cache_model;
     speed_model speed;
-    std::int64_t inside = 0;
+    std::int64_t in_flight = 0;
     std::optional<std::int64_t> credits;
     timestamp excluded_until;
     std::int64_t failures = 0;
@@ -157,10 +158,11 @@
   void place(const schedule_request& request, const backend_server_id& server);
   void send(const backend_server_id& server, server_state& state, const schedule_request& request,
             timestamp now, std::vector<schedule_decision>& out);
-  void fill(const backend_server_id& server, timestamp now, std::vector<schedule_decision>& out);
+  void send_queued_calls(const backend_server_id& server, timestamp now,
+                         std::vector<schedule_decision>& out);
   bool steal_for(const backend_server_id& server, server_state& state, timestamp now,
                  std::vector<schedule_decision>& out);
-  void note_failure(server_state& server, timestamp now);
+  void record_failure(server_state& server, timestamp now);
   void move_queue(server_state& server, timestamp now, std::vector<schedule_decision>& out);
   void reindex(const backend_server_id& id, server_state& server);
 
--- a/libs/routing/include/hawthornlane/routing/speed_model.h
+++ b/libs/routing/include/hawthornlane/routing/speed_model.h
@@ -12,7 +12,9 @@
 struct speed_sample {
   /// Tokens that were prefilled, without cached ones.
   token_count prefilled{0};
+  /// Tokens of the answer.
   token_count answered{0};
+  /// Time from sending the call to the first token, and to the end of the answer.
   duration first_token{};
   duration whole{};
   /// Calls at the server when this one was sent, including this one.
@@ -21,8 +23,9 @@
 
 /// Models prefill time per token, and time between tokens as a linear function of the batch size,
 /// both by exponentially weighted least squares. Predicting completion time under co-located load
-/// from observed load, and choosing the server with the least predicted completion time, follow
-/// TRACON (Chiang and Huang, SC'11); docs/design/policy.md has the measured effect.
+/// from observed load follows TRACON (Chiang and Huang, SC'11). So does choosing the server with
+/// the least predicted completion time, which is off by default
+/// (`policy_features::predicted_choice`); docs/design/policy.md has the measured effect.
 class speed_model {
 public:
   void add(const speed_sample& sample);
--- a/libs/routing/src/scheduler.cc
+++ b/libs/routing/src/scheduler.cc
@@ -58,7 +58,7 @@
   this->by_load.erase({server.load_key, id});
   const auto size = static_cast<double>(std::max<std::int64_t>(1, server.window.size()));
   server.load_key =
-      (static_cast<double>(server.inside) + static_cast<double>(queued_calls(server))) / size;
+      (static_cast<double>(server.in_flight) + static_cast<double>(queued_calls(server))) / size;
   if (!server.removed) {
     this->by_load.emplace(server.load_key, id);
   }
@@ -80,13 +80,13 @@
     constexpr std::int64_t unbounded = 1'000'000;
     return unbounded;
   }
-  return server.credits.value_or(server.window.size()) - server.inside;
+  return server.credits.value_or(server.window.size()) - server.in_flight;
 }
 
 double scheduler::predicted_service(const server_state& server, const schedule_request& request,
                                     bool holds) const {
   const token_count fresh = holds ? request.prompt - request.history : request.prompt;
-  const std::int64_t batch = server.inside + 1;
+  const std::int64_t batch = server.in_flight + 1;
   return server.speed.prefill_seconds(fresh) +
          static_cast<double>(request.expected_answer.get()) * server.speed.token_seconds(batch);
 }
@@ -156,7 +156,7 @@
   call.id = request.id;
   call.account = this->features.fair_accounts ? request.account : client_account();
   call.weight = request.weight;
-  call.order = this->order_of(request);
+  call.sort_key = this->order_of(request);
   call.cost = this->predicted_service(server, request, holds);
   (holds ? server.queue : server.uncached_queue).add(call);
   this->queued_at[request.id] = id;
@@ -168,7 +168,7 @@
   this->requests[request.id] = request;
   const auto server = this->choose(request, now);
   if (!server) {
-    // All servers are excluded: wait at any of them until it returns.
+    // All servers are excluded: the call waits at one of them until its exclusion ends.
     for (auto& [id, state] : this->servers) {
       if (!state.removed) {
         this->place(request, id);
@@ -179,7 +179,7 @@
     return out;
   }
   this->place(request, *server);
-  this->fill(*server, now, out);
+  this->send_queued_calls(*server, now, out);
   return out;
 }
 
@@ -187,15 +187,15 @@
                      const schedule_request& request, timestamp now,
                      std::vector<schedule_decision>& out) {
   const bool holds = this->holds_prefix(id, server, request.program);
-  ++server.inside;
+  ++server.in_flight;
   running_call call;
   call.request = request;
   call.server = id;
   call.sent = now;
-  call.batch = server.inside;
+  call.batch = server.in_flight;
   const token_count fresh = holds ? request.prompt - request.history : request.prompt;
   call.predicted_first =
-      server.speed.prefill_seconds(fresh) + server.speed.token_seconds(server.inside);
+      server.speed.prefill_seconds(fresh) + server.speed.token_seconds(server.in_flight);
   this->running.insert_or_assign(request.id, std::move(call));
   const auto before = this->prefix_servers.find(request.program);
   if (before != this->prefix_servers.end() && before->second != id) {
@@ -223,7 +223,7 @@
   const schedule_request& request = this->requests.at(uncached->id);
   const bool waited = now - request.arrived >= this->settings.max_prefix_wait;
   if (!this->features.working_set) {
-    const bool first = known == nullptr || uncached->order < known->order;
+    const bool first = known == nullptr || uncached->sort_key < known->sort_key;
     return first ? server.uncached_queue.take() : server.queue.take();
   }
   if (known != nullptr && !waited) {
@@ -231,14 +231,14 @@
   }
   const bool would_evict =
       server.cache_model.would_evict_recent(request.prompt, this->settings.protected_age, now);
-  if (would_evict && !waited && server.inside > 0) {
+  if (would_evict && !waited && server.in_flight > 0) {
     return std::nullopt;
   }
   return server.uncached_queue.take();
 }
 
-void scheduler::fill(const backend_server_id& id, timestamp now,
-                     std::vector<schedule_decision>& out) {
+void scheduler::send_queued_calls(const backend_server_id& id, timestamp now,
+                                  std::vector<schedule_decision>& out) {
   server_state& server = this->servers.at(id);
   while (this->usable(server, now) && this->free_credits(server) > 0) {
     if (const auto next = this->take_next(server, now)) {
@@ -255,8 +255,8 @@
   this->reindex(id, server);
 }
 
-/// Takes a call from the busiest server if it ends sooner here, although its prefix has to be
-/// computed again.
+/// Moves a call from the queue of the busiest server to this one if it is expected to end sooner
+/// here, although its whole prompt has to be prefilled again.
 bool scheduler::steal_for(const backend_server_id& id, server_state& server, timestamp now,
                           std::vector<schedule_decision>& out) {
   if (this->by_load.empty()) {
@@ -303,8 +303,8 @@
   }
   const backend_server_id at = found->second.server;
   this->running.erase(found);
-  --this->servers.at(at).inside;
-  this->fill(at, now, out);
+  --this->servers.at(at).in_flight;
+  this->send_queued_calls(at, now, out);
   return out;
 }
 
@@ -315,7 +315,7 @@
   }
 }
 
-void scheduler::note_failure(server_state& server, timestamp now) {
+void scheduler::record_failure(server_state& server, timestamp now) {
   server.window.on_failed();
   ++server.failures;
   if (this->features.exclude_failing && server.failures >= failures_to_exclude) {
@@ -334,9 +334,9 @@
   this->running.erase(found);
   server_state& server = this->servers.at(call.server);
   const bool was_full = this->free_credits(server) <= 0;
-  --server.inside;
+  --server.in_flight;
   if (outcome.failed) {
-    this->note_failure(server, now);
+    this->record_failure(server, now);
     this->prefix_servers.erase(call.request.program);
   } else {
     server.failures = 0;
@@ -348,7 +348,7 @@
     server.window.on_finished((sample.whole - sample.first_token) / steps, was_full);
   }
   this->reindex(call.server, server);
-  this->fill(call.server, now, out);
+  this->send_queued_calls(call.server, now, out);
   return out;
 }
 
@@ -423,7 +423,7 @@
   }
   for (auto& [id, server] : this->servers) {
     if (queued_calls(server) > 0) {
-      this->fill(id, now, out);
+      this->send_queued_calls(id, now, out);
     }
   }
   return out;
@@ -433,9 +433,9 @@
 
 std::size_t scheduler::waiting() const { return this->requests.size(); }
 
-std::int64_t scheduler::inside(const backend_server_id& server) const {
+std::int64_t scheduler::in_flight(const backend_server_id& server) const {
   const auto found = this->servers.find(server);
-  return found == this->servers.end() ? 0 : found->second.inside;
+  return found == this->servers.end() ? 0 : found->second.in_flight;
 }
 
 std::int64_t scheduler::window(const backend_server_id& server) const {
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_records.h
@@ -29,7 +29,9 @@
 /// Tokens that one turn of a program may use, or has used.
 struct reservation {
   request_id id;
+  /// Upper bound of the turn's tokens.
   token_count most;
+  /// Tokens that were delivered, once `settled`.
   token_count used;
   reservation_phase phase = reservation_phase::open;
 
@@ -155,7 +157,7 @@
   std::optional<ledger_set> newest;
   /// The disk has the turn itself.
   bool known = false;
-  /// Oldest first; empty if the disk lacks any turn of the chain.
+  /// Oldest first; empty unless the disk has every turn of the chain.
   std::vector<stored_turn> turns;
 
   template <class Archive>
@@ -165,8 +167,8 @@
 };
 
 /// Makes a disk refuse epochs lower than the set's, and include the set in its refusals. Without
-/// the set in the refusal, each change of the set would refuse turns for 0.2 to 0.4 s, until the
-/// front hosts learn of it by watches of the store (95 hosts, watches 0.4 s late).
+/// the set in the refusal, turns would be refused for 0.2 to 0.4 s at each change of the set, until
+/// the front hosts learn of it by watches of the store (95 hosts, watches 0.4 s late).
 struct fence_request {
   ledger_set set;
 
@@ -176,7 +178,8 @@
   }
 };
 
-/// The beginning of a `fence_request`. Logs and programs of the first format contain only this.
+/// The beginning of a `fence_request`. Logs of the first version contain only this, and its hosts
+/// send only this.
 struct fence_mark {
   set_epoch epoch;
 
@@ -210,7 +213,7 @@
 struct probe_response {
   disk_id disk;
   set_epoch fence;
-  /// The epoch of the joint set up to which this disk has copied; 0: none.
+  /// Epoch of the latest joint set for which this disk has copied all records; 0: none.
   set_epoch copied;
 
   template <class Archive>
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_replica.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_replica.h
@@ -34,7 +34,7 @@
   void expire(wall_ms now);
 
   [[nodiscard]] std::size_t programs() const { return this->by_program.size(); }
-  [[nodiscard]] std::size_t turns() const { return this->chains.size(); }
+  [[nodiscard]] std::size_t turns() const { return this->turn_locations.size(); }
   /// Size of the stored text, bytes.
   [[nodiscard]] std::size_t text_bytes() const { return this->text_size; }
 
@@ -44,17 +44,17 @@
     wall_ms expires_at;
   };
   /// Locates a turn's text, which is stored in the record of its program.
-  struct chain_link {
+  struct turn_location {
     program_id program;
   };
-  /// A program may continue from another program's turns. Extends the lifetime of those turns to
-  /// its own.
+  /// Extends the lifetime of the programs that have earlier turns of `turn`'s chain to `until`: a
+  /// program may continue from another program's turns.
   void extend_chain(const stored_turn& turn, wall_ms until);
   [[nodiscard]] const stored_turn* turn_of(const request_id& id) const;
 
   std::map<program_id, program_state> by_program;
   /// Invariant: one entry for each record with a turn.
-  std::map<request_id, chain_link> chains;
+  std::map<request_id, turn_location> turn_locations;
   set_epoch fence;
   std::size_t text_size = 0;
 };
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/quorum_checks.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/quorum_checks.h
@@ -47,7 +47,9 @@
 
 private:
   ledger_set set;
+  /// Disks that have responded.
   std::set<disk_id> yes;
+  /// Disks that have failed.
   std::set<disk_id> no;
 };
 
@@ -63,8 +65,9 @@
 ///
 /// Two rounds: the reservation is appended at a majority of disks; only then is a majority asked
 /// for the program's reservations. Of two concurrent reservations, the one that is appended later
-/// sees the other. One round is enough when every disk has responded to the append with its state:
-/// of any set of reservations, one was appended after each of the others at some disk.
+/// sees the other. One round is enough when every disk has responded to the append with its
+/// reservations: of any set of concurrent reservations there is one such that each of the others
+/// was appended before it at some disk, whose response then contains the other.
 class reservation_check {
 public:
   reservation_check(ledger_set set, const reservation& own, std::optional<token_count> budget)
@@ -150,6 +153,8 @@
     const bool absent = this->round.majority() && !this->known;
     return absent ? chain_outcome::absent : chain_outcome::undecided;
   }
+  /// True if the search should end: all disks have responded or failed, or too many have failed for
+  /// a majority. May also be true when `outcome` is decided, so check that first.
   [[nodiscard]] bool cannot_succeed() const {
     return this->round.cannot_succeed() || this->round.all_answered();
   }
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
@@ -18,9 +18,10 @@
   bool reachable = true;
   /// The operator is draining its host.
   bool retiring = false;
-  /// So little of the time for draining is left that it leaves even without a spare.
+  /// So little of the time for draining is left that it must leave the set even without a spare
+  /// disk that replaces it.
   bool must_leave = false;
-  /// The epoch of the joint set up to which it has copied.
+  /// Epoch of the latest joint set for which it has copied all records.
   set_epoch copied;
 };
 
@@ -32,8 +33,8 @@
   /// Registered disks, including this one. A member that is not registered is lost: its host came
   /// back with an empty disk or was removed.
   std::vector<disk_view> disks;
-  /// The first disk that can make a change makes it. Number of disks before this one that have had
-  /// their time and made no change, perhaps because they cannot reach the store.
+  /// Number of disks before this one that have had their time for a change and have not made it,
+  /// perhaps because they cannot reach the store. The first disk that can make a change makes it.
   std::size_t skipped_candidates = 0;
   /// Disks that a set should have: twice the losses to tolerate at once, plus one.
   std::size_t target_size = 3;
--- a/libs/turn_ledger/src/ledger_replica.cc
+++ b/libs/turn_ledger/src/ledger_replica.cc
@@ -29,8 +29,8 @@
       changed = true;
     }
   }
-  if (changed && stored.turn && !this->chains.contains(record.state.id)) {
-    this->chains[record.state.id] = {record.program};
+  if (changed && stored.turn && !this->turn_locations.contains(record.state.id)) {
+    this->turn_locations[record.state.id] = {record.program};
     this->text_size += text_of(stored);
   }
   if (changed && stored.turn) {
@@ -42,8 +42,8 @@
 void ledger_replica::extend_chain(const stored_turn& turn, wall_ms until) {
   std::optional<request_id> previous = turn.previous;
   while (previous) {
-    const auto link = this->chains.find(*previous);
-    if (link == this->chains.end()) {
+    const auto link = this->turn_locations.find(*previous);
+    if (link == this->turn_locations.end()) {
       return;
     }
     program_state& program = this->by_program.at(link->second.program);
@@ -65,8 +65,8 @@
 }
 
 const stored_turn* ledger_replica::turn_of(const request_id& id) const {
-  const auto link = this->chains.find(id);
-  if (link == this->chains.end()) {
+  const auto link = this->turn_locations.find(id);
+  if (link == this->turn_locations.end()) {
     return nullptr;
   }
   return &*this->by_program.at(link->second.program).records.at(id).turn;
@@ -121,7 +121,7 @@
     }
     for (const auto& [id, record] : program->second.records) {
       if (record.turn) {
-        this->chains.erase(id);
+        this->turn_locations.erase(id);
         this->text_size -= text_of(record);
       }
     }
--- a/libs/turn_ledger/src/set_change.cc
+++ b/libs/turn_ledger/src/set_change.cc
@@ -134,8 +134,8 @@
       spares.push_back(item.disk);
     }
   }
-  // A majority of two disks is both, so the loss of one blocks the set. Every decision is on both
-  // disks, so the other one can continue alone until a disk joins.
+  // With two disks both must confirm each record, so the loss of one blocks the set. The other one
+  // has every confirmed record, so it can continue alone until a disk joins.
   if (set.members.size() == min_members && lost.size() == 1) {
     const std::vector<disk_id> remaining = without(set.members, lost.front());
     if (!may_act(view, remaining)) {
--- a/libs/turn_ledger/test/ledger_search_test.cc
+++ b/libs/turn_ledger/test/ledger_search_test.cc
@@ -194,7 +194,8 @@
     this->enqueue(next);
   }
 
-  /// The empty disk keeps its old identity and so never joins by copying.
+  /// True if the omitted rule is that an emptied disk gets a new identity. The disk then returns
+  /// under its old identity and so never joins by copying.
   [[nodiscard]] bool keeps_identity() const {
     return this->options.omitted == omitted_rule::new_identity_for_empty_disk;
   }
