--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -35,9 +35,10 @@
   double reprefilled_million = 0;
   /// Millions of token-seconds that engines cached for programs that had ended.
   double dead_held_million = 0;
-  /// Ratio of the worst account's mean latency to the best one's, without the flooding one.
+  /// Ratio of the worst account's mean latency to the best one's, without account 0, which may
+  /// send extra load (`flood`).
   double account_spread = 0;
-  /// Mean latency of the accounts that do not flood.
+  /// Mean latency of all accounts but account 0.
   double quiet_mean = 0;
   double decisions_per_second = 0;
 };
--- a/bench/policy.cc
+++ b/bench/policy.cc
@@ -237,7 +237,8 @@
   if (found == feature_flags().end()) {
     return nullptr;
   }
-  // Each switch inverts its feature: enabled ones are disabled, the rejected one is enabled.
+  // Inverts the named feature: `predicted-choice` is off by default and is switched on, any other
+  // is switched off.
   features.*(found->second) = !(features.*(found->second));
   return std::make_unique<product_policy>(servers, features);
 }
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -51,7 +51,8 @@
   virtual std::vector<std::size_t> ended(std::uint64_t program) = 0;
   virtual std::vector<bench_decision> tick(double /*now*/) { return {}; }
   virtual std::vector<std::uint64_t> take_given_up() { return {}; }
-  /// A load report: the number of calls at that server, with the delay of the run.
+  /// A load report: the number of calls at that server 0.5 s ago, or 2 s ago under
+  /// `fault::late_reports`.
   virtual void report(std::size_t /*server*/, std::size_t /*load*/) {}
   virtual void server_listed(std::size_t /*server*/, bool /*there*/, double /*now*/) {}
   /// The deciding host restarts and loses its learned state.
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -1,5 +1,5 @@
-// Measurements for docs/CAPACITY.md: cost and size of one unit of each role's work at
-// several sizes, for a linear fit. CSV on standard output.
+// Measurements for docs/CAPACITY.md: for each role, time and memory per unit of work at several
+// numbers of units, for a linear fit. CSV on standard output.
 #include <fmt/format.h>
 #include <malloc.h>
 #include <unistd.h>
--- a/bench/workload.cc
+++ b/bench/workload.cc
@@ -9,9 +9,9 @@
 
 constexpr std::size_t max_turns = 68;
 constexpr std::int64_t longest_history = 710'000;
-// Cost per token at a batch of sixteen with the parameters of engine_model.h: steps of
-// 10 + 15 * 0.6 ms give 842 tokens per second; a prefilled token delays the whole batch by
-// 0.1 ms.
+// Cost per token at a batch of sixteen with the parameters of engine_model.h: a step takes
+// 10 + 15 * 0.6 = 19 ms and yields 16 tokens, which is 842 tokens per second. A prefilled token
+// delays the whole batch by 0.1 ms.
 constexpr double decode_seconds_per_token = (0.010 + 15 * 0.0006) / 16;
 constexpr double prefill_seconds_per_token = 0.00010;
 
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,4 +1,4 @@
-// Programs with the shape of the two users' agents; the scheduler does not know the shape.
+// Programs modelled on the agents of the two users; the scheduler does not know the model.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
   double load = 0.8;
   double seconds = 1200;
   std::size_t servers = 10;
-  /// Account 0 additionally asks for this many times its share.
+  /// Extra load from account 0, as a multiple of its fair share of the load; 0: none.
   double flood = 0;
   std::uint64_t seed = 1;
 };
--- a/libs/engine/include/hawthornlane/engine/backend_client.h
+++ b/libs/engine/include/hawthornlane/engine/backend_client.h
@@ -18,13 +18,15 @@
   /// The text of the call's ticket; a backend server that remembers ids can drop duplicates.
   std::string request_id;
   program_id program;
-  /// Model calls only, like the next two fields.
+  /// Only for model calls.
   model_name model;
-  /// The whole conversation, a JSON array.
+  /// Only for model calls: the whole conversation, a JSON array.
   std::string messages;
+  /// Only for model calls.
   token_count max_tokens{0};
-  /// Tool calls: the path and body to post.
+  /// Only for tool calls: the path to post to.
   std::string path;
+  /// Only for tool calls: the body to post.
   std::string body;
   /// Longest time without bytes from a model, or the timeout of a whole tool call.
   duration response_timeout{};
--- a/libs/http/include/hawthornlane/http/client.h
+++ b/libs/http/include/hawthornlane/http/client.h
@@ -13,7 +13,7 @@
 
 namespace hawthornlane::http {
 
-/// How far a failed request got; tells whether the server may have executed it.
+/// How far a failed request got. Unless it is `not_connected`, the server may have executed it.
 enum class progress : std::uint8_t { not_connected, possibly_sent, partial_response };
 
 /// Why a fetch failed.
--- a/libs/http/include/hawthornlane/http/server.h
+++ b/libs/http/include/hawthornlane/http/server.h
@@ -30,17 +30,18 @@
   virtual boost::asio::awaitable<bool> finish_stream() = 0;
 };
 
-/// Limits of a connection. A request that exceeds one gets an error response, and the connection
-/// is closed.
+/// Limits of a server and its connections. A request that is too large or too slow gets an error
+/// response, and its connection is closed.
 struct server_limits {
   std::size_t header_bytes = std::size_t{16} * 1024;
   std::size_t body_bytes = std::size_t{4} * 1024 * 1024;
-  /// From the first byte of a request to its last.
+  /// Maximum time from the first byte of a request to its last.
   duration request_time = std::chrono::seconds(10);
-  /// Longest time without a request.
+  /// A connection without a request is closed after this time, without a response.
   duration idle_time = std::chrono::seconds(60);
   /// Timeout of one write to the caller.
   duration write_time = std::chrono::seconds(20);
+  /// Maximum number of open connections; further ones are closed at once.
   std::size_t connections = 4096;
 };
 
--- a/libs/http/src/client.cc
+++ b/libs/http/src/client.cc
@@ -100,8 +100,8 @@
   std::optional<response> head;
 };
 
-/// Enables TCP keepalive probes, so that a long wait for a response ends soon after the peer
-/// or the network path fails without closing the connection.
+/// Enables TCP keepalive probes, so that a long wait for a response ends soon if the peer or the
+/// network path is lost without a TCP close.
 void enable_keepalive(tcp::socket& socket) {
   using asio::detail::socket_option::integer;
   constexpr int probe_seconds = 1;
@@ -224,8 +224,8 @@
                                                               fetch_failure& reason) {
   const auto executor = co_await asio::this_coro::executor;
   const string_request message = to_beast_request(where, what);
-  // Only a request that may run twice uses a pooled connection. When a write to one fails, the
-  // server may have closed the connection before, or may have received the request.
+  // The server may have closed a pooled connection, and a failed write does not tell whether the
+  // request arrived. So only requests that may run twice (GET) use the pool.
   const bool repeatable = what.method == "GET";
   while (true) {
     attempt one;
--- a/libs/net/include/hawthornlane/net/deadline_sweeper.h
+++ b/libs/net/include/hawthornlane/net/deadline_sweeper.h
@@ -16,7 +16,7 @@
 /// Deadline that never expires.
 constexpr steady_time never = steady_time::max();
 
-/// An item with a deadline; base class of what a `deadline_sweeper` checks.
+/// Base class of the items that a `deadline_sweeper` checks: an item with a deadline.
 class deadline_item {
 public:
   deadline_item() = default;
--- a/libs/net/include/hawthornlane/net/frame.h
+++ b/libs/net/include/hawthornlane/net/frame.h
@@ -22,7 +22,7 @@
 /// Size of the header, bytes: length, checksum, call, method, kind, reserved.
 constexpr std::size_t frame_head_size = 20;
 /// Largest payload, bytes; a longer one closes the connection. A history of 700,000
-/// tokens at two bytes per token fits.
+/// tokens at two bytes per token takes 1.4 MB, so it fits.
 constexpr std::size_t max_payload_bytes = std::size_t{8} * 1024 * 1024;
 
 /// Appends the encoded frame to `out`.
--- a/libs/net/include/hawthornlane/net/message_bytes.h
+++ b/libs/net/include/hawthornlane/net/message_bytes.h
@@ -36,8 +36,8 @@
 }
 
 /// Reads a message followed by an optional tail. Hosts of older versions neither write nor read
-/// the tail; when it is absent, it keeps its defaults. Returns nothing when the message, or a tail
-/// that is present, is incomplete.
+/// the tail. If it is absent, the returned tail has its default values. Returns nothing if the
+/// message is incomplete, or if the tail is present but incomplete.
 template <class Message, class Tail>
 std::optional<std::pair<Message, Tail>> from_bytes_with_tail(const std::string& bytes) {
   try {
--- a/libs/net/include/hawthornlane/net/rpc.h
+++ b/libs/net/include/hawthornlane/net/rpc.h
@@ -14,7 +14,7 @@
 
 namespace hawthornlane::net {
 
-/// Why a call got no response.
+/// Outcome of a call: `none` if there is a response, otherwise the reason why there is none.
 enum class rpc_failure : std::uint8_t {
   none,
   /// Not sent; the other host has not seen the request.
@@ -26,11 +26,12 @@
   refused,
 };
 
-/// Receives the response, or the reason why there is none. Called exactly once.
+/// Receives the outcome and the response, if there is one. Called exactly once.
 using rpc_done = std::function<void(rpc_failure why, std::string answer)>;
 
 /// Limit of the requests that are queued for sending, bytes per client; beyond it a call fails at
-/// once as unreachable. One request of the largest size fits beside some hundred small ones.
+/// once as unreachable. Room for one request of the largest size (8 MB) and 2 MB of small ones,
+/// which are some hundred.
 constexpr std::size_t max_unsent_bytes = std::size_t{10} * 1024 * 1024;
 
 /// Calls one other host. Connects when there is something to send. When a call times out and
--- a/libs/net/include/hawthornlane/net/timed_socket.h
+++ b/libs/net/include/hawthornlane/net/timed_socket.h
@@ -42,7 +42,7 @@
                                                   const std::function<void(std::size_t)>& sent);
 
   /// Calls `hook` once when the peer closes or resets the connection while no read is
-  /// pending. If data arrives first, the watch ends without a call.
+  /// pending. If data arrives first, the watch ends and `hook` is not called.
   void watch_for_close(std::function<void()> hook);
   void stop_watching();
   /// True when an idle connection was closed or has unsolicited data.
--- a/libs/net/src/rpc_client.cc
+++ b/libs/net/src/rpc_client.cc
@@ -20,7 +20,8 @@
 /// a lost first packet is retransmitted after one second.
 constexpr auto connect_timeout = std::chrono::milliseconds(1500);
 constexpr std::size_t read_size = std::size_t{16} * 1024;
-/// Size, in bytes, at which a write batch is full. Requests outside the batch can still be dropped.
+/// Size, in bytes, at which a write batch is full. A request that times out before it is taken
+/// into a batch is never sent; a small batch keeps this possible for more requests.
 constexpr std::size_t batch_size = std::size_t{64} * 1024;
 
 }  // namespace
@@ -134,7 +135,7 @@
   }
 
   void fail_all(rpc_failure why) {
-    // Calls made by the callbacks are not failed: their requests wait for the next connection.
+    // Calls that the callbacks make do not fail here: their requests wait for the next connection.
     std::vector<std::uint64_t> ended;
     for (const auto& [id, item] : this->calls) {
       ended.push_back(id);
--- a/libs/net/src/rpc_server.cc
+++ b/libs/net/src/rpc_server.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t connection_share_divisor = 4;
 
 /// Bytes of responses that are queued on all connections of a server. The limit covers the
-/// whole process: a limit of 16 MB per connection does not protect a process of 88 MB with
+/// whole process: a limit of 16 MB per connection does not protect a process that has 88 MB and
 /// 56 connections.
 struct queue_usage {
   std::size_t waiting = 0;
--- a/libs/net/src/timed_socket.cc
+++ b/libs/net/src/timed_socket.cc
@@ -138,7 +138,7 @@
         if (!watching->hook || error == asio::error::operation_aborted) {
           return;
         }
-        // The hook may stop the watch, which would destroy the function while it runs.
+        // Moved out first: the hook may stop the watch, and that destroys `watching->hook`.
         const std::function<void()> callback = std::move(watching->hook);
         watching->hook = nullptr;
         char byte = 0;
--- a/libs/net/test/frame_test.cc
+++ b/libs/net/test/frame_test.cc
@@ -42,7 +42,7 @@
 
 TEST_CASE("a frame with a changed length, checksum, kind or payload is not accepted") {
   const std::string bytes = two_frames();
-  // Offsets in the first frame: length, checksum, kind, payload.
+  // Offsets in the first frame: length 0 and 3, checksum 4, kind 18, payload 20 and 24.
   for (const std::size_t at : {0U, 3U, 4U, 18U, 20U, 24U}) {
     INFO("byte " << at);
     std::string buffer = bytes;
--- a/libs/relay/include/hawthornlane/relay/backend_pool.h
+++ b/libs/relay/include/hawthornlane/relay/backend_pool.h
@@ -24,8 +24,8 @@
   not_sent,
   /// The server states that it did not run the call.
   not_run,
-  /// Sent, but the response was incomplete, or a refusal that does not say whether the call
-  /// ran: it may have run.
+  /// Sent, and the call may have run: the response was incomplete, or it was a refusal that does
+  /// not say whether the call ran.
   broken,
   /// The deadline passed before the response was complete.
   timed_out,
@@ -50,7 +50,7 @@
 /// One call to one server.
 struct backend_request {
   http::endpoint where;
-  /// Incarnation of the addressed server. A connection to an earlier incarnation is dead.
+  /// Start of the addressed server process. Connections to an earlier process are not used.
   incarnation server_start;
   std::string method;
   std::string target;
@@ -59,8 +59,8 @@
   std::string_view body;
   request_id id;
   net::steady_time until = net::never;
-  /// The call may be sent again. A call on a pooled connection that the server has just closed
-  /// is lost, so a call that is not repeatable uses only recently used connections.
+  /// True if running the call twice does no harm. Otherwise only recently used pooled
+  /// connections are taken, since a call on one that the server has just closed is lost.
   bool repeatable = false;
 };
 
--- a/libs/relay/include/hawthornlane/relay/call_terms.h
+++ b/libs/relay/include/hawthornlane/relay/call_terms.h
@@ -30,11 +30,13 @@
   std::optional<std::string> key;
   /// How long the caller waits, counted from now.
   std::optional<duration> deadline;
-  /// Affinity key: calls about the same object have the same value.
+  /// Affinity key: calls with the same value concern the same object of the caller and should go
+  /// to the same server.
   std::string affinity;
   std::string model;
-  /// Tokens of the whole prompt, and the maximum that the turn may generate.
+  /// Number of tokens of the whole prompt.
   token_count prompt{0};
+  /// Maximum number of tokens that the turn may generate.
   token_count max_output{0};
   std::vector<prompt_part> prefix;
   /// Last event that the caller received before its stream broke.
@@ -59,7 +61,7 @@
   bool strips_key = false;
   /// The account on whose behalf the call runs.
   std::optional<client_account> account;
-  /// How long the server keeps the tokens that the call read and generated in its cache.
+  /// How long the server keeps in its cache the tokens of the call's prompt and output.
   std::optional<duration> pin;
 };
 
--- a/libs/relay/src/backend_pool.cc
+++ b/libs/relay/src/backend_pool.cc
@@ -25,10 +25,11 @@
 constexpr auto connect_timeout = std::chrono::milliseconds(400);
 /// Idle connections kept per server. One host's share of a server's calls rarely needs more.
 constexpr std::size_t max_idle_connections = 16;
-/// For servers without a Keep-Alive header, which close idle connections after a few seconds.
+/// How long an idle connection may be reused if the server sends no Keep-Alive header. Such
+/// servers close idle connections after a few seconds.
 constexpr auto max_idle_time = std::chrono::seconds(4);
-/// For calls that are not repeatable: some servers drop idle connections early without
-/// notice.
+/// The same limit for calls that are not repeatable: some servers drop idle connections early
+/// without notice.
 constexpr auto max_idle_time_not_repeatable = std::chrono::milliseconds(1500);
 /// Fraction of the server's advertised Keep-Alive time that is used.
 constexpr double keep_alive_share = 0.6;
@@ -37,7 +38,8 @@
 /// Largest response that is buffered, bytes.
 constexpr std::size_t max_response_bytes = std::size_t{8} * 1024 * 1024;
 constexpr int first_failure_status = 300;
-/// A caller understands these statuses as: the call has not run and will not run.
+/// Statuses that tell a caller that the call has not run and will not run. If a server sends one
+/// without stating that it did not run the call, the attempt counts as broken.
 constexpr std::array not_run_statuses{408, 421, 429, 503};
 
 std::optional<std::chrono::seconds> keep_alive_time(const std::vector<http::header>& headers) {
@@ -89,8 +91,8 @@
   net::steady_time usable_until;
   incarnation server_start;
   bool reused = false;
-  /// Set by the writer. A connection on which the response ends before the request was fully
-  /// sent is not reused.
+  /// True once the whole request is sent. If the response ends earlier, the connection is not
+  /// reused.
   bool sent = false;
   bool reusable = false;
 };
--- a/programs/client/caller_commands.cc
+++ b/programs/client/caller_commands.cc
@@ -83,7 +83,7 @@
   }
 
 private:
-  /// Queries the addresses to use for the program, best first.
+  /// Queries the addresses to use for the program; the owner of its shard comes first.
   void query_addresses() {
     std::string reason;
     const std::string target = "/v1/addresses?program=" + this->program;
--- a/scenarios/deployment_test.cc
+++ b/scenarios/deployment_test.cc
@@ -377,7 +377,8 @@
   const call_result result = all.call(0, plain("/safe/x", "early"));
   REQUIRE(result.status == 503);
   REQUIRE(result.header("Retry-After"));
-  // It is ready within half a second; waiting for the store may take seconds.
+  // The host is ready within half a second, so it sends 0.4 s plus at most 0.25 s of jitter, and
+  // not the 0.8 s or more that it sends when it waits for the store, which may take seconds.
   CHECK(std::stod(*result.header("Retry-After")) < 0.7);
   CHECK(is_up(all));
 }
--- a/scenarios/fault_proxy.h
+++ b/scenarios/fault_proxy.h
@@ -33,8 +33,9 @@
   /// Endpoint to connect to instead of the target.
   [[nodiscard]] http::endpoint where() const;
   void set_fault(const link_fault& fault);
-  /// Limits what all connections together carry back from the target, bytes per second, as
-  /// if the target's link were that slow. Affects new connections; 0: no limit.
+  /// Limits the total rate of all connections from the target, bytes per second, as if the
+  /// target's link were that slow; 0: no limit. To be set before connections are opened: only
+  /// new ones get the small receive buffer that makes the target queue the excess.
   void limit_rate(std::uint64_t bytes_per_second);
   /// Resets every open connection on both sides.
   void reset_connections();
--- a/scenarios/promise_checker.cc
+++ b/scenarios/promise_checker.cc
@@ -12,9 +12,10 @@
 /// Values of the stand-in model servers and of the test configuration.
 constexpr int events_per_turn = 3;
 constexpr int tokens_per_event = 10;
-/// A call that is cut off this soon after it was sent may have crossed the host's close.
+/// A call that is cut off this soon after it was sent may have been on its way while the host
+/// closed the connection.
 constexpr std::chrono::milliseconds crossing_slack{200};
-/// Servers at which an idempotent call or a resumable stream may run.
+/// Maximum number of servers at which an idempotent call or a resumable stream may run.
 constexpr int max_runs = 2;
 
 /// Statuses that promise that the request has not run and never will.
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -18,7 +18,8 @@
 
 /// Deadline of a call, sent as `X-Deadline-Ms`.
 constexpr auto call_limit = 3000ms;
-/// Wait for a response beyond the deadline; the routes' own timeouts are shorter.
+/// How long a caller waits for the response after its deadline. The routes' own timeouts, at most
+/// 3 s, end earlier.
 constexpr auto answer_slack = 500ms;
 constexpr auto connect_limit = 1000ms;
 /// Callers reuse a directory response for the hosts' configured `address_time`.
--- a/scenarios/soak_faults.h
+++ b/scenarios/soak_faults.h
@@ -12,8 +12,8 @@
 
 namespace hawthornlane::scenarios {
 
-/// Starts and ends faults, several at a time and some in series, in an order that the
-/// seed determines. Planned maintenance runs between them and in periods of its own.
+/// Starts and ends faults in an order that the seed determines. Several may be active at once.
+/// Planned maintenance runs among the faults, and alone in periods without faults.
 class soak_faults {
 public:
   soak_faults(soak_fleet& fleet, std::uint64_t seed);
@@ -22,7 +22,7 @@
   void tick(net::steady_time now);
   /// Ends every active fault and starts no other.
   void end_all();
-  /// True if no fault has been active since some seconds before `then`.
+  /// True if no fault has been active since 3 s before `then`; planned maintenance does not count.
   [[nodiscard]] bool calm_since(net::steady_time then) const;
   [[nodiscard]] const std::map<std::string, std::uint64_t>& counts() const { return this->begun; }
   /// One line per fault, to trace a seed.
@@ -70,8 +70,8 @@
   net::steady_time began;
   net::steady_time fault_active_until{};
   bool ended = false;
-  /// Growth runs beside everything else and has its own random source, so that it does
-  /// not change a seed's other faults.
+  /// The growth of the configuration is independent of the faults. It has its own random source,
+  /// so that it does not change the faults of a seed.
   std::mt19937_64 growth_random;
   net::steady_time next_growth{};
   int growth_step = 0;
--- a/scenarios/soak_fleet.h
+++ b/scenarios/soak_fleet.h
@@ -27,7 +27,7 @@
   int disks = 3;
   int engines = 3;
   int apps = 3;
-  /// Routes that the configuration grows by; 4000 make it 0.9 MB large.
+  /// Number of routes by which the configuration grows; with 4000 it is 0.9 MB large.
   int routes = 1500;
   /// Rate of each front host's link to other hosts, bytes per second; 0: no limit.
   std::uint64_t link_rate = 0;
--- a/stand_ins/include/hawthornlane/stand_ins/object_platform.h
+++ b/stand_ins/include/hawthornlane/stand_ins/object_platform.h
@@ -35,7 +35,7 @@
   /// While true, watches get no events. Setting it to false discards the history, so that watches
   /// get status 410 and must list again.
   void set_stalled_watches(bool stalled);
-  /// Writes an object, as an operator or a server would. `spec` is JSON.
+  /// Writes an object without a revision check. `spec` is JSON.
   void put(const std::string& kind, const std::string& name, const std::string& spec);
   /// Inserts the text `item` unchanged as the first item of each listing of the kind.
   void add_raw_listing_item(const std::string& kind, const std::string& item);
--- a/stand_ins/include/hawthornlane/stand_ins/scripted_backend.h
+++ b/stand_ins/include/hawthornlane/stand_ins/scripted_backend.h
@@ -47,7 +47,7 @@
   fail_500,
   fail_503,
   fail_504,
-  /// Runs it; a refusal precedes the response that states "not run" and carries no request id.
+  /// Runs it, but first sends a refusal that states "not run" and carries no request id.
   refuse_then_respond,
 };
 
