--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -17,7 +17,7 @@
   double step_seconds = 0.010;
   /// Added by each further call in the batch, which reads its own cache.
   double step_seconds_per_call = 0.0006;
-  /// Prefill work done within a step delays all decodes of that step.
+  /// Added by each token that is prefilled within the step; it delays all decodes of that step.
   double step_seconds_per_prefill_token = 0.00010;
   /// Prefill is done in chunks of this size, so that decodes continue.
   std::int64_t prefill_chunk = 512;
--- a/bench/experiment.cc
+++ b/bench/experiment.cc
@@ -305,7 +305,7 @@
 
   void set_zone(bool there) {
     constexpr std::size_t zones = 3;
-    // The list of live servers is updated late.
+    // The list of live servers is updated this many seconds after a change.
     constexpr double list_lag = 5;
     for (std::size_t server = 0; server < this->engines.size(); server += zones) {
       this->available[server] = there;
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -18,7 +18,7 @@
   std::int64_t prompt = 0;
   std::int64_t history = 0;
   double attained = 0;
-  /// When the program began.
+  /// Start time of the program, seconds.
   double began = 0;
   double now = 0;
 };
@@ -47,7 +47,7 @@
   virtual std::vector<bench_decision> submit(const bench_call& call) = 0;
   virtual std::vector<bench_decision> finished(const bench_outcome& outcome, double now) = 0;
   virtual void first_token(std::uint64_t /*id*/) {}
-  /// Servers that are to release the memory of the ended program, if any.
+  /// Returns the servers that must release the memory of the ended program; may be empty.
   virtual std::vector<std::size_t> ended(std::uint64_t program) = 0;
   virtual std::vector<bench_decision> tick(double /*now*/) { return {}; }
   virtual std::vector<std::uint64_t> take_given_up() { return {}; }
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -327,7 +327,7 @@
     });
     print(learns_speed ? "turn placed by speed: servers" : "turn placed: servers", servers,
           "us/turn (question, choice, end)", us);
-    // More calls than the host may have at all servers, so that no place is free afterwards.
+    // Uses every place that the host may have at all servers, so that none is free afterwards.
     const std::size_t places = servers * 8;
     for (std::size_t at = 0; at < places; ++at) {
       place();
--- a/scenarios/accounts_deployment_test.cc
+++ b/scenarios/accounts_deployment_test.cc
@@ -170,7 +170,8 @@
   CHECK(turn("stolen", "first", "s-1").status == 404);
   CHECK(arrivals_of(all, "stolen").empty());
   CHECK(turn("own", "first", "n-1").status == 200);
-  // Also when it is read from disk, and by an id that looks like the other account's.
+  // The turn stays hidden when it is read from disk, and also from an id that is written like the
+  // other account's key of the turn.
   all.kill_front(0);
   all.start_front(0);
   REQUIRE(is_up(all));
@@ -299,8 +300,8 @@
       REQUIRE(go_on(program, call) == 200);
     }
   }
-  // Two calls at each of three quota managers with almost no refill: each has room for one
-  // program.
+  // Each of three quota managers allows two calls and has almost no refill: room for one program
+  // each.
   configure_accounts(all, 3, account_text("north", R"("n-1")", 0.05, 6));
   int begun = 0;
   for (const char* program : {"one", "two", "three"}) {
--- a/scenarios/configuration_spread_test.cc
+++ b/scenarios/configuration_spread_test.cc
@@ -18,8 +18,8 @@
 // 20 s after the change calls still ended under the two configurations before it. Processes grew
 // from 25 MB to 70 MB, and later to 89 MB.
 //
-// The test also counts bytes as waiting for connections that were closed meanwhile, of which a
-// real process frees a part.
+// The test also counts bytes that wait for connections which have been closed meanwhile. A real
+// process frees a part of them.
 #include <fmt/format.h>
 
 #include <boost/asio/io_context.hpp>
@@ -195,7 +195,8 @@
                        [version](const auto& host) { return host->has(version); });
   }
 
-  /// Whole copies sent by hosts; everything but the configuration is the same everywhere.
+  /// Number of whole copies that hosts sent. They are all of the configuration, since everything
+  /// else is the same on all hosts.
   [[nodiscard]] std::uint64_t copies_given() const {
     std::uint64_t copies = 0;
     for (const auto& host : this->hosts) {
@@ -223,7 +224,7 @@
   struct row {
     const char* what;
     std::size_t bytes;
-    /// Time between two changes; the test waits for the last one to be in force.
+    /// Time between two changes. The test waits until the last change is in force.
     std::chrono::milliseconds pause;
     int changes;
   };
@@ -248,7 +249,7 @@
     const auto began = steady::now();
     CHECK(all.run_until([&] { return all.all_have(version); }, spread_limit));
     const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(steady::now() - began);
-    // Copies that are requested again while in flight would arrive in this second.
+    // If a host requested a copy again while one was in flight, it arrives within this second.
     all.run_until([] { return false; }, 1s);
     const std::uint64_t copies = all.copies_given();
     const std::size_t waiting = all.max_bytes_waiting();
--- a/scenarios/deployment.h
+++ b/scenarios/deployment.h
@@ -50,7 +50,7 @@
   std::shared_ptr<std::optional<call_result>> begin_call(int front, const call_request& what);
   /// Sends raw bytes and returns everything received until the connection closes.
   std::string send_raw(int front, const std::string& bytes);
-  /// Starts a call and closes the connection after `stay`.
+  /// Starts a call and closes the connection after `delay`.
   void disconnect_after(int front, const call_request& what, std::chrono::milliseconds delay);
 
   /// Starts a call and resets the connection once `text` was received; if `text` is empty,
--- a/scenarios/deployment_test.cc
+++ b/scenarios/deployment_test.cc
@@ -15,7 +15,7 @@
   struct row {
     const char* what;
     const char* path;
-    /// Of whichever server gets the first attempt, and of the next ones.
+    /// What the server does that gets the first attempt, then those that get the next ones.
     std::vector<backend_behavior> behaviors;
     int status;
     const char* body;
@@ -136,8 +136,9 @@
   }
   struct row {
     const char* moment;
-    /// Text that ends what was received by then, and the number of complete events in it.
+    /// The last text that is received before the caller resets the connection.
     std::string last;
+    /// Number of complete events received by then.
     int events;
   };
   const row rows[] = {{"the request is sent", "", 0},
@@ -176,8 +177,8 @@
       CHECK(runs_of(all, name) <= 1);
       CHECK(runs_of(all, again.id) == 1);
       if (!resumable) {
-        // The dialog continues from the answer that its caller has received completely, and from
-        // no other.
+        // The dialog continues from the answer that its caller has received completely. It cannot
+        // continue from any other.
         const decided_turn next = retry_until_decided(
             all, name + "-next",
             [&](const std::string& id) { return turn(path, id, program, again.id); });
@@ -315,7 +316,8 @@
   REQUIRE(opened);
   CHECK(all.call(0, plain("/safe/x", "kept")).status == 200);
   CHECK(all.metric(0, "backend_connections_opened") == *opened);
-  // From now on the connection that this call left open leads to the previous process.
+  // After this restart, the connection that the last call left open belongs to the previous
+  // process.
   all.restart_backend(*all.apps[0], "apps", 1'790'000'001'000);
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/safe/x", "again")).status == 200);
@@ -342,7 +344,7 @@
     CHECK(all.call(0, plain("/once/x", id)).status == 200);
     CHECK(runs_of(all, id) == 1);
   }
-  // Changes still arrive: each of the listings is still read.
+  // Later changes are applied, so each listing is still read.
   all.configure(5, "/safe/", "/new/");
   all.list_backend(*all.apps[0], "apps", true);
   all.run_for(1500ms);
@@ -350,7 +352,7 @@
   all.list_backend(*all.apps[0], "apps");
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/new/x", "served")).status == 200);
-  // Two without metadata, three that describe no server, and one of the configuration's kind.
+  // Two entries without valid metadata, three that describe no server, and one of kind `config`.
   CHECK(all.metric(0, "store_objects_malformed") >= 6);
   CHECK(all.metric(0, "store_objects_malformed") <= 8);
   // A malformed configuration does not replace the one in force.
--- a/scenarios/deployment_turns_test.cc
+++ b/scenarios/deployment_turns_test.cc
@@ -97,7 +97,8 @@
     const std::string set = all.store().spec_of("hawthornlane-hosts", "ledger-set");
     return set.find("\"epoch\":2") != std::string::npos;
   }));
-  // Enough for the joining disk host to start copying, too short for a host to read the store.
+  // Long enough for the joining disk host to start copying, too short for a host to read the new
+  // set from the store.
   all.run_for(150ms);
   all.store().set_behavior(stand_ins::store_behavior::silent);
   const std::string second = store_turn(all, "t2", first);
@@ -120,7 +121,7 @@
   }));
   all.kill_disk(0);
   const std::string second = store_turn(all, "t2", first);
-  // One of the two remaining hosts is lost as well: the other one continues alone.
+  // One of the two remaining disk hosts is killed too. The last one continues alone.
   all.kill_disk(1);
   call_result result;
   CHECK(all.run_until([&all, &result, &second] {
--- a/scenarios/refusal_test.cc
+++ b/scenarios/refusal_test.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::array promising{408, 421, 429, 503};
-/// Enough that a call finds a server that is not excluded for failures of earlier calls.
+/// With this many servers, each call finds one that is not excluded for earlier failures.
 constexpr int servers = 10;
 /// Most of the excluded servers are used again after this time.
 constexpr auto exclusion_time = 300ms;
@@ -104,8 +104,9 @@
   struct row {
     const char* what;
     std::vector<backend_behavior> behaviors;
-    /// Expected status of a call that may run once, and of one that may run again.
+    /// Expected status of a call that may run at most once.
     int once;
+    /// Expected status of a call that may run again.
     int again;
   };
   using enum backend_behavior;
@@ -207,7 +208,7 @@
   all.run_for(1500ms);
   const call_result result = all.call(0, plain("/once/x", "unconnected"));
   CHECK(result.status == 503);
-  // From now on connections are accepted, and everything that still arrives is read.
+  // Accepts the waiting connections and reads everything that still arrives.
   full.non_blocking(true);
   std::vector<tcp::socket> accepted;
   std::string arrived;
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -288,8 +288,8 @@
   co_return result;
 }
 
-/// Requests the newest route from one host after another: a configuration that a process
-/// has once had in force must stay in force.
+/// Requests the newest route from one host after another. Once a configuration is in force in a
+/// process, it must not be replaced there by an older one.
 asio::awaitable<void> soak_callers::probe_configuration() {
   caller who(this->context, this->sweeper, this->random());
   std::map<std::string, int> in_force;
--- a/scenarios/soak_faults.cc
+++ b/scenarios/soak_faults.cc
@@ -18,7 +18,8 @@
 constexpr auto reconnect_time = 3s;
 /// Maximum number of faults that are active at once.
 constexpr std::size_t max_active = 4;
-/// A planned stop takes up to the hosts' grace period of 8 s.
+/// How long planned maintenance counts as active: a planned stop takes up to the hosts' grace
+/// period of 8 s.
 constexpr auto grace = 8s;
 
 /// Undo function of a fault that ends by itself.
@@ -51,7 +52,7 @@
   return hosts[this->random_index(hosts.size())];
 }
 
-soak_faults::undo soak_faults::freeze(soak_host& host) {
+soak_faults::undo soak_faults::pause_process(soak_host& host) {
   host.process->signal(SIGSTOP);
   return [&host] { host.process->signal(SIGCONT); };
 }
@@ -85,16 +86,17 @@
        }},
       {"wipe a disk", false,
        [this] {
-         // Only one disk may be lost at a time: wait until the ledger set is complete again.
+         // Only one disk may be lost at a time, so nothing is wiped until the ledger set is
+         // complete again.
          if (this->fleet.ledger_set_is_stable()) {
            this->fleet.wipe(this->pick_host(this->fleet.disks), this->random_duration(50, 2000));
          }
          return no_undo();
        }},
       {"freeze a front host", false,
-       [this] { return this->freeze(this->pick_host(this->fleet.fronts)); }},
+       [this] { return this->pause_process(this->pick_host(this->fleet.fronts)); }},
       {"freeze a disk host", false,
-       [this] { return this->freeze(this->pick_host(this->fleet.disks)); }},
+       [this] { return this->pause_process(this->pick_host(this->fleet.disks)); }},
       {"kill all front hosts", false,
        [this, kill_all] {
          kill_all(this->fleet.fronts, false);
@@ -162,7 +164,7 @@
   };
 }
 
-soak_faults::undo soak_faults::script(
+soak_faults::undo soak_faults::set_behaviors(
     const std::shared_ptr<stand_ins::behavior_script>& behaviors) {
   using enum backend_behavior;
   constexpr std::array harmful{
@@ -198,9 +200,10 @@
          this->fleet.store().set_stalled_watches(true);
          return [this] { this->fleet.store().set_stalled_watches(false); };
        }},
-      {"model servers fail", false, [this] { return this->script(this->fleet.engine_behaviors); }},
+      {"model servers fail", false,
+       [this] { return this->set_behaviors(this->fleet.engine_behaviors); }},
       {"application servers fail", false,
-       [this] { return this->script(this->fleet.app_behaviors); }},
+       [this] { return this->set_behaviors(this->fleet.app_behaviors); }},
   };
 }
 
--- a/scenarios/soak_faults.h
+++ b/scenarios/soak_faults.h
@@ -51,11 +51,11 @@
   void end_expired(net::steady_time now);
   /// Sets a random link fault at the proxy; the returned function ends it.
   undo disturb(fault_proxy& proxy);
-  /// Continues the growth of the configuration, or starts it again.
+  /// Takes the next step of the configuration's growth; after the last step it starts again.
   void grow(net::steady_time now);
   void note(net::steady_time now, const std::string& what);
-  undo script(const std::shared_ptr<stand_ins::behavior_script>& behaviors);
-  undo freeze(soak_host& host);
+  undo set_behaviors(const std::shared_ptr<stand_ins::behavior_script>& behaviors);
+  undo pause_process(soak_host& host);
   soak_host& pick_host(std::vector<soak_host>& hosts);
   std::chrono::milliseconds random_duration(int min_ms, int max_ms);
   std::size_t random_index(std::size_t count);
--- a/scenarios/soak_fleet.cc
+++ b/scenarios/soak_fleet.cc
@@ -291,7 +291,7 @@
   this->platform->remove("servers", backend.server->instance());
   soak_backend fresh = this->make_backend(backend.service);
   std::swap(backend, fresh);
-  this->left.push_back(std::move(fresh));
+  this->removed_backends.push_back(std::move(fresh));
   this->list(backend, false);
 }
 
--- a/scenarios/soak_fleet.h
+++ b/scenarios/soak_fleet.h
@@ -54,7 +54,7 @@
   std::unique_ptr<child_process> process;
   /// Number of processes that this host has had.
   int incarnation = 0;
-  /// The soak ends this process, so its exit is not reported.
+  /// True if the soak itself ended this process; its exit is then not reported.
   bool end_expected = false;
   /// A host whose process has ended is not restarted before this time.
   net::steady_time restart_at{};
@@ -100,7 +100,7 @@
   /// API key that callers of an account send.
   static std::string key_of(const std::string& account);
   [[nodiscard]] int version() const { return this->newest; }
-  /// Writes the next configuration with this share (0 to 1) of the additional routes.
+  /// Writes the next configuration, with this fraction (0 to 1) of the additional routes.
   void grow(double share);
   [[nodiscard]] bool grows() const { return this->max_routes > 0; }
   void list(const soak_backend& backend, bool draining);
@@ -132,7 +132,7 @@
   promise_checker& promises;
   std::unique_ptr<stand_ins::object_platform> platform;
   /// Removed servers, which may still have open connections from callers.
-  std::vector<soak_backend> left;
+  std::vector<soak_backend> removed_backends;
   int newest = 0;
   bool contended;
   /// Maximum number of additional routes.
