--- a/libs/http/src/server.cc
+++ b/libs/http/src/server.cc
@@ -274,7 +274,7 @@
 }
 
 void ignore_exception(const std::exception_ptr& /*fault*/) {
-  // An exception of a connection ends only that connection.
+  // An exception in the coroutine of a connection ends only that connection.
 }
 
 asio::awaitable<void> accept_loop(std::shared_ptr<server::state> shared) {
--- a/libs/net/include/hawthornlane/net/rpc.h
+++ b/libs/net/include/hawthornlane/net/rpc.h
@@ -73,7 +73,7 @@
   [[nodiscard]] std::size_t queued_bytes() const;
   /// Sets the limit of the queued response bytes; 16 MB by default. Beyond it a request is refused
   /// instead of answered. One connection may queue a quarter of the limit, but always one response
-  /// of the largest size.
+  /// of the largest size; a connection that exceeds this is closed.
   void limit_queued_bytes(std::size_t max_bytes);
 
   struct state;
--- a/libs/net/src/rpc_server.cc
+++ b/libs/net/src/rpc_server.cc
@@ -18,7 +18,7 @@
 
 constexpr std::size_t read_size = std::size_t{16} * 1024;
 constexpr std::size_t default_max_queued_bytes = std::size_t{16} * 1024 * 1024;
-/// One connection may queue this fraction (1/n) of the process's limit.
+/// One connection may queue the process's limit divided by this number.
 constexpr std::size_t connection_share_divisor = 4;
 
 /// Bytes of responses that are queued on all connections of a server. The limit covers the
--- a/libs/relay/include/hawthornlane/relay/backend_pool.h
+++ b/libs/relay/include/hawthornlane/relay/backend_pool.h
@@ -33,7 +33,7 @@
   abandoned,
 };
 
-/// The response of an attempt; without a body when the body went to the sink.
+/// The response of an attempt. The body is empty if it went to the sink.
 struct backend_response {
   int status = 0;
   std::vector<http::header> headers;
@@ -96,7 +96,7 @@
 
   /// Sends one call and reads its response. An event stream goes to `sink`. Any other
   /// response is read completely into `answer`, so that a broken one is detected
-  /// before the caller receives a byte. `detail` says why an attempt failed.
+  /// before the caller receives a byte. If the attempt fails, `detail` says why.
   boost::asio::awaitable<attempt_outcome> run(const backend_request& request,
                                               const stream_sink& sink, attempt_handle& handle,
                                               backend_response& answer, std::string& detail);
--- a/libs/relay/include/hawthornlane/relay/caller_connection.h
+++ b/libs/relay/include/hawthornlane/relay/caller_connection.h
@@ -71,7 +71,7 @@
   bool is_gone = false;
   bool has_started = false;
   /// Whether responses may use chunked encoding; false for HTTP/1.0, which does not support it.
-  bool chunks = true;
+  bool may_use_chunked_encoding = true;
 };
 
 }  // namespace hawthornlane::relay
--- a/libs/relay/src/caller_connection.cc
+++ b/libs/relay/src/caller_connection.cc
@@ -146,7 +146,7 @@
     co_return outcome;
   }
   this->keep_alive = from.parser.keep_alive();
-  this->chunks = from.parser.get().version() > http_1_0;
+  this->may_use_chunked_encoding = from.parser.get().version() > http_1_0;
   copy_request(from.parser, into);
   co_return read_outcome::request;
 }
@@ -189,9 +189,9 @@
 asio::awaitable<bool> caller_connection::start(int status,
                                                const std::vector<http::header>& headers) {
   this->has_started = true;
-  this->keep_alive = this->keep_alive && this->chunks;
+  this->keep_alive = this->keep_alive && this->may_use_chunked_encoding;
   std::string bytes = this->head_bytes(status, headers);
-  bytes += this->chunks ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n";
+  bytes += this->may_use_chunked_encoding ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n";
   co_return co_await this->send(bytes);
 }
 
@@ -199,7 +199,7 @@
   if (piece.empty()) {
     co_return !this->is_gone;
   }
-  if (!this->chunks) {
+  if (!this->may_use_chunked_encoding) {
     co_return co_await this->send(piece);
   }
   const std::string bytes = fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
@@ -207,7 +207,7 @@
 }
 
 asio::awaitable<bool> caller_connection::finish() {
-  if (!this->chunks) {
+  if (!this->may_use_chunked_encoding) {
     co_return !this->is_gone;
   }
   co_return co_await this->send("0\r\n\r\n");
--- a/programs/client/caller_commands.cc
+++ b/programs/client/caller_commands.cc
@@ -198,7 +198,7 @@
     const bool has_ticket = result.contains("ticket");
     this->take_ticket(result);
     if (error == "may_have_run") {
-      // Without a ticket the outcome is still open; a retry with the same ticket reveals it.
+      // Without a new ticket the outcome is still unknown; a retry with the same ticket shows it.
       return !has_ticket || !tool;
     }
     return error == "not_run" || error == "over_limit" || error == "no_backend_server";
--- a/scenarios/promise_checker.h
+++ b/scenarios/promise_checker.h
@@ -57,8 +57,8 @@
   void on_sent(const sent_call& call);
   /// Records a request that reached a server.
   void on_arrival(const std::string& server, const stand_ins::backend_arrival& arrival);
-  /// Records the response to a call, complete or not. `calm`: no fault was active during the call
-  /// or in the 3 s before it.
+  /// Records the response to a call, complete or not. `calm`: the call ended before its
+  /// deadline, and no fault but planned maintenance was active during it or in the 3 s before it.
   void on_answer(const std::string& id, const call_result& result, bool calm);
   /// Records the peak memory so far and the limit of a process of that kind.
   void on_memory(const std::string& kind, const std::string& process, memory_use use);
--- a/scenarios/soak_callers.h
+++ b/scenarios/soak_callers.h
@@ -27,7 +27,8 @@
 /// Not thread-safe.
 class soak_callers {
 public:
-  /// `is_calm` returns true if no fault has been active since 3 s before that time.
+  /// `is_calm` returns true if no fault but planned maintenance has been active since 3 s
+  /// before that time.
   soak_callers(boost::asio::io_context& context, soak_fleet& fleet, promise_checker& checker,
                std::function<bool(net::steady_time)> is_calm, std::uint64_t seed);
   soak_callers(const soak_callers&) = delete;
