--- a/libs/relay/include/hawthornlane/relay/backend_pool.h
+++ b/libs/relay/include/hawthornlane/relay/backend_pool.h
@@ -24,8 +24,8 @@
   not_sent,
   /// The server states that it did not run the call.
   not_run,
-  /// Sent, but the response was incomplete, or a refusal that does not say whether the call
-  /// ran: it may have run.
+  /// Sent, and the call may have run: the response was incomplete, or it was a refusal that does
+  /// not say whether the call ran.
   broken,
   /// The deadline passed before the response was complete.
   timed_out,
@@ -33,7 +33,7 @@
   abandoned,
 };
 
-/// The response of an attempt; without a body when the body went to the sink.
+/// The response of an attempt. The body is empty if it went to the sink.
 struct backend_response {
   int status = 0;
   std::vector<http::header> headers;
@@ -50,7 +50,7 @@
 /// One call to one server.
 struct backend_request {
   http::endpoint where;
-  /// Incarnation of the addressed server. A connection to an earlier incarnation is dead.
+  /// Start of the addressed server process. Connections to an earlier process are not used.
   incarnation server_start;
   std::string method;
   std::string target;
@@ -59,8 +59,8 @@
   std::string_view body;
   request_id id;
   net::steady_time until = net::never;
-  /// The call may be sent again. A call on a pooled connection that the server has just closed
-  /// is lost, so a call that is not repeatable uses only recently used connections.
+  /// True if running the call twice does no harm. Otherwise only recently used pooled
+  /// connections are taken, since a call on one that the server has just closed is lost.
   bool repeatable = false;
 };
 
@@ -96,7 +96,7 @@
 
   /// Sends one call and reads its response. An event stream goes to `sink`. Any other
   /// response is read completely into `answer`, so that a broken one is detected
-  /// before the caller receives a byte. `detail` says why an attempt failed.
+  /// before the caller receives a byte. If the attempt fails, `detail` says why.
   boost::asio::awaitable<attempt_outcome> run(const backend_request& request,
                                               const stream_sink& sink, attempt_handle& handle,
                                               backend_response& answer, std::string& detail);
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -18,7 +18,8 @@
 
 /// Deadline of a call, sent as `X-Deadline-Ms`.
 constexpr auto call_limit = 3000ms;
-/// Wait for a response beyond the deadline; the routes' own timeouts are shorter.
+/// How long a caller waits for the response after its deadline. The routes' own timeouts, at most
+/// 3 s, end earlier.
 constexpr auto answer_slack = 500ms;
 constexpr auto connect_limit = 1000ms;
 /// Callers reuse a directory response for the hosts' configured `address_time`.
@@ -287,8 +288,8 @@
   co_return result;
 }
 
-/// Requests the newest route from one host after another: a configuration that a process
-/// has once had in force must stay in force.
+/// Requests the newest route from one host after another. Once a configuration is in force in a
+/// process, it must not be replaced there by an older one.
 asio::awaitable<void> soak_callers::probe_configuration() {
   caller who(this->context, this->sweeper, this->random());
   std::map<std::string, int> in_force;
