--- a/libs/discovery/include/hawthornlane/discovery/fleet_state.h
+++ b/libs/discovery/include/hawthornlane/discovery/fleet_state.h
@@ -33,8 +33,9 @@
   void list_hosts(store_revision at, const std::vector<host_entry>& entries);
   void change_hosts(store_revision at, const std::vector<entry_change<host_entry>>& changes);
 
-  /// Called when the store answers again after an outage. Entries of servers that are missing
-  /// from it may have lapsed during the outage, so their removal is deferred for a while.
+  /// Called when the store answers again after an outage. Servers could not renew their entries
+  /// during the outage, so an entry that is missing from the store may only have expired. Its
+  /// removal is therefore deferred for a while.
   void on_store_recovered();
   /// Drops entries whose deferred removal is due.
   void drop_expired_removals();
--- a/libs/discovery/include/hawthornlane/discovery/host_settings.h
+++ b/libs/discovery/include/hawthornlane/discovery/host_settings.h
@@ -23,7 +23,7 @@
   http::endpoint store;
 };
 
-/// The rules of a role, `rules`, with those common to all roles appended.
+/// Returns `rules`, the settings keys of one role, with the keys common to all roles appended.
 std::vector<key_rule> with_host_rules(std::vector<key_rule> rules);
 
 /// The address under a key. Precondition: the schema requires the key and declares it an
--- a/libs/discovery/include/hawthornlane/discovery/registration.h
+++ b/libs/discovery/include/hawthornlane/discovery/registration.h
@@ -35,8 +35,8 @@
   configuration config;
   std::string text;
 };
-/// Decodes the configuration of a page: at most one. Empty if it cannot be read; then the
-/// configuration in force stays.
+/// Decodes the configuration on a page. The result has at most one element. It has none if the
+/// page has no configuration or an unreadable one; the configuration in force then stays.
 std::vector<stored_configuration> configurations_of(const platform_adapter::object_page& page,
                                                     object_faults& faults);
 
--- a/libs/disk/include/hawthornlane/disk/ledger_store.h
+++ b/libs/disk/include/hawthornlane/disk/ledger_store.h
@@ -23,8 +23,8 @@
   std::function<std::string()> whole;
 };
 
-/// Serves requests for the ledger. The response to a change is sent only after the change is
-/// on disk. Not thread-safe.
+/// Serves requests for the ledger. A change is answered only after it is on disk. Not
+/// thread-safe.
 class ledger_store {
 public:
   using reply = std::function<void(std::optional<std::string>)>;
@@ -54,11 +54,13 @@
   [[nodiscard]] std::uint64_t log_bytes() const { return this->log->size(); }
   [[nodiscard]] bool failed() const { return this->broken; }
 
-  /// Sets the newest ledger set in the platform's store. Requests for an older set are refused
-  /// from then on, and the refusal carries the newest set: a requester that waits for a disk of
-  /// an older set would never get its quorum.
+  /// Call this with each ledger set read from the platform's store; one that is not newer than the
+  /// known one is ignored. Requests for an older set are refused from then on. The refusal
+  /// contains the newest set, because a requester that keeps waiting for a disk of an older set
+  /// would never get its quorum.
   void set_newest(const ledger_set& set);
-  /// Records that this disk has copied the records for the joint set of that epoch.
+  /// Notes that this disk has copied the records needed for the joint set (the old and the new
+  /// members during a change) of that epoch. Probe responses report it.
   void set_copied(set_epoch epoch) { this->copied = epoch; }
 
 private:
@@ -69,9 +71,10 @@
 
   void load_identity(const std::string& folder);
   void on_record(std::string_view bytes);
-  /// Applies an encoded fence; false if the bytes are not one.
+  /// Raises the fence: the lowest epoch of a ledger set whose requests this disk accepts. Returns
+  /// false if the bytes are not an encoded fence.
   bool apply_fence(const std::string& bytes);
-  /// The current fence, encoded; with its set if that is known.
+  /// The current fence, encoded, together with its ledger set if that set is known.
   [[nodiscard]] std::string fence_bytes() const;
   void on_durable(std::uint64_t up_to, bool good);
   /// Calls `notify` once everything appended so far is on disk.
@@ -95,9 +98,9 @@
   /// Invariant: its epoch is not above the fence.
   std::optional<ledger_set> newest;
   set_epoch copied;
-  /// The fence in the log, which a restart restores. It is lower than the fence in memory while
-  /// a newer set is known from the platform's store only; it need not be durable until a joining
-  /// disk has requested it.
+  /// The fence in the log, which a restart restores. The fence in memory is higher while a newer
+  /// set is known from the platform's store only. That higher fence need not be durable until a
+  /// joining disk has requested it.
   set_epoch logged_fence;
   std::uint64_t last_record = 0;
   std::uint64_t durable_record = 0;
--- a/libs/disk/include/hawthornlane/disk/quota_service.h
+++ b/libs/disk/include/hawthornlane/disk/quota_service.h
@@ -1,4 +1,5 @@
-// Client accounts' quotas at a disk host: each grant is on disk before it is answered.
+// Client accounts' quotas at a disk host. The response to a grant is sent only after the grant
+// is on disk.
 #pragma once
 
 #include <functional>
@@ -21,7 +22,8 @@
   std::function<void(const std::string& counter)> count;
 };
 
-/// Grants calls against quotas, and nothing without the lease. Not thread-safe.
+/// Grants calls against quotas while this host holds the quota lease, and none without it. Not
+/// thread-safe.
 class quota_service {
 public:
   quota_service(quota_tolerance rules, quota_hooks hooks);
@@ -36,7 +38,8 @@
   void serve(const std::string& payload, const net::rpc_reply& reply);
   /// Sets the share of each quota that this host manages, 0 to 1.
   void set_share(double share);
-  /// Removes idle accounts whose state does not matter any more.
+  /// Removes accounts whose quota is full and would be full as well if they were created again,
+  /// and programs that have expired.
   void forget_idle();
   /// Number of accounts in memory.
   [[nodiscard]] std::size_t accounts() const { return this->manager.accounts(); }
--- a/libs/disk/src/disk_host.cc
+++ b/libs/disk/src/disk_host.cc
@@ -158,7 +158,8 @@
 }
 
 void disk_host::state::adopt_ledger_set(const platform_adapter::stored_object& object) {
-  // An unreadable object is logged where the page's host entries are decoded.
+  // Not logged here: the ledger set is an object of the kind `hosts`, and `host_entries_of` and
+  // `host_changes_of` log the unreadable objects of this kind.
   failure ignored;
   const auto received = platform_adapter::ledger_set_from(object, ignored);
   if (!received) {
--- a/libs/disk/src/disk_host_state.h
+++ b/libs/disk/src/disk_host_state.h
@@ -31,8 +31,8 @@
     std::shared_ptr<net::rpc_client> client;
     probe_response heard;
     net::steady_time received_at{};
-    /// `received_at` is the time of a probe response. False: it is the time at which the host
-    /// was first listed.
+    /// True if `received_at` is the time of a probe response. False if no probe of the current
+    /// entry was answered; `received_at` is then the time at which the entry was first listed.
     bool answered = false;
   };
 
@@ -74,7 +74,7 @@
   net::steady_time next_membership_run{};
   net::steady_time next_tick{};
   bool membership_running = false;
-  /// Since when a change of the set with epoch `due_at_epoch` is due.
+  /// When a change of the set became due, if the set still has the epoch `due_at_epoch`.
   net::steady_time due_since{};
   set_epoch due_at_epoch;
   set_epoch copied;
@@ -99,17 +99,18 @@
     return this->retirements.contains(name);
   }
   /// True if the host is retiring and half of the time allowed for it has passed. The first
-  /// half is left for a spare to appear.
+  /// half is left for a disk host that is not in the set to appear, which can replace it.
   [[nodiscard]] bool must_leave(const host_id& name) const;
-  /// Number of disks with precedence over this one whose time to make a due change has passed.
+  /// When a change of the set is due, each disk in turn has a fixed time to make it. Returns how
+  /// many of these times have passed since the change became due; 0 if none is due.
   std::size_t skipped_candidates();
   [[nodiscard]] set_view view() const;
   static boost::asio::awaitable<void> run_membership_tasks(std::shared_ptr<state> self);
   static boost::asio::awaitable<void> change_set(std::shared_ptr<state> self);
   /// Writes the proposed set to the store; true if the store holds it afterwards.
   static boost::asio::awaitable<bool> propose(std::shared_ptr<state> self, set_decision decision);
-  /// Raises the fence at the old members and copies their records, until a read quorum of
-  /// them is copied.
+  /// Raises the fence at the old members and copies their records, until the records of a read
+  /// quorum of the old members are copied. True on success.
   static boost::asio::awaitable<bool> copy_from_members(std::shared_ptr<state> self);
   /// Sends a request to a disk host, or serves it from the local ledger.
   static boost::asio::awaitable<std::optional<std::string>> send_request(
@@ -117,7 +118,8 @@
       duration timeout);
   static boost::asio::awaitable<bool> copy_from(std::shared_ptr<state> self, ledger_set joint,
                                                 disk_id member);
-  /// Reports to the platform that this host may be removed, once its disk is in no set.
+  /// If this host is retiring and its disk is no longer a member of the set, reports to the
+  /// platform that the host may be removed.
   static boost::asio::awaitable<void> complete_retirement(std::shared_ptr<state> self);
 };
 
--- a/libs/disk/src/disk_membership.cc
+++ b/libs/disk/src/disk_membership.cc
@@ -1,5 +1,5 @@
-// Membership of a disk host in the ledger set: deciding on changes, copying for a joint set,
-// retirement.
+// Membership of a disk host in the ledger set: decides on changes, copies records into a joint
+// set (the old and the new members during a change), and completes the host's retirement.
 #include <algorithm>
 
 #include "disk_host_state.h"
@@ -18,19 +18,20 @@
 namespace {
 
 /// A disk host that has not answered for this long may be replaced. A restart takes two to
-/// three seconds, and copying to a spare costs more than waiting for the restart.
+/// three seconds, and copying to another disk host costs more than waiting for the restart.
 constexpr auto failure_timeout = std::chrono::milliseconds(3500);
-/// The same in a set of two, where the loss of one stops the service until it is replaced.
-/// Leaves time for several probes and a retransmitted packet, so that a short stall does not
-/// reduce the set to one disk.
+/// The timeout in a set of two, where the loss of one disk stops the service until the disk is
+/// replaced. It leaves time for several probes and a retransmitted packet, so that a short stall
+/// does not reduce the set to one disk.
 constexpr auto failure_timeout_of_two = std::chrono::milliseconds(1000);
 static_assert(quota_lease_duration < failure_timeout);
 /// Disk hosts start within 0.3 s of each other; the first set is formed after this wait.
 constexpr auto first_set_wait = std::chrono::milliseconds(1500);
-/// Time for one disk to make a due change before the next one tries: two updates of the store
-/// when it is slow.
+/// The disks try one after the other to make a due change of the set. Each has this long, which
+/// is enough for two updates of the store when the store is slow.
 constexpr auto time_per_candidate = std::chrono::milliseconds(1000);
-/// Maximum of consecutive decisions in one pass, such as a joint set and its completion.
+/// Maximum number of steps in one run of `change_set`: for example, proposing a joint set (the
+/// old and the new members), copying, and proposing the new set alone.
 constexpr int max_steps = 4;
 constexpr duration fence_timeout = std::chrono::milliseconds(1500);
 constexpr duration copy_timeout = std::chrono::milliseconds(1500);
@@ -135,8 +136,8 @@
     outcome = co_await self->store.create(object_kind::hosts, platform_adapter::ledger_object_name,
                                           spec, reason);
   }
-  // Whether the write succeeded, failed or is unknown, the store's current content decides.
-  // Read it here, since the watch may report it late.
+  // Whatever the result of the write, which may also be unknown, the store's current content
+  // decides. Read that here, since the watch may report it late.
   platform_adapter::stored_object held;
   failure read_reason;
   const store_outcome read = co_await self->store.get(
--- a/libs/disk/src/ledger_store.cc
+++ b/libs/disk/src/ledger_store.cc
@@ -19,16 +19,17 @@
 constexpr char record_tag = 'R';
 constexpr char fence_tag = 'F';
 constexpr char side_record_tag = 'Q';
-/// The log is compacted at the latest when it takes this part of the disk: during compaction
-/// both copies of the live records must fit.
+/// The log is compacted at the latest when it takes this part of the disk, because both copies
+/// of the live records must fit on the disk during compaction.
 constexpr double max_part_of_disk = 0.4;
-/// The log is compacted when it is this many times as large as its live records: a restart
-/// loads all of it into memory, and expired records stay there until the first tick.
+/// The log is compacted when it is this many times as large as its live records, because a
+/// restart loads the whole log into memory. Expired records stay in memory until the first tick.
 constexpr double max_multiple_of_live = 1.5;
-/// A smaller log is not compacted, bytes: replaying this much takes about 40 MB of memory with
-/// turns of a few kilobytes, and twice that with turns of almost no text.
+/// A log smaller than this many bytes is not compacted. Replaying a log of this size takes about
+/// 40 MB of memory if the turns have a few kilobytes each, and about 80 MB if they have almost no
+/// text.
 constexpr std::uint64_t min_compacted_bytes = std::uint64_t{32} * 1024 * 1024;
-/// Rewritten at each tick, bytes; more would delay appends of turns.
+/// Bytes that a compaction rewrites at each tick. More would delay appends of turns.
 constexpr std::size_t rewrite_bytes_per_tick = std::size_t{256} * 1024;
 constexpr std::size_t copy_page_bytes = std::size_t{256} * 1024;
 constexpr std::size_t identity_size = 32;
@@ -86,8 +87,8 @@
     this->id = disk_id(*text);
     return;
   }
-  // There is no identity, or one that was never synced and so never sent to another host:
-  // join as a new member.
+  // The file is missing, or its identity was never synced and so never sent to another host.
+  // Join as a new member.
   const std::string made = new_identity();
   failure reason;
   if (!write_small_file(path, made, reason)) {
@@ -310,8 +311,8 @@
   const auto part = [](std::uint64_t whole, double share) {
     return static_cast<std::uint64_t>(static_cast<double>(whole) * share);
   };
-  // The size of the texts leaves out a record's other fields, and the size at the last
-  // compaction may be out of date: take the larger one.
+  // Neither size is exact: that of the texts leaves out the records' other fields, and that of
+  // the last compaction may be out of date. Take the larger one.
   const std::uint64_t live_bytes =
       std::max<std::uint64_t>(this->copy.text_bytes(), this->rewritten_bytes);
   const std::uint64_t wanted =
--- a/libs/disk/test/ledger_store_test.cc
+++ b/libs/disk/test/ledger_store_test.cc
@@ -97,7 +97,8 @@
 
   /// Ends the process, damages the folder as a power loss may, and restarts.
   void lose_power() {
-    // A segment is removed only after everything written before is synced.
+    // If a segment has been removed meanwhile, everything written before the removal is synced and
+    // must survive. Otherwise a power loss may drop what is not acknowledged.
     const std::string oldest = this->oldest_segment();
     const auto safe = segments_in(this->folder);
     this->disk.reset();
@@ -131,8 +132,8 @@
   }
 
 private:
-  /// So small that live records soon exceed the limit: from then on a compaction of several
-  /// pages is always in progress.
+  /// The disk is so small that live records soon exceed the limit. From then on a compaction of
+  /// several pages is always in progress.
   static constexpr std::uint64_t disk_bytes = 1'500'000;
   static constexpr std::uint64_t segment_bytes = 100'000;
   static constexpr std::size_t max_text = 50'000;
@@ -215,8 +216,8 @@
     }
   }
 
-  /// Undoes removals that were not durable. A removal is durable only if those of all older
-  /// segments are.
+  /// Undoes removals that were not durable. The removal of a segment is durable only if the
+  /// removals of all older segments are.
   void restore_removed() {
     const std::string oldest = this->oldest_segment();
     std::vector<std::string> removed;
@@ -316,7 +317,8 @@
 }
 
 TEST_CASE("a fence survives a restart if its set was first known from the store") {
-  // Otherwise records appended to the old set after a joining disk has copied would be lost.
+  // If a restart lowered the fence, this disk would accept requests for the old set again. Records
+  // appended to it after a joining disk has copied the old members' records would be lost.
   const scratch_folder folder("ledger-store");
   {
     open_store disk(folder.name());
@@ -398,7 +400,8 @@
   {
     open_store open(folder.path(), 1 << 20, small_segments, journal);
     CHECK(replayed == std::vector<std::string>{"first", "second"});
-    // Long enough to be compacted: 0.4 of the disk.
+    // The log is compacted above 0.4 of the disk, about 420 kB. Three turns of 10 kB each are sent
+    // repeatedly; only the first request for a turn is written to the log.
     for (int number = 0; number < 50; ++number) {
       open.ask<program_response>(ledger_method::append,
                                  append(1, "r" + std::to_string(number % 3), 5000));
@@ -447,13 +450,14 @@
     }
     removed += disk.removed_segments();
   }
-  // Without compactions the test would prove little.
+  // Compactions must have removed segments, or the test would not cover them.
   CHECK(removed > seeds);
 }
 
 TEST_CASE("turns that a live program continues from are kept, also after compaction") {
   const auto far = wall_ms(std::int64_t{1} << 60);
-  // The continuing program comes before or after the first one in the rewritten log.
+  // Compaction rewrites programs in the order of their names: 'a' comes before the program 'm'
+  // from which it continues, 'z' after it.
   for (const std::string continuing : {"a", "z"}) {
     INFO("program " << continuing << " continues from m");
     const scratch_folder folder("ledger-store");
--- a/libs/document/include/hawthornlane/document/service_document.h
+++ b/libs/document/include/hawthornlane/document/service_document.h
@@ -42,7 +42,7 @@
   token_count max_answer_tokens{0};
   /// Weight of program latency against wasted cache: 1 counts only latency, 0 only cache.
   double latency_weight = 0.5;
-  /// How long after its call's arrival an answer is still useful.
+  /// Time limit of a model call, counted from its arrival. After it a queued call is refused.
   duration call_deadline{};
   /// A program without calls for longer than this is ended and its cache released.
   duration idle_time{};
@@ -88,7 +88,7 @@
 struct change_effect {
   int line = 0;
   std::string message;
-  /// A dangerous effect must be confirmed with the digest of the checked text.
+  /// If true, the operator must confirm the change by sending the digest that the check returned.
   bool dangerous = false;
 };
 
--- a/libs/document/test/service_document_test.cc
+++ b/libs/document/test/service_document_test.cc
@@ -159,7 +159,7 @@
   CHECK(effects.front().dangerous);
 }
 
-// Guards against a confirmation asked for a change that has no effects.
+// Guards against requiring a confirmation for a change that has no effects.
 TEST_CASE("an unchanged document has no effects") {
   std::vector<ini_problem> problems;
   const auto document = read_document(text_of(valid_lines), problems);
--- a/libs/errors/include/hawthornlane/errors/error_kind.h
+++ b/libs/errors/include/hawthornlane/errors/error_kind.h
@@ -54,7 +54,8 @@
   may_have_run,
   /// The call ran, but its response could not be stored.
   ran_not_kept,
-  /// This host did not run the call; another host may have run a copy of it.
+  /// This host did not run the call. If the caller also sent it to another host, that host may
+  /// have run it.
   not_run_here,
   /// The request was not a call, so there was nothing to run.
   not_a_call,
--- a/libs/explain/include/hawthornlane/explain/request_report.h
+++ b/libs/explain/include/hawthornlane/explain/request_report.h
@@ -1,5 +1,5 @@
-// Reconstructs from the hosts' logs what happened to a request, and the state known to the host
-// that served it at that time. No I/O.
+// Reconstructs from the hosts' logs what happened to a request, and what the host that served it
+// knew at that time. No I/O.
 #pragma once
 
 #include <chrono>
@@ -34,7 +34,8 @@
 struct request_report {
   /// The lines that name the request or the program, ordered by time.
   std::vector<log_line> lines;
-  /// The state known to each host of these lines at its first line, as sentences.
+  /// For each host that wrote one of these lines, what it knew when it wrote the first one, as
+  /// sentences.
   std::vector<std::string> host_state;
   /// Other requests of the same programs, as sentences, ordered by time.
   std::vector<std::string> other_requests;
--- a/libs/explain/src/request_report.cc
+++ b/libs/explain/src/request_report.cc
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// An event that states a part of a host's state, and the field that names its subject. For
-/// each event and subject the newest line is the current state.
+/// An event whose log lines describe a part of a host's state, and the field that names its
+/// subject, e.g. the peer. For each event and subject, the newest line is the current state.
 struct state_rule {
   const char* event;
   /// Empty if the event has no subject.
   const char* subject;
-  /// The event after which the state no longer applies; empty if there is none.
+  /// The event that ends the state which `event` begins; empty if there is none.
   const char* ended_by;
 };
 
--- a/libs/node/include/hawthornlane/node/admin_routes.h
+++ b/libs/node/include/hawthornlane/node/admin_routes.h
@@ -14,7 +14,7 @@
 
 namespace hawthornlane {
 
-/// References to the parts of the host that the operators' interface uses.
+/// What the operators' interface needs from its host.
 struct admin_dependencies {
   runtime& time;
   shard_table& shards;
--- a/libs/node/include/hawthornlane/node/audit_log.h
+++ b/libs/node/include/hawthornlane/node/audit_log.h
@@ -35,7 +35,7 @@
   void add(audit_entry entry);
   /// At most `max_count` entries to store next, oldest first.
   [[nodiscard]] std::vector<audit_entry> unstored(std::size_t max_count) const;
-  /// Removes the oldest `count` entries; call it once the platform has stored them.
+  /// Removes the oldest `count` entries. Call it after the platform has stored them.
   void stored(std::size_t count);
   [[nodiscard]] std::uint64_t dropped() const;
 
--- a/libs/node/include/hawthornlane/node/backend_table.h
+++ b/libs/node/include/hawthornlane/node/backend_table.h
@@ -43,18 +43,18 @@
   /// the object does not describe a server.
   std::optional<backend_server> apply_object(const stored_object& object);
   [[nodiscard]] std::optional<backend_server> find(const backend_server_id& server) const;
-  /// Counts a call in flight at a server that the scheduler has chosen; nothing when the
-  /// server is unknown.
+  /// Counts one more call in flight at a server that the scheduler has chosen, and returns the
+  /// server; returns nothing when it is unknown.
   std::optional<backend_server> acquire_chosen(const backend_server_id& server);
-  /// Chooses the matching server with the fewest calls in flight, leaving out `except`,
-  /// leaving servers and excluded ones. The call counts as in flight until `release_server`.
-  /// Nothing when no server matches.
+  /// Chooses the matching server with the fewest calls in flight. Servers in `except`, servers
+  /// that are about to leave and excluded servers are not considered. The call counts as in flight
+  /// until `release_server`. Returns nothing when no server matches.
   std::optional<backend_server> take(const backend_requirement& need,
                                      const std::vector<backend_server_id>& except, timestamp now);
   /// Ends a call's use of the server; excludes the server for a while after repeated failures.
   void release_server(const backend_server_id& server, const backend_result& result, timestamp now);
   [[nodiscard]] std::vector<backend_server> all() const;
-  /// Adds the servers that are not leaving to the counts in `fleet`.
+  /// Increments the counts in `fleet` for each server that is not about to leave.
   void add_server_counts(fleet_view& fleet) const;
 
 private:
--- a/libs/node/include/hawthornlane/node/call_runner.h
+++ b/libs/node/include/hawthornlane/node/call_runner.h
@@ -30,7 +30,7 @@
   token_count prompt_growth{0};
   /// Estimated tokens of the history that the prompt starts with.
   token_count history{0};
-  /// The account's share under contention.
+  /// Weight of the account, relative to other accounts, when servers are scarce.
   double weight = 1;
   /// Time from arrival after which a queued call is refused.
   duration deadline{};
@@ -38,8 +38,8 @@
   std::optional<backend_server> server;
 };
 
-/// Queues calls for servers, begins a call when the scheduler assigns a server to it, and
-/// sends it once its intent is logged.
+/// Queues calls for servers. When the scheduler assigns a server to a call, records in the shard's
+/// log that the call is about to be sent, and sends it after that record is stored.
 class call_runner {
 public:
   call_runner(runtime& time, shard_table& shards, backend_table& backends, call_table& calls);
@@ -80,7 +80,8 @@
   backend_client client;
   mutable std::mutex mutex;
   std::map<call_id, std::shared_ptr<prepared_call>> prepared;
-  /// Server time in seconds that each live program has used, and when this host first saw it.
+  /// What this host knows of a live program: the server time that the program has used, seconds,
+  /// and when this host first saw it.
   struct program_record {
     double attained = 0;
     timestamp began;
--- a/libs/node/include/hawthornlane/node/call_table.h
+++ b/libs/node/include/hawthornlane/node/call_table.h
@@ -13,7 +13,7 @@
 
 namespace hawthornlane {
 
-/// A piece of streamed text, or the answer that ends the call.
+/// A piece of streamed text, or, if `answer` is set, the answer that ends the call.
 struct call_event {
   std::string text;
   std::optional<call_answer> answer;
--- a/libs/node/include/hawthornlane/node/document_registry.h
+++ b/libs/node/include/hawthornlane/node/document_registry.h
@@ -43,7 +43,8 @@
   std::string who;
   /// The generation that the operator last read; 0 for a new document.
   generation expected;
-  /// Digest of the checked text; the operator sends it to confirm dangerous effects.
+  /// Digest that the preceding check of the text returned. Required to confirm a change with
+  /// dangerous effects.
   std::string confirmed_digest;
 };
 
@@ -63,7 +64,7 @@
   document_registry(runtime& time, object_store& platform, audit_log& audit, std::string host);
 
   void apply_object(const stored_object& object);
-  /// Call once all current documents have been offered; see `rollout_core`.
+  /// Call this after all current documents have been offered; see `rollout_core`.
   void mark_complete();
   [[nodiscard]] bool ready() const;
 
--- a/libs/node/include/hawthornlane/node/front_routes.h
+++ b/libs/node/include/hawthornlane/node/front_routes.h
@@ -14,7 +14,7 @@
 
 namespace hawthornlane {
 
-/// References to the parts of the host that the callers' interface uses.
+/// What the callers' interface needs from its host.
 struct front_dependencies {
   runtime& time;
   shard_table& shards;
--- a/libs/node/include/hawthornlane/node/host_view.h
+++ b/libs/node/include/hawthornlane/node/host_view.h
@@ -19,6 +19,7 @@
 
   membership_actions tick(timestamp now, std::uint64_t random);
   membership_actions receive(const probe_message& message, timestamp now);
+  /// Called for a member that the platform lists.
   membership_actions listed(const member& seen, timestamp now);
   void leave();
   void set_documents(std::uint64_t digest, bool current);
--- a/libs/node/include/hawthornlane/node/node.h
+++ b/libs/node/include/hawthornlane/node/node.h
@@ -15,12 +15,12 @@
 
 namespace hawthornlane {
 
-/// The whole daemon without its process: threads, signals and the settings file belong to
-/// the program that contains it.
+/// The daemon without what belongs to its process: the program that contains it provides the
+/// threads, handles signals and reads the settings file.
 ///
 /// Lock order: first a shard's lock, then one of the call table, the prepared calls, the host
-/// view, the shard map, the backend table or the audit log. No other lock is taken while one
-/// of the latter is held.
+/// view, the shard map, the backend table or the audit log. While one of these latter locks
+/// is held, no further lock is taken.
 class node {
 public:
   /// Starts listening; throws when it cannot. `on_stopped` is called once, on a worker
@@ -85,8 +85,7 @@
   std::atomic<bool> stopped{false};
   std::atomic<std::uint64_t> takeovers{0};
   std::atomic<std::uint64_t> broken{0};
-  /// Each program's progress and the time of its last change; used only by
-  /// `end_idle_programs`.
+  /// The progress of each program, and when it last changed; used only by `end_idle_programs`.
   std::map<program_id, std::pair<std::size_t, timestamp>> activity;
 };
 
--- a/libs/node/include/hawthornlane/node/ownership_manager.h
+++ b/libs/node/include/hawthornlane/node/ownership_manager.h
@@ -23,7 +23,8 @@
   void maintain_replicas();
   /// Moves at most `max_moves` shards to hosts that own fewer.
   void rebalance(std::size_t max_moves);
-  /// Starts handing every owned shard to a usable replica; returns the number still owned.
+  /// Starts to hand each owned shard over to a usable replica; returns the number of shards that
+  /// this host still owns.
   std::size_t hand_over_all();
   /// Ticks every shard core and checks the invariants of the next shard.
   void tick();
@@ -37,7 +38,7 @@
   shard_table& shards;
   host_view& hosts;
   std::size_t replicas;
-  /// When each shard without a live owner was first seen so.
+  /// For each shard without a live owner, when this host first noticed that.
   std::map<shard_id, timestamp> orphaned_since;
 };
 
--- a/libs/node/include/hawthornlane/node/runtime.h
+++ b/libs/node/include/hawthornlane/node/runtime.h
@@ -11,8 +11,8 @@
 
 namespace hawthornlane {
 
-/// The only place where a host reads clocks and draws random numbers, apart from its
-/// incarnation number.
+/// The source of time and random numbers for the scheduling code of a host. The host's
+/// incarnation number, log lines, and the timing of network calls read the clocks directly.
 class runtime {
 public:
   explicit runtime(boost::asio::io_context& io) : context(io), engine(std::random_device{}()) {}
--- a/libs/node/src/call_runner.cc
+++ b/libs/node/src/call_runner.cc
@@ -42,7 +42,8 @@
       calls(open_calls),
       queue(
           [this](const schedule_decision& decision) {
-            // Posted, since a decision may be made while another shard's lock is held.
+            // Posted and not called directly, since the scheduler may decide while another shard's
+            // lock is held.
             asio::post(this->time.context, [this, decision] {
               this->start(call_id(decision.id.get()), decision.server);
             });
@@ -115,7 +116,8 @@
   });
 }
 
-/// Called when the scheduler has given the call a slot in a server's window: logs its intent.
+/// Called when the scheduler has assigned the call to a server. Records in the shard's log, before
+/// the call is sent, that it is about to be sent.
 void call_runner::start(call_id id, const backend_server_id& chosen) {
   const auto call = this->find(id);
   if (!call) {
@@ -128,8 +130,8 @@
   });
 }
 
-/// Refuses a queued call. A call already assigned to a server is left alone: it ends with its
-/// connection.
+/// Refuses a queued call. Does nothing for a call that is already assigned to a server, since that
+/// call ends with its connection.
 void call_runner::give_up(call_id id) {
   const auto call = this->find(id);
   if (!call || call->server) {
@@ -247,8 +249,8 @@
   });
 }
 
-/// Retries at another server only when it is certain that no server has started the call, or
-/// when the call may run twice and no part of its answer was relayed yet.
+/// Retries at another server only in two cases: it is certain that no server has started the call,
+/// or the call may run twice and no part of its answer has been relayed yet.
 asio::awaitable<backend_result> call_runner::try_servers(prepared_call& call) {
   std::vector<backend_server_id> tried;
   {
--- a/libs/node/src/node_platform.cc
+++ b/libs/node/src/node_platform.cc
@@ -155,7 +155,7 @@
                                         this->self.host.get(), sequence);
     const write_result written = co_await this->platform.put(key, 0, json::serialize(entries));
     // A conflict means that an earlier attempt took effect and its response was lost. The batch
-    // may have grown since: only a write under a new key makes sure that all of it is stored.
+    // may have grown since then, so only a write under a new key ensures that all of it is stored.
     if (written.outcome == write_result::kind::applied) {
       this->audit.stored(batch.size());
     }
--- a/libs/node/src/ownership_manager.cc
+++ b/libs/node/src/ownership_manager.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr duration claim_delay_step = std::chrono::milliseconds(800);
-/// A shard must be without an owner for this long before it is claimed, so that the map and
-/// the member list have arrived.
+/// A shard must be without an owner for this long before it is claimed. After a start, this
+/// leaves time for the shard map and the member list to arrive.
 constexpr duration min_ownerless_time = std::chrono::milliseconds(300);
 
 bool same_set(std::vector<host_incarnation> a, std::vector<host_incarnation> b) {
--- a/libs/rollout/include/hawthornlane/rollout/rollout_core.h
+++ b/libs/rollout/include/hawthornlane/rollout/rollout_core.h
@@ -41,7 +41,7 @@
 public:
   offer_outcome offer(const service_name& service, generation at, const std::string& text,
                       timestamp now);
-  /// Call once the whole list of the platform, or of a ready peer, has been offered.
+  /// Call this after the whole list of the platform, or of a ready peer, has been offered.
   void mark_complete() { this->complete = true; }
   [[nodiscard]] bool ready() const { return this->complete; }
 
--- a/libs/rollout/test/rollout_core_test.cc
+++ b/libs/rollout/test/rollout_core_test.cc
@@ -31,7 +31,8 @@
   CHECK(core.documents().at(service).text == row.in_force);
 }
 
-// Guards against hosts that take differing documents for equal, or differ by adoption order.
+// Guards against equal digests for different documents, and against digests that depend on the
+// order in which a host adopted its documents.
 TEST_CASE("digests are equal exactly when generations and texts are equal") {
   rollout_core left;
   rollout_core right;
--- a/libs/settings/include/hawthornlane/settings/schema.h
+++ b/libs/settings/include/hawthornlane/settings/schema.h
@@ -34,13 +34,14 @@
 
 /// One key that a text may contain.
 struct key_rule {
-  /// A section name, or "kind *" for sections such as "[account north]".
+  /// A section name. A name such as "account *" stands for all sections "[account NAME]".
   std::string section;
   std::string key;
   value_type type = value_type::text;
   bool required = false;
   std::string default_value;
-  /// Range of numbers; microseconds for times.
+  /// Allowed range of integers, numbers and times (microseconds), both bounds included. Unused for
+  /// other types.
   double min_value = 0;
   double max_value = 0;
   /// Description of the key, with its unit.
@@ -59,7 +60,8 @@
                                               const std::string& key) const;
   /// Names of the sections "kind NAME", without the kind, in the order of the text.
   [[nodiscard]] std::vector<std::string> sections_of(const std::string& kind) const;
-  /// Line of the key; if the key is absent, the line of its section's first key; else 0.
+  /// Line of the key; if the key is absent, the line of its section's first key; 0 if the section
+  /// has no keys either.
   [[nodiscard]] int line_of(const std::string& section, const std::string& key) const;
 
 private:
--- a/libs/settings/src/ini.cc
+++ b/libs/settings/src/ini.cc
@@ -67,8 +67,8 @@
 ini_text read_ini(std::string_view text) {
   reader state;
   state.rest = text;
-  // libinih returns the line of its first error only, but it goes on reading, so later lines
-  // are still checked.
+  // libinih returns only the line of its first error, but it reads to the end, so later lines are
+  // still checked.
   const int first_bad_line = ini_parse_stream(next_line, &state, add_entry, &state);
   if (first_bad_line > 0) {
     state.result.problems.push_back(
--- a/libs/settings/src/schema.cc
+++ b/libs/settings/src/schema.cc
@@ -85,7 +85,7 @@
   return fmt::format("{} to {}", rule.min_value, rule.max_value);
 }
 
-/// The reason why `value` violates `rule`; empty when it does not.
+/// Why `value` violates `rule`; empty when it does not.
 std::string validation_error(const key_rule& rule, const std::string& value) {
   std::optional<double> number;
   switch (rule.type) {
@@ -130,8 +130,8 @@
   return blank == std::string::npos ? section : section.substr(0, blank) + " *";
 }
 
-/// The message for an unknown name. `compared` is the form of `word` that is compared with the
-/// candidates.
+/// The message for an unknown name. `word` is the name as written in the text; `compared` is the
+/// same name in the form that the candidates have, e.g. "account *" for "account north".
 std::string unknown_name_message(const std::string& what, const std::string& word,
                                  const std::vector<std::string>& candidates,
                                  const std::string& compared) {
--- a/libs/telemetry/include/hawthornlane/telemetry/log.h
+++ b/libs/telemetry/include/hawthornlane/telemetry/log.h
@@ -1,4 +1,4 @@
-// Numbered log events on standard error.
+// Numbered log events, on standard error or, buffered, on standard output.
 #pragma once
 
 #include <cstdint>
--- a/libs/units/include/hawthornlane/units/ids.h
+++ b/libs/units/include/hawthornlane/units/ids.h
@@ -36,7 +36,8 @@
 using epoch = strong_value<struct epoch_tag, std::uint64_t>;
 /// Position of a record in the log of one epoch, counted from 1.
 using record_index = strong_value<struct record_index_tag, std::uint64_t>;
-/// Position of a call in its program, counted from 1.
+/// Position of a turn in its program, counted from 1. A turn is one call of the program, to a model
+/// or to a tool.
 using turn_number = strong_value<struct turn_number_tag, std::uint32_t>;
 /// Version number of a service document; never decreases.
 using generation = strong_value<struct generation_tag, std::uint64_t>;
--- a/libs/units/include/hawthornlane/units/strong_value.h
+++ b/libs/units/include/hawthornlane/units/strong_value.h
@@ -10,7 +10,7 @@
 
 /// Wraps `Rep` so that values with different `Tag`s are different types.
 ///
-/// It has no implicit conversions, the ordering and equality of `Rep`, and a hash.
+/// It has the ordering and equality of `Rep`, and a hash, but no implicit conversions.
 /// Construct it explicitly and read it through `get()`.
 template <class Tag, class Rep>
 class strong_value {
