--- a/libs/node/include/hawthornlane/node/document_registry.h
+++ b/libs/node/include/hawthornlane/node/document_registry.h
@@ -99,7 +99,7 @@
   std::string host;
   mutable std::mutex mutex;
   rollout_core rollout;
-  /// Invariant: holds the parsed form of each document in force that parses.
+  /// Invariant: holds each document in force that can be parsed, in parsed form.
   std::map<service_name, std::shared_ptr<const service_document>> parsed;
   /// Invariant: contains exactly the credentials of `parsed`. A credential that two
   /// services share belongs to the one whose name sorts first.
--- a/libs/node/include/hawthornlane/node/model_queue.h
+++ b/libs/node/include/hawthornlane/node/model_queue.h
@@ -30,7 +30,7 @@
   void first_token(const model_name& model, waiting_id id);
   /// Forgets the program and returns the server that holds its cached prefix, if any.
   std::optional<backend_server_id> forget(const program_id& program);
-  /// Takes hung servers out of use and uses recovered ones again; call about once a second.
+  /// Takes hung servers out of use, and recovered ones into use again. Call about once a second.
   void tick(timestamp now);
   /// Predicted wait of a new call, seconds.
   [[nodiscard]] double predicted_wait(const model_name& model) const;
--- a/libs/node/include/hawthornlane/node/ownership_manager.h
+++ b/libs/node/include/hawthornlane/node/ownership_manager.h
@@ -17,7 +17,7 @@
 public:
   ownership_manager(runtime& time, shard_table& shards, host_view& hosts, std::size_t replicas);
 
-  /// Claims shards whose owners have ended; call about twice a second.
+  /// Claims shards whose owners have ended. Call about twice a second.
   void claim_orphans();
   /// Keeps the replica sets of owned shards at their size and replaces ended hosts.
   void maintain_replicas();
--- a/libs/node/src/document_registry.cc
+++ b/libs/node/src/document_registry.cc
@@ -60,7 +60,8 @@
   std::vector<ini_problem> problems;
   const auto document = read_document(text, problems);
   if (!document || document->service != service) {
-    // Never adopted. A document that was accepted parses at every host of this version.
+    // An unreadable document is never adopted. One that was accepted is readable at every host of
+    // this version.
     log(event::document_refused, {{"service", service.get()}, {"detail", to_string(problems)}});
     return;
   }
--- a/libs/node/src/node.cc
+++ b/libs/node/src/node.cc
@@ -22,7 +22,7 @@
 constexpr duration idle_check_interval = std::chrono::seconds(1);
 constexpr duration shutdown_check_interval = std::chrono::milliseconds(200);
 constexpr duration max_shutdown_time = std::chrono::minutes(10);
-/// When every host of the region shuts down, no host is left to hand shards to.
+/// Limit of the wait for a host to hand shards to: if the whole region shuts down, there is none.
 constexpr duration max_wait_for_successor = std::chrono::seconds(2);
 constexpr std::size_t max_moves_per_round = 4;
 constexpr std::size_t rounds_per_rebalance = 5;
@@ -118,7 +118,7 @@
 }
 
 node::~node() {
-  // Messages may arrive until the network is closed, and their handlers use the other members.
+  // Close the network first, since handlers of messages that arrive until then use the members.
   this->peers.reset();
 }
 
@@ -468,14 +468,15 @@
       log(event::stopped_with_shards, {{"shards", std::to_string(owned)}});
       break;
     }
-    // An operator's request may still be in flight here; only callers' calls count.
+    // Only callers' calls count here; an operator's request may still be in flight.
     const bool idle = this->calls.size() == 0 && this->runner->running() == 0;
     if (owned == 0 && idle) {
       break;
     }
     co_await this->wait(shutdown_check_interval);
   }
-  // Callers may keep this host's address for `address_time`, so it answers them until then.
+  // Callers may use this host's address for up to `address_time` after they received it, so the
+  // host answers them until then.
   const timestamp handed_over = this->time.now();
   while (this->time.now() - handed_over < this->settings.address_time || this->calls.size() > 0 ||
          this->server->active() > 0) {
--- a/libs/node/src/ownership_manager.cc
+++ b/libs/node/src/ownership_manager.cc
@@ -83,7 +83,7 @@
       const std::vector<host_incarnation>& current = core.known_assignment().replicas;
       std::vector<host_incarnation> next =
           choose_replicas(shard, self, candidates, current, this->replicas);
-      // A replica that is only suspected stays: dropping it would lose a copy.
+      // A replica that is suspected but has not ended is kept, since dropping it would lose a copy.
       for (const host_incarnation& replica : current) {
         const bool kept = std::find(next.begin(), next.end(), replica) != next.end();
         if (!kept && next.size() < this->replicas && !this->hosts.has_ended(replica)) {
--- a/libs/node/src/shard_map_store.cc
+++ b/libs/node/src/shard_map_store.cc
@@ -143,9 +143,9 @@
   }
 }
 
-/// Returns true once every proposal in `batch` has its outcome. When the response to a write
-/// was lost, the next attempt reads the block again: either it contains the proposal, or the
-/// same proposal is written once more under a newer version.
+/// Makes one attempt to write a block. Returns true if every proposal in `batch` has its outcome
+/// afterwards. If the response to a write was lost, the next attempt reads the block again: either
+/// the block contains the proposal, or the proposal is written again under a newer version.
 asio::awaitable<bool> shard_map_store::try_block(std::uint32_t block, block_proposals& batch) {
   failure reason;
   const std::string key = key_prefix + std::to_string(block);
--- a/libs/node/src/shard_table.cc
+++ b/libs/node/src/shard_table.cc
@@ -13,7 +13,8 @@
   slot& target = *this->slots.at(shard.get());
   const std::lock_guard lock(target.mutex);
   actions todo = change(target.core);
-  // Every change of a history returns at least one action, so there is nothing to check.
+  // Without an action the history is unchanged, because every change of a history returns at least
+  // one. So there is nothing to check.
   if (todo.empty()) {
     return;
   }
--- a/libs/settings/src/ini.cc
+++ b/libs/settings/src/ini.cc
@@ -12,7 +12,7 @@
 namespace hawthornlane {
 namespace {
 
-/// Limit of libinih's buffer, which would split a longer line.
+/// Longest line that fits into libinih's buffer; libinih would split a longer one.
 constexpr std::size_t max_line_length = 198;
 
 struct reader {
@@ -41,7 +41,7 @@
     state.result.problems.push_back({state.line, "contains a zero byte"});
     line = line.substr(0, 0);
   }
-  // With leading whitespace libinih would append the line to the previous value.
+  // libinih would append a line with leading whitespace to the previous value.
   while (!line.empty() && (line.front() == ' ' || line.front() == '\t')) {
     line.remove_prefix(1);
   }
--- a/libs/telemetry/src/log.cc
+++ b/libs/telemetry/src/log.cc
@@ -117,7 +117,8 @@
 
 constexpr std::array<std::string_view, 3> severity_names{"info", "warning", "error"};
 
-/// Buffer for lines not yet written, bytes: some seconds of lines under the heaviest load.
+/// Size of the buffer for lines not yet written, bytes. It holds the lines of some seconds under
+/// the heaviest load.
 constexpr std::size_t max_buffer_bytes = std::size_t{256} * 1024;
 
 struct sink_state {
