--- a/libs/node/src/ownership_manager.cc
+++ b/libs/node/src/ownership_manager.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr duration claim_delay_step = std::chrono::milliseconds(800);
-/// A shard must be without an owner for this long before it is claimed, so that the map and
-/// the member list have arrived.
+/// A shard must be without an owner for this long before it is claimed. After a start, this
+/// leaves time for the shard map and the member list to arrive.
 constexpr duration min_ownerless_time = std::chrono::milliseconds(300);
 
 bool same_set(std::vector<host_incarnation> a, std::vector<host_incarnation> b) {
@@ -83,7 +83,7 @@
       const std::vector<host_incarnation>& current = core.known_assignment().replicas;
       std::vector<host_incarnation> next =
           choose_replicas(shard, self, candidates, current, this->replicas);
-      // A replica that is only suspected stays: dropping it would lose a copy.
+      // A replica that is suspected but has not ended is kept, since dropping it would lose a copy.
       for (const host_incarnation& replica : current) {
         const bool kept = std::find(next.begin(), next.end(), replica) != next.end();
         if (!kept && next.size() < this->replicas && !this->hosts.has_ended(replica)) {
--- a/libs/settings/src/ini.cc
+++ b/libs/settings/src/ini.cc
@@ -12,7 +12,7 @@
 namespace hawthornlane {
 namespace {
 
-/// Limit of libinih's buffer, which would split a longer line.
+/// Longest line that fits into libinih's buffer; libinih would split a longer one.
 constexpr std::size_t max_line_length = 198;
 
 struct reader {
@@ -41,7 +41,7 @@
     state.result.problems.push_back({state.line, "contains a zero byte"});
     line = line.substr(0, 0);
   }
-  // With leading whitespace libinih would append the line to the previous value.
+  // libinih would append a line with leading whitespace to the previous value.
   while (!line.empty() && (line.front() == ' ' || line.front() == '\t')) {
     line.remove_prefix(1);
   }
@@ -67,8 +67,8 @@
 ini_text read_ini(std::string_view text) {
   reader state;
   state.rest = text;
-  // libinih returns the line of its first error only, but it goes on reading, so later lines
-  // are still checked.
+  // libinih returns only the line of its first error, but it reads to the end, so later lines are
+  // still checked.
   const int first_bad_line = ini_parse_stream(next_line, &state, add_entry, &state);
   if (first_bad_line > 0) {
     state.result.problems.push_back(
