--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -63,8 +63,9 @@
   void started(const service_name& service, placement_id id);
   /// Enables sharing of loads, prompt locations and speeds with other hosts.
   void set_directory_exchange(directory_exchange& with) { this->exchange = &with; }
-  /// Enables claims: a call for a full server claims a place (a slot) at the server's directory
-  /// host, which stores the server's directory entry.
+  /// Enables claims: a call for a full server claims a place at the server's directory host, which
+  /// stores the server's directory entry. A place lets one call be at the server; a server has one
+  /// place more than it has slots.
   void set_place_exchange(place_exchange& with) { this->places = &with; }
   /// Stores the answer of a directory host.
   void apply_directory_response(const directory_response& answer);
--- a/libs/front/include/hawthornlane/front/gossip_messages.h
+++ b/libs/front/include/hawthornlane/front/gossip_messages.h
@@ -44,7 +44,8 @@
   copy = 8,
   /// Confirms that a requested copy has arrived (`copy_request`).
   copy_taken = 9,
-  /// Claims a place, a call slot of a backend server (`place_claim`).
+  /// Claims a place, i.e. the right to have one call at a backend server (`place_claim`). A server
+  /// has one place more than it has slots.
   claim = 10,
   /// Withdraws a claim (`place_grant`).
   withdraw = 11,
@@ -80,8 +81,8 @@
   store_revision hosts_revision;
   /// Epoch of the newest set of disks that this host has; 0: none.
   set_epoch ledger_epoch;
-  /// The newest store read by any host that this host has learned of: the reading host and the
-  /// age. An empty name: no read yet.
+  /// The latest read of the store that this host knows of, by any host: the host that made it and
+  /// the time since then. An empty name: no read yet.
   host_id store_read_by;
   duration store_read_age{};
   /// Services with a demand above zero.
@@ -101,7 +102,7 @@
 using host_key = strong_value<struct host_key_tag, std::uint32_t>;
 host_key host_key_of(const host_id& host);
 
-/// A probe, and also the answer to one.
+/// A probe or the answer to one; both have the same format.
 struct probe_message {
   gossip_digest digest;
   /// Hosts that the sender suspects because they do not answer its probes.
--- a/libs/front/include/hawthornlane/front/peer_traffic.h
+++ b/libs/front/include/hawthornlane/front/peer_traffic.h
@@ -32,10 +32,12 @@
 /// Byte counters. Copies share the counters and may outlive each other. Not thread-safe.
 class peer_traffic {
 public:
-  /// Counts a request of this host, and its answer if one arrives.
+  /// Counts a request of this host. Returns `done` wrapped so that the answer is counted too, if
+  /// one arrives. `request`: bytes.
   [[nodiscard]] net::rpc_done call(traffic_kind kind, std::size_t request,
                                    net::rpc_done done) const;
-  /// Counts a request of another host, and the answer sent to it.
+  /// Counts a request of another host. Returns `reply` wrapped so that the answer is counted too.
+  /// `request`: bytes.
   [[nodiscard]] net::rpc_reply serve(traffic_kind kind, std::size_t request,
                                      net::rpc_reply reply) const;
   [[nodiscard]] const traffic_bytes& of(traffic_kind kind) const {
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -1,5 +1,6 @@
-// Claims places (slots) at full backend servers. Hosts send claims to the server's directory host,
-// which stores the server's directory entry, queues the claims and grants places.
+// Claims places at full backend servers. A place lets one call be at a server; a server has one
+// place more than it has slots. Hosts send claims to the server's directory host, which stores the
+// server's directory entry, queues the claims and grants places.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
--- a/libs/front/src/configuration_copy.cc
+++ b/libs/front/src/configuration_copy.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The store accepts values of up to 1 MB; a text larger than this is not unpacked.
+/// Upper bound of the unpacked text, bytes. The store accepts packed values of up to 1 MB.
 constexpr std::size_t largest_configuration = std::size_t{4} * 1024 * 1024;
 
 }  // namespace
--- a/libs/front/src/ledger_admission.cc
+++ b/libs/front/src/ledger_admission.cc
@@ -141,7 +141,7 @@
   const std::vector<disk_id>& members = state.set.members;
   const std::size_t start = std::hash<std::string>{}(state.turn.id.get()) % members.size();
   std::optional<disk_id> best;
-  // Not suspected before suspected, then the preferred zone.
+  // The greatest rank wins: first disks that are not suspected, then those in the preferred zone.
   std::pair<bool, bool> best_rank;
   for (std::size_t step = 0; step < members.size(); ++step) {
     const disk_id& candidate = members[(start + step) % members.size()];
--- a/libs/front/src/peer_failure_detector.cc
+++ b/libs/front/src/peer_failure_detector.cc
@@ -14,8 +14,8 @@
 /// A probe that fails while this host's event loop lagged by more than this proves nothing: of the
 /// 0.5 s probe timeout, less than `suspicion_delay` was left for the answer.
 constexpr duration max_lag = std::chrono::milliseconds(300);
-/// A peer that has sent a message within this time is not probed on a report of others: the probe
-/// that they wait for is older.
+/// A peer that has sent a message within this time is not probed when other hosts report that they
+/// suspect it: their unanswered probe was sent before that message.
 constexpr duration recent_message_window = std::chrono::milliseconds(300);
 
 }  // namespace
--- a/libs/membership/include/hawthornlane/membership/membership_core.h
+++ b/libs/membership/include/hawthornlane/membership/membership_core.h
@@ -18,7 +18,7 @@
   duration period = std::chrono::milliseconds(500);
   /// Time without an answer after which other hosts are asked to probe the target.
   duration direct_timeout = std::chrono::milliseconds(200);
-  /// Time after which a suspected host counts as gone.
+  /// Time from the start of a suspicion after which the host counts as gone.
   duration suspicion = std::chrono::seconds(3);
   std::uint32_t indirect_probes = 2;
   /// Most updates on one message; limits its size.
--- a/libs/ownership/include/hawthornlane/ownership/actions.h
+++ b/libs/ownership/include/hawthornlane/ownership/actions.h
@@ -66,10 +66,16 @@
 struct role_changed {
   enum class change : std::uint8_t {
     serving,
+    /// Serves, but calls of earlier epochs may be missing in its log.
     serving_incomplete,
+    /// The last missing replica of the former owner is sealed and the log is complete from
+    /// `unknown_below` of the former owner on.
     completed,
     deposed,
+    /// Some replica has lacked records for longer than `replica_silence`; results do not wait for
+    /// it.
     degraded,
+    /// No replica lacks records for that long any more.
     restored
   };
   change what = change::serving;
--- a/libs/ownership/include/hawthornlane/ownership/messages.h
+++ b/libs/ownership/include/hawthornlane/ownership/messages.h
@@ -60,13 +60,15 @@
   }
 };
 
-/// The owner appends one record, or asks for a confirmation when `record` is absent.
+/// The owner appends one record. Without `record` it only asks whether the replica still accepts
+/// records of epoch `at`.
 struct append_request {
   epoch at;
   record_index index;
   record_index full;
   std::optional<log_record> record;
-  /// Returned in the reply, so that the owner can tell a new confirmation from an old one.
+  /// Number of the confirmation that the owner asks for; 0: none. The reply returns it, so that the
+  /// owner can tell the reply from an earlier one.
   std::uint64_t probe = 0;
 
   template <class Archive>
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -164,7 +164,7 @@
     /// The former owner that forwarded the result and gets the answer in place of a caller.
     std::optional<host_incarnation> forwarded_by;
     timestamp since;
-    /// While confirming: the probe number that a replica has to return.
+    /// While confirming: the number that a replica's reply has to return.
     std::uint64_t probe = 0;
 
     template <class Archive>
@@ -211,6 +211,7 @@
   void send_missing(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   void request_seal(const host_incarnation& to, timestamp now, actions& out);
   void confirm_calls(std::uint64_t probe, timestamp now, actions& out);
+  /// Installs the owner's whole log at all sealed replicas, after a change that no record holds.
   void checkpoint(timestamp now, actions& out);
   void install(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   bool append(const log_record& record, timestamp now, actions& out);
@@ -261,8 +262,8 @@
   std::set<host_incarnation> unsealed_former_replicas;
   std::vector<log_snapshot> collected_logs;
   timestamp sealing_since;
-  /// `unknown_below` in the log of the former owner's epoch; absent when no log of that epoch was
-  /// found.
+  /// The first epoch from which on the former owner's log is complete, see
+  /// `shard_state::unknown_below`. Absent when no log of the former owner's epoch was found.
   std::optional<epoch> inherited_unknown_below;
 
   // Serving.
--- a/libs/ownership/test/ownership_search_test.cc
+++ b/libs/ownership/test/ownership_search_test.cc
@@ -66,8 +66,8 @@
   return limits;
 }
 
-/// Larger than `late_set_change`, which is searched exhaustively, so that it contains a
-/// counterexample.
+/// Large enough to contain a counterexample when a rule is off. `late_set_change` is smaller so that
+/// it can be searched exhaustively.
 search::bounds late_set_change_two_sends() {
   search::bounds limits = late_set_change();
   limits.sends = 2;
@@ -112,8 +112,8 @@
   CHECK(found.exhausted);
 }
 
-// Guards against a safety rule without effect, and against a model in which its violation cannot
-// occur.
+// Fails if a safety rule has no effect, or if the model cannot reach the violation that the rule
+// prevents.
 TEST_CASE("the search finds a short counterexample for each safety rule that is turned off") {
   keep_freed_memory();
   using rule = bool ownership_rules::*;
--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -41,7 +41,7 @@
   }
 };
 
-/// The state of one program. A value type; replicas hold equal copies.
+/// The state of one program. A value type; replicas hold copies that compare equal.
 struct program_state {
   program_opened opened;
   /// Invariant: `turns[i].call_ticket.turn` is i + 1 and the digests chain.
@@ -60,7 +60,8 @@
   token_count withheld{0};
   std::uint32_t tool_calls = 0;
   bool closed = false;
-  /// Tokens left after each record, from the last record that all replicas held on, oldest first.
+  /// Tokens left after each record, oldest first. The first mark is that of the last record that all
+  /// replicas are known to hold.
   std::vector<tokens_left_mark> tokens_left_marks;
 
   /// The turn of the next ticket.
@@ -71,9 +72,10 @@
   [[nodiscard]] std::optional<std::uint64_t> digest_at(turn_number turn) const;
   /// Tokens that can still be reserved; the open reservation is already subtracted.
   [[nodiscard]] token_count tokens_left() const;
-  /// Tokens left at the last record known to be held by every replica.
+  /// Tokens left after the last record known to be held by every replica.
   [[nodiscard]] token_count tokens_left_at_full() const;
-  /// The fewest tokens left at any record from that record on.
+  /// The fewest tokens left after any record since the last one known to be held by every replica,
+  /// and after that one.
   [[nodiscard]] token_count least_tokens_left_since_full() const;
 
   [[nodiscard]] const finished_turn* find_finished(const ticket& searched_ticket) const;
@@ -83,10 +85,12 @@
   void withhold_for_split();
   /// Moves an open intent to `abandoned` and charges it in full.
   void abandon_open_intent();
-  /// Stores the tokens left after the record at `index`, and drops the marks before the last one
-  /// at or below `full`.
+  /// Stores the tokens left after the record at `index`. Drops the marks that precede the last mark
+  /// at or below `full`, the last position that every replica is known to hold.
   void mark_tokens_left(record_index index, record_index full);
 
+  /// Compares the history, the calls without an answer, the charged tokens and `closed` only, not
+  /// `opened`, `diverged_turns`, `withheld`, `tool_calls` and `tokens_left_marks`.
   friend bool operator==(const program_state& a, const program_state& b) {
     return a.turns == b.turns && a.open_intent == b.open_intent && a.abandoned == b.abandoned &&
            a.charged == b.charged && a.closed == b.closed;
--- a/libs/turn_log/src/turn_log.cc
+++ b/libs/turn_log/src/turn_log.cc
@@ -424,8 +424,8 @@
   }
 
   int file;
-  /// Invariant: `buffer` from `at` on follows the last record that was passed on, and `unread` is
-  /// the number of bytes in the file after `buffer`.
+  /// Invariant: the bytes of `buffer` from offset `at` are those after the last record that was
+  /// returned, and `unread` is the number of bytes in the file after `buffer`.
   std::string buffer;
   std::size_t at = 0;
   std::uint64_t unread = 0;
--- a/libs/turn_log/test/test_log.h
+++ b/libs/turn_log/test/test_log.h
@@ -88,7 +88,7 @@
   return sizes;
 }
 
-/// An open log with a call that waits until its records are durable.
+/// An open log. `sync` waits until all appended records are durable.
 class test_log {
 public:
   explicit test_log(const scratch_folder& folder,
@@ -171,7 +171,7 @@
   }
 
   std::mt19937& random;
-  /// Synced bytes of each segment, by file name; 0 for other segments.
+  /// Synced bytes by the segment's file name. A segment without an entry has none.
   std::map<std::string, std::uintmax_t> synced;
 };
 
@@ -193,7 +193,7 @@
   return resident_pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
-/// A record whose bytes differ by `mark` from others of its size.
+/// A record of this size. Records with different marks have different contents.
 inline std::string record_of(std::size_t size, char mark) {
   std::string record(size, mark);
   for (std::size_t at = 0; at < size; at += 61) {
