--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -30,7 +30,7 @@
 };
 
 /// Cancels a call's wait for a server from outside the waiting coroutine.
-class placement_wait {
+class server_wait {
 public:
   /// The caller has disconnected: the call no longer needs a server.
   void cancel();
@@ -56,7 +56,7 @@
   /// Assigns `request` an id and waits until a server is chosen, or until none can serve the
   /// call before its deadline.
   boost::asio::awaitable<acquired_server> acquire(const service_name& service,
-                                                  placement_request request, placement_wait& wait);
+                                                  placement_request request, server_wait& wait);
   /// A call has ended at the server that it was given.
   void finished(const service_name& service, placement_id id, server_outcome outcome);
   /// The first part of a call's answer has arrived.
@@ -111,7 +111,7 @@
   /// Claims a place if the servers that the call would go to are full. Returns false if the call
   /// must be placed by this host's own information.
   boost::asio::awaitable<bool> claim(server_pool& pool, const placement_request& request,
-                                     placement_wait& wait, acquired_server& acquired);
+                                     server_wait& wait, acquired_server& acquired);
   void report_changes(server_pool& pool);
   void set_speed_gauges(const service_name& name, double fastest, double slowest);
   /// Updates the speed gauges and logs servers that have become slow.
@@ -132,7 +132,7 @@
   /// Null: no places are claimed; full servers are treated like others.
   place_exchange* places = nullptr;
   std::map<service_name, service_pool> pools;
-  std::map<placement_id, placement_wait::waiter*> waiters;
+  std::map<placement_id, server_wait::waiter*> waiters;
   placement_id last_placement;
 };
 
--- a/libs/front/include/hawthornlane/front/quota_client.h
+++ b/libs/front/include/hawthornlane/front/quota_client.h
@@ -15,7 +15,7 @@
 /// Callbacks to reach the quota managers.
 struct quota_hooks {
   /// The disks whose hosts are quota managers; empty if not known yet.
-  std::function<std::vector<disk_id>()> keepers;
+  std::function<std::vector<disk_id>()> managers;
   /// Whether this host believes that a manager answers.
   std::function<bool(const disk_id&)> reaches;
   std::function<void(const disk_id&, std::string payload, duration limit, net::rpc_done)> ask;
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -22,14 +22,14 @@
 }  // namespace
 
 /// A call that waits for a server.
-struct placement_wait::waiter {
+struct server_wait::waiter {
   explicit waiter(asio::io_context& context) : signal(context) {}
   net::async_signal signal;
   std::optional<placement> chosen;
   bool left = false;
 };
 
-void placement_wait::cancel() {
+void server_wait::cancel() {
   this->left = true;
   this->place.cancel();
   if (this->waiting != nullptr) {
@@ -230,7 +230,7 @@
 }
 
 asio::awaitable<bool> call_placer::claim(server_pool& pool, const placement_request& request,
-                                         placement_wait& wait, acquired_server& acquired) {
+                                         server_wait& wait, acquired_server& acquired) {
   if (this->places == nullptr) {
     co_return false;
   }
@@ -301,7 +301,7 @@
 
 asio::awaitable<acquired_server> call_placer::acquire(const service_name& service,
                                                       placement_request request,
-                                                      placement_wait& wait) {
+                                                      server_wait& wait) {
   acquired_server acquired;
   this->last_placement = this->last_placement.next();
   acquired.id = this->last_placement;
@@ -328,7 +328,7 @@
     co_return acquired;
   }
   const auto began = steady::now();
-  placement_wait::waiter waiting(this->context);
+  server_wait::waiter waiting(this->context);
   this->waiters.emplace(acquired.id, &waiting);
   wait.waiting = &waiting;
   co_await waiting.signal.wait();
--- a/libs/front/src/call_state.h
+++ b/libs/front/src/call_state.h
@@ -72,7 +72,7 @@
   std::uint32_t possible_runs = 0;
   int tries = 0;
   relay::attempt_handle handle;
-  placement_wait wait;
+  server_wait wait;
   relay::backend_response answer;
   std::string detail;
   /// The turn in the ledger, once admitted.
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -149,7 +149,7 @@
 
   quota_hooks make_quota_hooks() {
     quota_hooks hooks;
-    hooks.keepers = [this] {
+    hooks.managers = [this] {
       const auto& set = this->ledger.current();
       return set ? set->members : std::vector<disk_id>();
     };
--- a/libs/front/src/quota_client.cc
+++ b/libs/front/src/quota_client.cc
@@ -29,12 +29,12 @@
 /// Shared with the answer callbacks, which may run after the call has continued.
 struct quota_client::round_state {
   round_state(asio::io_context& context, std::vector<disk_id> asked, std::string request)
-      : keepers(std::move(asked)),
+      : managers(std::move(asked)),
         payload(std::move(request)),
-        round(keepers.size()),
+        round(managers.size()),
         signal(context) {}
 
-  std::vector<disk_id> keepers;
+  std::vector<disk_id> managers;
   std::string payload;
   quota_round round;
   net::async_signal signal;
@@ -47,10 +47,10 @@
     disk_id manager;
     auto operator<=>(const ranked_manager&) const = default;
   };
-  std::vector<disk_id> keepers = this->hooks.keepers();
+  std::vector<disk_id> managers = this->hooks.managers();
   std::vector<ranked_manager> ranked;
-  ranked.reserve(keepers.size());
-  for (disk_id& manager : keepers) {
+  ranked.reserve(managers.size());
+  for (disk_id& manager : managers) {
     const bool silent = !this->hooks.reaches(manager);
     const std::uint64_t weight = rendezvous_weight(manager.get(), program_hash);
     ranked.push_back({silent, weight, std::move(manager)});
@@ -65,7 +65,7 @@
 }
 
 void quota_client::ask(const std::shared_ptr<round_state>& state, std::size_t manager) {
-  this->hooks.ask(state->keepers[manager], state->payload, answer_timeout,
+  this->hooks.ask(state->managers[manager], state->payload, answer_timeout,
                   [state](net::rpc_failure why, const std::string& bytes) {
                     const bool good = why == net::rpc_failure::none;
                     const auto answer = good ? from_bytes<quota_response>(bytes) : std::nullopt;
@@ -99,8 +99,8 @@
 asio::awaitable<quota_admission> quota_client::ask_round(const std::string& payload,
                                                          std::uint64_t program_hash,
                                                          net::steady_time give_up_at) {
-  const std::vector<disk_id> keepers = this->ordered_managers(program_hash);
-  const auto state = std::make_shared<round_state>(this->context, keepers, payload);
+  const std::vector<disk_id> managers = this->ordered_managers(program_hash);
+  const auto state = std::make_shared<round_state>(this->context, managers, payload);
   net::steady_time next_request_at = steady::now();
   while (state->round.decision() == quota_decision::undecided) {
     const net::steady_time now = steady::now();
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -75,7 +75,7 @@
   directory_exchange exchange(context, host_id("own"), silent_host(unanswered));
   placer.set_directory_exchange(exchange);
 
-  placement_wait wait;
+  server_wait wait;
   acquired_server acquired;
   const auto acquire = [&]() -> boost::asio::awaitable<void> {
     acquired = co_await placer.acquire(service_name("models"), make_request(), wait);
@@ -129,7 +129,7 @@
 
     placement_request request = make_request();
     request.prompt.resize(item.has_prompt ? request.prompt.size() : 0);
-    placement_wait wait;
+    server_wait wait;
     acquired_server acquired;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
       acquired = co_await placer.acquire(service_name("models"), request, wait);
@@ -177,7 +177,7 @@
     directory_exchange exchange(context, host_id("own"), hooks);
     placer.set_directory_exchange(exchange);
 
-    placement_wait wait;
+    server_wait wait;
     const auto acquire = [&]() -> boost::asio::awaitable<void> {
       placement_request request = make_request();
       request.prompt.clear();
--- a/libs/front/test/quota_client_test.cc
+++ b/libs/front/test/quota_client_test.cc
@@ -51,12 +51,12 @@
 private:
   quota_hooks make_hooks() {
     quota_hooks hooks;
-    hooks.keepers = [this] {
-      std::vector<disk_id> keepers;
+    hooks.managers = [this] {
+      std::vector<disk_id> managers;
       for (std::size_t number = 0; number < this->replies.size(); ++number) {
-        keepers.emplace_back(std::to_string(number));
+        managers.emplace_back(std::to_string(number));
       }
-      return keepers;
+      return managers;
     };
     hooks.reaches = [this](const disk_id& manager) {
       return !this->unreachable_managers.contains(std::stoul(manager.get()));
@@ -124,25 +124,25 @@
       {"all are silent", {{silence}, {silence}, {silence}}, quota_decision::unknown, 900ms},
   }));
   INFO(item.what);
-  scripted_managers keepers(item.replies);
-  const quota_admission result = keepers.admit();
+  scripted_managers managers(item.replies);
+  const quota_admission result = managers.admit();
   CHECK(result.decision == item.decision);
-  CHECK(keepers.took < item.at_most);
+  CHECK(managers.took < item.at_most);
   if (result.decision == quota_decision::over_limit) {
     CHECK(result.retry_after == duration(70ms));
   }
 }
 
 TEST_CASE("a call stops asking managers at its deadline") {
-  scripted_managers keepers({{reply::not_kept}, {reply::not_kept}});
-  CHECK(keepers.admit(60ms).decision == quota_decision::unknown);
-  CHECK(keepers.took < 200ms);
+  scripted_managers managers({{reply::not_kept}, {reply::not_kept}});
+  CHECK(managers.admit(60ms).decision == quota_decision::unknown);
+  CHECK(managers.took < 200ms);
 }
 
 TEST_CASE("managers believed unreachable are asked last") {
-  scripted_managers keepers({{reply::grant}, {reply::grant}, {reply::grant}});
-  keepers.unreachable_managers = {0, 2};
-  keepers.admit();
-  REQUIRE_FALSE(keepers.asked.empty());
-  CHECK(keepers.asked.front() == 1);
+  scripted_managers managers({{reply::grant}, {reply::grant}, {reply::grant}});
+  managers.unreachable_managers = {0, 2};
+  managers.admit();
+  REQUIRE_FALSE(managers.asked.empty());
+  CHECK(managers.asked.front() == 1);
 }
--- a/libs/ownership/include/hawthornlane/ownership/messages.h
+++ b/libs/ownership/include/hawthornlane/ownership/messages.h
@@ -69,11 +69,11 @@
   std::optional<log_record> record;
   /// Number of the confirmation that the owner asks for; 0: none. The reply returns it, so that the
   /// owner can tell the reply from an earlier one.
-  std::uint64_t probe = 0;
+  std::uint64_t confirmation_number = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->at, this->index, this->full, this->record, this->probe);
+    archive(this->at, this->index, this->full, this->record, this->confirmation_number);
   }
 };
 
@@ -86,11 +86,11 @@
   record_index last;
   /// The highest epoch that the host has seen.
   epoch highest;
-  std::uint64_t probe = 0;
+  std::uint64_t confirmation_number = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->at, this->accepted, this->last, this->highest, this->probe);
+    archive(this->at, this->accepted, this->last, this->highest, this->confirmation_number);
   }
 };
 
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -109,7 +109,7 @@
   [[nodiscard]] role_kind role() const { return this->current_role; }
   [[nodiscard]] bool serving() const { return this->current_role == role_kind::serving; }
   [[nodiscard]] shard_id shard() const { return this->own_shard; }
-  [[nodiscard]] const assignment& known_assignment() const { return this->known; }
+  [[nodiscard]] const assignment& known_assignment() const { return this->known_entry; }
   [[nodiscard]] bool proposal_open() const { return this->proposed.has_value(); }
   [[nodiscard]] epoch sealed_epoch() const { return this->sealed; }
   [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->own_log; }
@@ -127,9 +127,9 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->own_shard, this->self, this->current_role, this->known, this->proposed,
-            this->sealed, this->own_log, this->buffered_appends, this->former,
-            this->unsealed_former_replicas, this->collected_logs, this->inherited_unknown_below,
+    archive(this->own_shard, this->self, this->current_role, this->known_entry, this->proposed,
+            this->sealed, this->own_log, this->buffered_appends, this->former_entry,
+            this->unsealed_former_replicas, this->collected_logs, this->inherited_first_complete_epoch,
             this->peers, this->calls, this->late_calls, this->nonces, this->send_not_before,
             this->unacknowledged_records);
   }
@@ -165,12 +165,12 @@
     std::optional<host_incarnation> forwarded_by;
     timestamp since;
     /// While confirming: the number that a replica's reply has to return.
-    std::uint64_t probe = 0;
+    std::uint64_t confirmation_number = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
       archive(this->program, this->stage, this->index, this->intent, this->forwarded_by,
-              this->probe);
+              this->confirmation_number);
     }
   };
 
@@ -210,9 +210,9 @@
   void resolve_proposal(const assignment& entry, timestamp now, actions& out);
   void send_missing(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   void request_seal(const host_incarnation& to, timestamp now, actions& out);
-  void confirm_calls(std::uint64_t probe, timestamp now, actions& out);
+  void confirm_calls(std::uint64_t confirmation_number, timestamp now, actions& out);
   /// Installs the owner's whole log at all sealed replicas, after a change that no record holds.
-  void checkpoint(timestamp now, actions& out);
+  void reinstall_log(timestamp now, actions& out);
   void install(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   bool append(const log_record& record, timestamp now, actions& out);
   void update_full();
@@ -244,7 +244,7 @@
 
   role_kind current_role = role_kind::follower;
   /// The map entry with the highest epoch seen; while serving, the one under which it serves.
-  assignment known;
+  assignment known_entry;
   /// The proposal whose outcome is unknown. Invariant: at most one.
   std::optional<assignment> proposed;
 
@@ -257,14 +257,14 @@
   std::map<record_index, append_request> buffered_appends;
 
   // Takeover: the map entry of the former owner and the logs of its replicas.
-  assignment former;
+  assignment former_entry;
   /// Replicas of `former` that are not sealed yet.
   std::set<host_incarnation> unsealed_former_replicas;
   std::vector<log_snapshot> collected_logs;
   timestamp sealing_since;
   /// The first epoch from which on the former owner's log is complete, see
   /// `shard_state::unknown_below`. Absent when no log of the former owner's epoch was found.
-  std::optional<epoch> inherited_unknown_below;
+  std::optional<epoch> inherited_first_complete_epoch;
 
   // Serving.
   std::map<host_incarnation, peer_progress> peers;
@@ -275,7 +275,7 @@
   std::map<program_id, std::uint64_t> nonces;
   /// Programs with a call that the former owner may still be sending, and until when.
   std::map<program_id, timestamp> send_not_before;
-  std::uint64_t last_probe = 0;
+  std::uint64_t last_confirmation_number = 0;
   /// Newest records, for replicas that lack them. The first is at position `last` - size + 1; at
   /// most `max_unacknowledged_records`.
   std::deque<log_record> unacknowledged_records;
--- a/libs/ownership/src/shard_core.cc
+++ b/libs/ownership/src/shard_core.cc
@@ -19,18 +19,18 @@
   if (this->proposed) {
     this->resolve_proposal(entry, now, out);
   }
-  if (entry.at < this->known.at) {
+  if (entry.at < this->known_entry.at) {
     return out;
   }
-  if (entry.at > this->known.at) {
+  if (entry.at > this->known_entry.at) {
     if (this->current_role != role_kind::follower) {
       this->depose(entry, now, out);
     }
-    this->known = entry;
+    this->known_entry = entry;
     return out;
   }
   if (this->current_role == role_kind::follower) {
-    this->known = entry;
+    this->known_entry = entry;
   }
   return out;
 }
@@ -42,9 +42,9 @@
     return out;
   }
   std::erase(replicas, this->self);
-  this->proposed = assignment{this->known.at.next(), this->self, std::move(replicas), random};
+  this->proposed = assignment{this->known_entry.at.next(), this->self, std::move(replicas), random};
   this->current_role = role_kind::claiming;
-  out.push_back(propose_assignment{this->known, *this->proposed});
+  out.push_back(propose_assignment{this->known_entry, *this->proposed});
   return out;
 }
 
@@ -57,7 +57,7 @@
   std::erase(replicas, this->self);
   bool removes = false;
   bool stays = false;
-  for (const host_incarnation& replica : this->known.replicas) {
+  for (const host_incarnation& replica : this->known_entry.replicas) {
     if (!contains_host(replicas, replica)) {
       removes = true;
       continue;
@@ -69,8 +69,8 @@
   if (removes && !stays && this->rules.remove_only_when_others_hold_all) {
     return out;
   }
-  this->proposed = assignment{this->known.at, this->self, std::move(replicas), random};
-  out.push_back(propose_assignment{this->known, *this->proposed});
+  this->proposed = assignment{this->known_entry.at, this->self, std::move(replicas), random};
+  out.push_back(propose_assignment{this->known_entry, *this->proposed});
   return out;
 }
 
@@ -103,11 +103,11 @@
       this->start_sealing(own_proposal, now, out);
       return;
     }
-    this->known = own_proposal;
+    this->known_entry = own_proposal;
     for (const host_incarnation& replica : own_proposal.replicas) {
       peer_progress& peer = this->peers[replica];
       if (!peer.sealed) {
-        out.push_back(send_message{replica, seal_request{this->known.at}});
+        out.push_back(send_message{replica, seal_request{this->known_entry.at}});
         peer.last_sent = now;
       }
     }
@@ -117,7 +117,7 @@
     this->advance_calls(now, out);
     return;
   }
-  const bool superseded = entry.at >= own_proposal.at && entry.nonce != this->known.nonce;
+  const bool superseded = entry.at >= own_proposal.at && entry.nonce != this->known_entry.nonce;
   if (!superseded) {
     return;
   }
@@ -129,8 +129,8 @@
 
 actions shard_core::hand_over(const host_incarnation& successor) {
   actions out;
-  if (this->serving() && contains_host(this->known.replicas, successor)) {
-    out.push_back(send_message{successor, hand_over_request{this->known.at}});
+  if (this->serving() && contains_host(this->known_entry.replicas, successor)) {
+    out.push_back(send_message{successor, hand_over_request{this->known_entry.at}});
   }
   return out;
 }
@@ -144,7 +144,7 @@
   }
   const bool is_only_unsealed =
       this->unsealed_former_replicas.size() == 1 && this->unsealed_former_replicas.contains(host);
-  if (host != this->former.owner && !is_only_unsealed) {
+  if (host != this->former_entry.owner && !is_only_unsealed) {
     return;
   }
   for (auto& [id, program] : this->own_log->state.programs) {
--- a/libs/ownership/src/shard_core_calls.cc
+++ b/libs/ownership/src/shard_core_calls.cc
@@ -15,12 +15,12 @@
 }
 
 bool shard_core::complete() const {
-  return this->own_log && this->own_log->state.unknown_below <= epoch(0);
+  return this->own_log && this->own_log->state.first_complete_epoch <= epoch(0);
 }
 
 ticket shard_core::current_ticket(const program_state& program, std::uint64_t random) {
   const auto [at, added] = this->nonces.emplace(program.opened.program, random);
-  return ticket{this->own_shard, this->known.at, program.next_turn(), at->second};
+  return ticket{this->own_shard, this->known_entry.at, program.next_turn(), at->second};
 }
 
 call_answer shard_core::make_answer(const program_state& program, std::uint64_t random) {
@@ -122,12 +122,12 @@
                                                     std::uint64_t random) {
   const ticket& presented_ticket = request.presented;
   call_answer refusal;
-  if (presented_ticket.issued_in > this->known.at) {
+  if (presented_ticket.issued_in > this->known_entry.at) {
     refusal.error = error_kind::not_owner;
     return refusal;
   }
-  const bool own_epoch = presented_ticket.issued_in == this->known.at;
-  if (!own_epoch && presented_ticket.issued_in < this->own_log->state.unknown_below) {
+  const bool own_epoch = presented_ticket.issued_in == this->known_entry.at;
+  if (!own_epoch && presented_ticket.issued_in < this->own_log->state.first_complete_epoch) {
     refusal = this->make_answer(program, random);
     refusal.error = error_kind::may_have_run;
     refusal.detail = "the log of the ticket's epoch is incomplete";
@@ -266,7 +266,7 @@
   }
   open_call& item = found->second;
   const bool own_ticket =
-      item.intent->call_ticket.issued_in == this->known.at || !this->rules.ticket_bound_to_epoch;
+      item.intent->call_ticket.issued_in == this->known_entry.at || !this->rules.ticket_bound_to_epoch;
   if (!this->serving() || !own_ticket) {
     call_answer refusal;
     refusal.error = error_kind::not_owner;
@@ -281,11 +281,11 @@
   // the replicas for a new confirmation.
   item.stage = call_stage::confirming;
   item.since = now;
-  item.probe = ++this->last_probe;
+  item.confirmation_number = ++this->last_confirmation_number;
   for (const auto& [host, peer] : this->peers) {
     out.push_back(
-        send_message{host, append_request{this->known.at, this->own_log->last, this->own_log->full,
-                                          std::nullopt, item.probe}});
+        send_message{host, append_request{this->known_entry.at, this->own_log->last, this->own_log->full,
+                                          std::nullopt, item.confirmation_number}});
   }
   return false;
 }
@@ -300,14 +300,14 @@
   const intent_logged intent = *item.intent;
   const turn_finished record{item.program,  intent.call_ticket, result.request,
                              result.answer, result.used,        result.failed};
-  if (!this->serving() || intent.call_ticket.issued_in != this->known.at) {
+  if (!this->serving() || intent.call_ticket.issued_in != this->known_entry.at) {
     if (result.unknown || result.never_started) {
       call_answer answer;
       answer.error = error_kind::may_have_run;
       out.push_back(answer_call{result.call, answer});
     } else {
       this->late_calls.emplace(intent.call_ticket, late_call{result.call, record, now, now});
-      out.push_back(send_message{this->known.owner, late_result{record}});
+      out.push_back(send_message{this->known_entry.owner, late_result{record}});
     }
     this->calls.erase(found);
     return out;
--- a/libs/ownership/src/shard_core_log.cc
+++ b/libs/ownership/src/shard_core_log.cc
@@ -29,7 +29,7 @@
   reply.granted = message.at >= this->sealed;
   if (reply.granted) {
     this->sealed = message.at;
-    if (this->current_role != role_kind::follower && message.at > this->known.at) {
+    if (this->current_role != role_kind::follower && message.at > this->known_entry.at) {
       assignment successor;
       successor.at = message.at;
       successor.owner = from;
@@ -85,7 +85,7 @@
                        timestamp /*now*/) {
   append_reply reply;
   reply.at = message.at;
-  reply.probe = message.probe;
+  reply.confirmation_number = message.confirmation_number;
   const bool follows_log = this->own_log && this->own_log->at == message.at;
   reply.accepted = follows_log && (message.at == this->sealed || !this->rules.replicas_fence);
   if (reply.accepted) {
@@ -99,7 +99,7 @@
 // --- appending at the owner -------------------------------------------------
 
 bool shard_core::is_counted(const host_incarnation& replica) const {
-  if (!contains_host(this->known.replicas, replica)) {
+  if (!contains_host(this->known_entry.replicas, replica)) {
     return false;
   }
   const bool undecided = this->proposed && this->rules.count_only_common_replicas;
@@ -122,17 +122,17 @@
     return peer != this->peers.end() && peer->second.installed &&
            peer->second.acknowledged >= index;
   };
-  const bool current = std::all_of(this->known.replicas.begin(), this->known.replicas.end(), holds);
+  const bool current = std::all_of(this->known_entry.replicas.begin(), this->known_entry.replicas.end(), holds);
   const bool next = !this->proposed || std::all_of(this->proposed->replicas.begin(),
                                                    this->proposed->replicas.end(), holds);
-  return current && next && !this->known.replicas.empty() && this->unsealed_former_replicas.empty();
+  return current && next && !this->known_entry.replicas.empty() && this->unsealed_former_replicas.empty();
 }
 
 bool shard_core::reachable_acknowledged(record_index index) const {
   if (this->acknowledgements(index) == 0) {
     return false;
   }
-  for (const host_incarnation& replica : this->known.replicas) {
+  for (const host_incarnation& replica : this->known_entry.replicas) {
     const auto peer = this->peers.find(replica);
     const bool reachable =
         peer != this->peers.end() && peer->second.installed && !peer->second.silent;
@@ -152,7 +152,7 @@
   if (!this->unsealed_former_replicas.empty()) {
     return;
   }
-  for (const host_incarnation& replica : this->known.replicas) {
+  for (const host_incarnation& replica : this->known_entry.replicas) {
     const auto peer = this->peers.find(replica);
     const bool holds = peer != this->peers.end() && peer->second.installed;
     full = std::min(full, holds ? peer->second.acknowledged : record_index(0));
@@ -189,7 +189,7 @@
     }
     peer.last_sent = now;
     out.push_back(
-        send_message{host, append_request{this->known.at, index, this->own_log->full, record, 0}});
+        send_message{host, append_request{this->known_entry.at, index, this->own_log->full, record, 0}});
   }
   return true;
 }
@@ -207,7 +207,7 @@
   }
   peer.last_sent = now;
   if (missing_records == 0) {
-    out.push_back(send_message{to, append_request{this->known.at, this->own_log->last,
+    out.push_back(send_message{to, append_request{this->known_entry.at, this->own_log->last,
                                                   this->own_log->full, std::nullopt, 0}});
     return;
   }
@@ -215,13 +215,13 @@
   for (auto at = this->unacknowledged_records.end() - static_cast<std::ptrdiff_t>(missing_records);
        at != this->unacknowledged_records.end(); ++at) {
     out.push_back(send_message{
-        to, append_request{this->known.at, record_index(++index), this->own_log->full, *at, 0}});
+        to, append_request{this->known_entry.at, record_index(++index), this->own_log->full, *at, 0}});
   }
 }
 
 actions shard_core::on(const host_incarnation& from, const append_reply& message, timestamp now) {
   actions out;
-  if (!this->serving() || message.at != this->known.at) {
+  if (!this->serving() || message.at != this->known_entry.at) {
     return out;
   }
   const auto found = this->peers.find(from);
@@ -235,8 +235,8 @@
   peer.installed = peer.installed || message.last > record_index(0);
   const bool behind = message.last < peer.acknowledged;
   peer.acknowledged = std::max(peer.acknowledged, message.last);
-  if (message.probe != 0) {
-    this->confirm_calls(message.probe, now, out);
+  if (message.confirmation_number != 0) {
+    this->confirm_calls(message.confirmation_number, now, out);
   }
   this->update_full();
   this->advance_calls(now, out);
@@ -248,9 +248,9 @@
   return out;
 }
 
-void shard_core::confirm_calls(std::uint64_t probe, timestamp now, actions& out) {
+void shard_core::confirm_calls(std::uint64_t confirmation_number, timestamp now, actions& out) {
   for (auto& [call, item] : this->calls) {
-    if (item.stage == call_stage::confirming && item.probe <= probe) {
+    if (item.stage == call_stage::confirming && item.confirmation_number <= confirmation_number) {
       this->dispatch(call, item, now, out);
     }
   }
@@ -348,7 +348,7 @@
   // differs from each nonce that was issued for the turn.
   const std::uint64_t new_nonce =
       chain_digest(result.call_ticket.nonce, to_string(result.call_ticket),
-                   std::to_string(this->known.at.get()));
+                   std::to_string(this->known_entry.at.get()));
   item.answer = this->make_answer(this->own_log->state.programs.at(result.program), new_nonce);
   // Calls without a waiting caller have ids from the largest number downwards, so that they do
   // not collide with ids of callers' calls.
@@ -391,12 +391,12 @@
 
 actions shard_core::on(const host_incarnation& /*from*/, const hand_over_request& message,
                        timestamp now) {
-  if (this->current_role != role_kind::follower || message.at != this->known.at) {
+  if (this->current_role != role_kind::follower || message.at != this->known_entry.at) {
     return {};
   }
   // The nonce only has to differ from those of other proposals for this epoch.
-  std::vector<host_incarnation> replicas = this->known.replicas;
-  return this->claim(std::move(replicas), this->known.nonce + this->self.start.get() + 1, now);
+  std::vector<host_incarnation> replicas = this->known_entry.replicas;
+  return this->claim(std::move(replicas), this->known_entry.nonce + this->self.start.get() + 1, now);
 }
 
 // --- time -------------------------------------------------------------------
@@ -437,7 +437,7 @@
     }
     if (now - item.last_sent >= this->times.resend_after) {
       item.last_sent = now;
-      out.push_back(send_message{this->known.owner, late_result{item.result}});
+      out.push_back(send_message{this->known_entry.owner, late_result{item.result}});
     }
     ++at;
   }
@@ -445,7 +445,7 @@
 
 void shard_core::mark_silent_replicas(timestamp now, actions& out) {
   bool missing_records = false;
-  for (const host_incarnation& replica : this->known.replicas) {
+  for (const host_incarnation& replica : this->known_entry.replicas) {
     peer_progress& peer = this->peers[replica];
     const bool behind = !peer.installed || peer.acknowledged < this->own_log->last;
     const duration silence = now - std::max(peer.behind_since, peer.last_reply);
@@ -456,7 +456,7 @@
     this->degraded = missing_records;
     out.push_back(role_changed{
         missing_records ? role_changed::change::degraded : role_changed::change::restored,
-        this->known.at});
+        this->known_entry.at});
   }
 }
 
--- a/libs/ownership/src/shard_core_takeover.cc
+++ b/libs/ownership/src/shard_core_takeover.cc
@@ -10,26 +10,26 @@
 
 void shard_core::request_seal(const host_incarnation& to, timestamp now, actions& out) {
   this->peers[to].last_sent = now;
-  out.push_back(send_message{to, seal_request{this->known.at}});
+  out.push_back(send_message{to, seal_request{this->known_entry.at}});
 }
 
 void shard_core::start_sealing(const assignment& won, timestamp now, actions& out) {
-  this->former = this->known;
-  this->known = won;
+  this->former_entry = this->known_entry;
+  this->known_entry = won;
   this->current_role = role_kind::sealing;
   this->peers.clear();
   this->collected_logs.clear();
   this->nonces.clear();
   this->send_not_before.clear();
   this->unacknowledged_records.clear();
-  this->inherited_unknown_below.reset();
+  this->inherited_first_complete_epoch.reset();
   if (won.at < this->sealed) {
     // A later owner has already sealed this host.
     this->current_role = role_kind::follower;
     return;
   }
   this->sealed = won.at;
-  this->unsealed_former_replicas = {this->former.replicas.begin(), this->former.replicas.end()};
+  this->unsealed_former_replicas = {this->former_entry.replicas.begin(), this->former_entry.replicas.end()};
   this->unsealed_former_replicas.erase(this->self);
   if (this->own_log) {
     this->collected_logs.push_back(*this->own_log);
@@ -44,16 +44,16 @@
 }
 
 std::vector<host_incarnation> shard_core::all_peers() const {
-  std::vector<host_incarnation> hosts = this->known.replicas;
+  std::vector<host_incarnation> hosts = this->known_entry.replicas;
   for (const host_incarnation& missing : this->unsealed_former_replicas) {
     if (!contains_host(hosts, missing)) {
       hosts.push_back(missing);
     }
   }
-  const bool had_owner = this->former.at > epoch(0) && this->former.owner != this->self;
+  const bool had_owner = this->former_entry.at > epoch(0) && this->former_entry.owner != this->self;
   if (had_owner && this->current_role == role_kind::sealing &&
-      !contains_host(hosts, this->former.owner)) {
-    hosts.push_back(this->former.owner);
+      !contains_host(hosts, this->former_entry.owner)) {
+    hosts.push_back(this->former_entry.owner);
   }
   return hosts;
 }
@@ -63,7 +63,7 @@
 actions shard_core::on(const host_incarnation& from, const seal_reply& message, timestamp now) {
   actions out;
   const bool active = this->current_role == role_kind::sealing || this->serving();
-  if (!active || message.at != this->known.at) {
+  if (!active || message.at != this->known_entry.at) {
     return out;
   }
   if (!message.granted) {
@@ -85,11 +85,11 @@
     }
     return out;
   }
-  if (message.log && message.log->at < this->known.at) {
+  if (message.log && message.log->at < this->known_entry.at) {
     this->merge_late_log(*message.log, from, now, out);
   }
   this->unsealed_former_replicas.erase(from);
-  if (contains_host(this->known.replicas, from)) {
+  if (contains_host(this->known_entry.replicas, from)) {
     this->install(from, peer, now, out);
   } else {
     this->peers.erase(from);
@@ -109,10 +109,10 @@
       merge_state(merged.state, log.state);
     }
   }
-  if (merged.at == this->former.at) {
-    this->inherited_unknown_below = merged.state.unknown_below;
+  if (merged.at == this->former_entry.at) {
+    this->inherited_first_complete_epoch = merged.state.first_complete_epoch;
   }
-  merged.at = this->known.at;
+  merged.at = this->known_entry.at;
   merged.last = record_index(1);
   merged.full = record_index(0);
   this->own_log = std::move(merged);
@@ -121,18 +121,18 @@
 
 void shard_core::start_serving(timestamp now, actions& out) {
   this->merge_collected_logs();
-  const bool first_owner = this->former.at == epoch(0);
+  const bool first_owner = this->former_entry.at == epoch(0);
   const bool all_sealed = this->all_former_sealed() || !this->rules.seal_all_before_not_run;
   const bool inherits =
-      this->inherited_unknown_below.has_value() || !this->rules.inherit_incompleteness;
+      this->inherited_first_complete_epoch.has_value() || !this->rules.inherit_incompleteness;
   shard_state& state = this->own_log->state;
   if (first_owner) {
-    state.unknown_below = epoch(0);
+    state.first_complete_epoch = epoch(0);
   } else if (all_sealed && inherits) {
-    state.unknown_below =
-        this->rules.inherit_incompleteness ? *this->inherited_unknown_below : epoch(0);
+    state.first_complete_epoch =
+        this->rules.inherit_incompleteness ? *this->inherited_first_complete_epoch : epoch(0);
   } else {
-    state.unknown_below = this->known.at;
+    state.first_complete_epoch = this->known_entry.at;
   }
   const bool split_possible = !first_owner && !this->all_former_sealed();
   for (auto& [id, program] : state.programs) {
@@ -146,17 +146,17 @@
       }
     }
     if (split_possible && this->rules.halve_budget_when_split) {
-      program.withhold_for_split();
+      program.withhold_for_partition();
     }
     program.tokens_left_marks.clear();
     program.mark_tokens_left(this->own_log->last, this->own_log->full);
   }
   this->current_role = role_kind::serving;
   std::erase_if(this->peers, [this](const auto& item) {
-    return !contains_host(this->known.replicas, item.first) &&
+    return !contains_host(this->known_entry.replicas, item.first) &&
            !this->unsealed_former_replicas.contains(item.first);
   });
-  for (const host_incarnation& replica : this->known.replicas) {
+  for (const host_incarnation& replica : this->known_entry.replicas) {
     peer_progress& peer = this->peers[replica];
     peer.behind_since = now;
     if (peer.sealed) {
@@ -165,7 +165,7 @@
   }
   out.push_back(role_changed{
       this->complete() ? role_changed::change::serving : role_changed::change::serving_incomplete,
-      this->known.at});
+      this->known_entry.at});
 }
 
 actions shard_core::stop_waiting_for_seals(timestamp now) {
@@ -178,8 +178,8 @@
 
 void shard_core::merge_late_log(const log_snapshot& log, const host_incarnation& from,
                                 timestamp now, actions& out) {
-  if (log.at == this->former.at) {
-    this->inherited_unknown_below = log.state.unknown_below;
+  if (log.at == this->former_entry.at) {
+    this->inherited_first_complete_epoch = log.state.first_complete_epoch;
   }
   shard_state& state = this->own_log->state;
   merge_state(state, log.state);
@@ -195,22 +195,22 @@
     for (auto& [id, program] : state.programs) {
       program.withheld = token_count(0);
     }
-    if (this->inherited_unknown_below) {
-      state.unknown_below = *this->inherited_unknown_below;
-      out.push_back(role_changed{role_changed::change::completed, this->known.at});
+    if (this->inherited_first_complete_epoch) {
+      state.first_complete_epoch = *this->inherited_first_complete_epoch;
+      out.push_back(role_changed{role_changed::change::completed, this->known_entry.at});
     }
   }
-  this->checkpoint(now, out);
+  this->reinstall_log(now, out);
 }
 
-void shard_core::checkpoint(timestamp now, actions& out) {
+void shard_core::reinstall_log(timestamp now, actions& out) {
   this->own_log->last = this->own_log->last.next();
   this->unacknowledged_records.clear();
   for (auto& [id, program] : this->own_log->state.programs) {
     program.mark_tokens_left(this->own_log->last, this->own_log->full);
   }
   for (auto& [host, peer] : this->peers) {
-    if (peer.sealed && contains_host(this->known.replicas, host)) {
+    if (peer.sealed && contains_host(this->known_entry.replicas, host)) {
       this->install(host, peer, now, out);
     }
   }
@@ -224,7 +224,7 @@
     turn_finished record{item.program, turn.call_ticket, turn.request,
                          turn.answer,  turn.used,        turn.failed};
     this->late_calls.emplace(turn.call_ticket, late_call{call, record, now, now});
-    out.push_back(send_message{this->known.owner, late_result{std::move(record)}});
+    out.push_back(send_message{this->known_entry.owner, late_result{std::move(record)}});
     return;
   }
   call_answer answer;
@@ -236,7 +236,7 @@
 }
 
 void shard_core::depose(const assignment& entry, timestamp now, actions& out) {
-  this->known = entry;
+  this->known_entry = entry;
   this->proposed.reset();
   const bool was_serving = this->serving();
   this->current_role = role_kind::follower;
--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -82,7 +82,7 @@
   [[nodiscard]] const intent_logged* find_abandoned(const ticket& searched_ticket) const;
 
   /// Sets `withheld` so that both sides of a network partition together stay within the budget.
-  void withhold_for_split();
+  void withhold_for_partition();
   /// Moves an open intent to `abandoned` and charges it in full.
   void abandon_open_intent();
   /// Stores the tokens left after the record at `index`. Drops the marks that precede the last mark
--- a/libs/program/include/hawthornlane/program/shard_state.h
+++ b/libs/program/include/hawthornlane/program/shard_state.h
@@ -13,11 +13,11 @@
   /// The first epoch from which on the log is complete: a call with a ticket of an older epoch may
   /// have run without a record in this state. Invariant: while one owner serves, it decreases only
   /// once every replica that was missing at the takeover is sealed.
-  epoch unknown_below;
+  epoch first_complete_epoch;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->programs, this->unknown_below);
+    archive(this->programs, this->first_complete_epoch);
   }
 };
 
--- a/libs/program/src/program_state.cc
+++ b/libs/program/src/program_state.cc
@@ -71,7 +71,7 @@
   return nullptr;
 }
 
-void program_state::withhold_for_split() {
+void program_state::withhold_for_partition() {
   // The other side of a network partition stops at half of the tokens left at the last record that
   // all replicas held. That record has one of the marks, so half of the lowest mark is safe for
   // this side.
--- a/libs/program/test/program_state_test.cc
+++ b/libs/program/test/program_state_test.cc
@@ -140,6 +140,6 @@
   REQUIRE(apply(state, result(first, 20), record_index(4), record_index(2)));
   program_state& after = state.programs.at(program);
   CHECK(after.tokens_left() == token_count(80));
-  after.withhold_for_split();
+  after.withhold_for_partition();
   CHECK(after.tokens_left() == token_count(20));
 }
