--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -47,7 +47,7 @@
 /// Not thread-safe.
 class call_placer {
 public:
-  call_placer(boost::asio::io_context& context, host_id own, availability_zone here,
+  call_placer(boost::asio::io_context& context, host_id own_host, availability_zone own_zone,
               discovery::fleet_state& fleet, call_metrics& metrics, pool_rules rules = {});
   call_placer(const call_placer&) = delete;
   call_placer& operator=(const call_placer&) = delete;
@@ -62,11 +62,13 @@
   /// The first part of a call's answer has arrived.
   void started(const service_name& service, placement_id id);
   /// Enables sharing of loads, prompt locations and speeds with other hosts.
-  void set_directory_exchange(directory_exchange& with) { this->exchange = &with; }
+  void set_directory_exchange(directory_exchange& exchange_to_use) {
+    this->exchange = &exchange_to_use;
+  }
   /// Enables claims: a call for a full server claims a place at the server's directory host, which
   /// stores the server's directory entry. A place lets one call be at the server; a server has one
   /// place more than it has slots.
-  void set_place_exchange(place_exchange& with) { this->places = &with; }
+  void set_place_exchange(place_exchange& exchange_to_use) { this->places = &exchange_to_use; }
   /// Stores the answer of a directory host.
   void apply_directory_response(const directory_response& answer);
   /// Reports this host's loads again, since directory hosts drop the counts of a host that stops
@@ -122,7 +124,7 @@
   void log_unhealthy(const service_name& name, service_pool& item, timestamp now);
 
   boost::asio::io_context& context;
-  host_id own;
+  host_id own_host;
   availability_zone zone;
   discovery::fleet_state& fleet;
   call_metrics& metrics;
--- a/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
+++ b/libs/front/include/hawthornlane/front/copy_fetch_scheduler.h
@@ -34,7 +34,7 @@
   static constexpr duration refusal_delay = std::chrono::milliseconds(20);
   /// Backoff after a peer does not answer; other peers are asked meanwhile. Four times as long
   /// after each further failure, up to `max_failure_backoff`. A request to an unreachable peer
-  /// costs a second. When such a peer was eligible again for every second choice, 60 hosts with a
+  /// costs a second. When such a peer could be chosen again every second time, 60 hosts with a
   /// fifth of all pairs cut needed 3.1 to 4.2 s for one change.
   static constexpr duration failure_backoff = std::chrono::milliseconds(500);
   static constexpr duration max_failure_backoff = std::chrono::seconds(2);
@@ -43,8 +43,8 @@
   using reaches_hook = std::function<bool(const host_id& other)>;
 
   explicit copy_fetch_scheduler(
-      host_id own, reaches_hook answers = [](const host_id&) { return true; })
-      : self(std::move(own)), reaches(std::move(answers)) {}
+      host_id own_host, reaches_hook answers = [](const host_id&) { return true; })
+      : self(std::move(own_host)), reaches(std::move(answers)) {}
 
   /// Sets the number of hosts that may ask the same peer, including this host.
   void set_host_count(std::size_t count) { this->hosts = count; }
--- a/libs/front/include/hawthornlane/front/directory_exchange.h
+++ b/libs/front/include/hawthornlane/front/directory_exchange.h
@@ -61,7 +61,7 @@
   /// Sends a message to another host.
   std::function<void(const host_id& to, const std::string& payload, net::rpc_done done)> send;
   /// Handles a directory host's answer.
-  std::function<void(const directory_response&)> take;
+  std::function<void(const directory_response&)> on_response;
   /// A host has reported a new load, which replaces `before`; optional.
   std::function<void(const host_id&, const server_load&, std::uint32_t before)> load_changed;
   /// Number of calls that wait for a place at a server whose entry this host stores; optional.
@@ -72,12 +72,12 @@
 /// hosts of the others. Not thread-safe.
 class directory_exchange {
 public:
-  directory_exchange(boost::asio::io_context& context, host_id own, directory_hooks hooks);
+  directory_exchange(boost::asio::io_context& context, host_id own_host, directory_hooks hooks);
 
   /// Sends changes at this host to the directory hosts.
   void report(const directory_update& update);
   /// Queries the directory hosts and waits until all have answered or the time limit is over.
-  /// Answers go to the `take` callback.
+  /// Answers go to the `on_response` callback.
   boost::asio::awaitable<void> query(directory_request request);
   /// Handles a message of another host; returns nothing if it is malformed.
   std::optional<std::string> serve(const std::string& payload);
@@ -90,8 +90,8 @@
   using messages = std::map<host_id, directory_message>;
   directory_message& message_to(messages& all, std::uint64_t key,
                                 const std::vector<host_id>& hosts) const;
-  /// Sends the message, passes the answer to the `take` callback and then calls `done`, also if
-  /// there is no answer.
+  /// Sends the message, passes the answer to the `on_response` callback and then calls `done`, also
+  /// if there is no answer.
   void send(const host_id& directory_host, const directory_message& message,
             std::function<void()> done);
   directory_response answer(const directory_message& message);
--- a/libs/front/include/hawthornlane/front/fleet_copies.h
+++ b/libs/front/include/hawthornlane/front/fleet_copies.h
@@ -23,8 +23,8 @@
 /// Copies of one host's state. Not thread-safe.
 class fleet_copies {
 public:
-  fleet_copies(discovery::fleet_state& state, copy_hooks with)
-      : fleet(state), hooks(std::move(with)) {}
+  fleet_copies(discovery::fleet_state& state, copy_hooks callbacks)
+      : fleet(state), hooks(std::move(callbacks)) {}
 
   /// Applies a received copy to this host's state; false when the bytes are malformed.
   bool apply(const host_id& from, copy_kind kind, const std::string& copy);
--- a/libs/front/include/hawthornlane/front/gossip_messages.h
+++ b/libs/front/include/hawthornlane/front/gossip_messages.h
@@ -39,7 +39,7 @@
   /// Forwards a request to a disk host.
   relay = 6,
   /// Updates and queries the placement directory.
-  placements = 7,
+  directory = 7,
   /// Requests a full copy of one kind of state (`copy_request`).
   copy = 8,
   /// Confirms that a requested copy has arrived (`copy_request`).
--- a/libs/front/include/hawthornlane/front/ledger_client.h
+++ b/libs/front/include/hawthornlane/front/ledger_client.h
@@ -25,7 +25,7 @@
 class ledger_client final : public turn_store {
 public:
   ledger_client(boost::asio::io_context& context, net::deadline_sweeper& sweeper,
-                const discovery::fleet_state& fleet, availability_zone here,
+                const discovery::fleet_state& fleet, availability_zone own_zone,
                 std::size_t cache_bytes);
   ledger_client(const ledger_client&) = delete;
   ledger_client& operator=(const ledger_client&) = delete;
--- a/libs/front/include/hawthornlane/front/peer_traffic.h
+++ b/libs/front/include/hawthornlane/front/peer_traffic.h
@@ -34,12 +34,12 @@
 public:
   /// Counts a request of this host. Returns `done` wrapped so that the answer is counted too, if
   /// one arrives. `request`: bytes.
-  [[nodiscard]] net::rpc_done call(traffic_kind kind, std::size_t request,
-                                   net::rpc_done done) const;
+  [[nodiscard]] net::rpc_done count_sent_request(traffic_kind kind, std::size_t request,
+                                                 net::rpc_done done) const;
   /// Counts a request of another host. Returns `reply` wrapped so that the answer is counted too.
   /// `request`: bytes.
-  [[nodiscard]] net::rpc_reply serve(traffic_kind kind, std::size_t request,
-                                     net::rpc_reply reply) const;
+  [[nodiscard]] net::rpc_reply count_received_request(traffic_kind kind, std::size_t request,
+                                                      net::rpc_reply reply) const;
   [[nodiscard]] const traffic_bytes& of(traffic_kind kind) const {
     return this->counts->at(static_cast<std::size_t>(kind));
   }
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -77,8 +77,8 @@
 class place_exchange {
 public:
   /// `counts`: the loads that hosts have reported to this one; must outlive the exchange.
-  place_exchange(boost::asio::io_context& context, host_id own, const placement_directory& counts,
-                 call_metrics& metrics, place_hooks hooks);
+  place_exchange(boost::asio::io_context& context, host_id own_host,
+                 const placement_directory& counts, call_metrics& metrics, place_hooks hooks);
 
   /// Claims a place at each of `targets` and waits until one is granted, all are refused, or no
   /// directory host can decide.
--- a/libs/front/include/hawthornlane/front/quota_client.h
+++ b/libs/front/include/hawthornlane/front/quota_client.h
@@ -26,8 +26,8 @@
 /// it retries for a short time: a refused caller would lose more time than that. Not thread-safe.
 class quota_client final : public quota_gate {
 public:
-  quota_client(boost::asio::io_context& io, quota_hooks with)
-      : context(io), hooks(std::move(with)) {}
+  quota_client(boost::asio::io_context& io, quota_hooks callbacks)
+      : context(io), hooks(std::move(callbacks)) {}
 
   boost::asio::awaitable<quota_admission> admit(quota_request request, std::uint64_t program_hash,
                                                 net::steady_time until) override;
--- a/libs/front/include/hawthornlane/front/relay_choice.h
+++ b/libs/front/include/hawthornlane/front/relay_choice.h
@@ -20,7 +20,7 @@
 
 /// Chooses the relay for `asker`: the candidates that reach the most disk hosts, preferably in
 /// `zone`, ranked by a hash of both hosts so that askers use different relays. When all used the
-/// same one, 20 hosts that were cut off from the disk hosts waited 175 to 440 ms for a turn's
+/// same relay, 20 hosts that were cut off from the disk hosts waited 175 to 440 ms for a turn's
 /// admission instead of 20 ms. Returns nothing if no candidate reaches a disk host.
 std::optional<host_id> choose_relay(const std::vector<relay_candidate>& candidates,
                                     const host_id& asker, const availability_zone& zone);
--- a/libs/front/include/hawthornlane/front/suspicion_limits.h
+++ b/libs/front/include/hawthornlane/front/suspicion_limits.h
@@ -30,8 +30,8 @@
   /// Hosts named in one message. Four bytes each: a message stays below 0.5 KB for any number of
   /// hosts. If half of 83 hosts fail at once, all of them fit into one message.
   static constexpr std::size_t max_named = 48;
-  /// Probes per probe round of 0.1 s on reports of others: 120 a second, four times the regular
-  /// probes of a host. Half of 83 hosts are probed within 0.4 s.
+  /// Probes per probe round of 0.1 s that are sent because others suspect a host: 120 a second,
+  /// four times the regular probes of a host. Half of 83 hosts are probed within 0.4 s.
   static constexpr std::size_t max_probes_per_round = 12;
 
   /// Selects the hosts that the next message names, of all that this host suspects.
@@ -39,8 +39,8 @@
   /// Starts a probe round and selects the hosts to probe, of all that others suspect and this host
   /// has not probed since. The others wait for the next round.
   [[nodiscard]] std::vector<host_key> select_to_probe(const std::set<host_key>& confirmation_due);
-  /// Whether one more host may be probed on a report of others before the next round; if so, it is
-  /// counted.
+  /// Whether one more host may be probed before the next round because others suspect it. If so,
+  /// the probe is counted.
   [[nodiscard]] bool admit_reported_probe();
 
 private:
--- a/libs/front/include/hawthornlane/front/turn_cache.h
+++ b/libs/front/include/hawthornlane/front/turn_cache.h
@@ -40,7 +40,7 @@
       if (found == this->turns.end()) {
         return std::nullopt;
       }
-      this->order.splice(this->order.begin(), this->order, found->second.place);
+      this->order.splice(this->order.begin(), this->order, found->second.recency_position);
       chain.push_front(&found->second.turn);
       next = found->second.turn.previous;
     }
@@ -55,7 +55,7 @@
 private:
   struct entry {
     stored_turn turn;
-    std::list<request_id>::iterator place;
+    std::list<request_id>::iterator recency_position;
   };
   static std::size_t size_of(const stored_turn& turn) {
     constexpr std::size_t overhead = 300;
--- a/libs/front/include/hawthornlane/front/turn_store.h
+++ b/libs/front/include/hawthornlane/front/turn_store.h
@@ -16,8 +16,9 @@
 struct turn_request {
   request_id id;
   program_id program;
-  /// Token limits for the output of this turn and of all turns of the program.
-  token_count most;
+  /// Limit of the output of this turn, tokens.
+  token_count max_output_tokens;
+  /// Limit of the output of all turns of the program, tokens; absent: none.
   std::optional<token_count> budget;
   /// Whether the route stores the text of turns.
   bool kept = false;
--- a/libs/front/src/call_admission.cc
+++ b/libs/front/src/call_admission.cc
@@ -99,19 +99,19 @@
   if (one.caller_account == nullptr || !one.caller_account->limit.limits()) {
     co_return true;
   }
-  quota_request question;
-  question.account = one.caller_account->name;
-  question.limit = one.caller_account->limit;
-  question.version = limit_version(one.table->version().get());
+  quota_request request;
+  request.account = one.caller_account->name;
+  request.limit = one.caller_account->limit;
+  request.version = limit_version(one.table->version().get());
   if (one.terms.program) {
     const bool may_be_first_turn = one.taken->kind == call_kind::stream && !one.terms.previous;
     const bool is_first_turn =
         may_be_first_turn && !this->continues_program(one.service, pieces_of(one.terms.prefix));
-    question.program = quota_program{program_key(hash_of(one.terms.program->get())), is_first_turn};
+    request.program = quota_program{program_key(hash_of(one.terms.program->get())), is_first_turn};
   }
   const net::steady_time began = steady::now();
   const quota_admission admission =
-      co_await this->quotas.admit(question, service_draw(one.terms), one.until);
+      co_await this->quotas.admit(request, service_draw(one.terms), one.until);
   this->metrics.record("quota_admit", std::chrono::duration_cast<duration>(steady::now() - began));
   if (admission.decision == quota_decision::granted) {
     co_return true;
@@ -120,10 +120,10 @@
   if (admission.decision == quota_decision::over_limit) {
     why.kind = error_kind::over_limit;
     why.detail = fmt::format("exceeds {} calls per second with a burst of {}, retry in {} ms",
-                             question.limit.calls_per_second, question.limit.burst,
+                             request.limit.calls_per_second, request.limit.burst,
                              admission.retry_after.count() / 1000);
   }
-  why.detail = fmt::format("client account {}, program {}: {}", question.account.get(),
+  why.detail = fmt::format("client account {}, program {}: {}", request.account.get(),
                            one.terms.program ? one.terms.program->get() : "", why.detail);
   co_await this->refuse(one.caller, why, one.terms.id.get(), admission.retry_after);
   co_return false;
@@ -137,7 +137,7 @@
   turn_request turn;
   turn.id = one.ledger_turn_id;
   turn.program = *one.terms.program;
-  turn.most = one.terms.max_output;
+  turn.max_output_tokens = one.terms.max_output;
   turn.budget = one.terms.budget;
   turn.kept = one.taken->keeps_turns;
   turn.previous = one.terms.previous;
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -38,14 +38,15 @@
   }
 }
 
-call_placer::call_placer(asio::io_context& io, host_id name, availability_zone here,
-                         discovery::fleet_state& state, call_metrics& counters, pool_rules with)
+call_placer::call_placer(asio::io_context& io, host_id name, availability_zone own_zone,
+                         discovery::fleet_state& state, call_metrics& counters,
+                         pool_rules given_rules)
     : context(io),
-      own(std::move(name)),
-      zone(std::move(here)),
+      own_host(std::move(name)),
+      zone(std::move(own_zone)),
       fleet(state),
       metrics(counters),
-      rules(with) {}
+      rules(given_rules) {}
 
 call_placer::~call_placer() = default;
 
@@ -55,7 +56,8 @@
     return found->second;
   }
   service_pool& item =
-      this->pools.try_emplace(name, server_pool(this->rules, this->own, this->zone)).first->second;
+      this->pools.try_emplace(name, server_pool(this->rules, this->own_host, this->zone))
+          .first->second;
   item.pool.set_servers(this->fleet.usable_backends(name), discovery::scheduler_now());
   return item;
 }
--- a/libs/front/src/call_service.cc
+++ b/libs/front/src/call_service.cc
@@ -54,14 +54,15 @@
 }  // namespace
 
 call_service::call_service(discovery::fleet_state& state, call_placer& places,
-                           relay::backend_pool& pool, const relay::call_codec& with,
-                           quota_gate& gate, turn_store& keeper, call_metrics& counters)
+                           relay::backend_pool& pool, const relay::call_codec& call_format,
+                           quota_gate& quota_checks, turn_store& turn_storage,
+                           call_metrics& counters)
     : fleet(state),
       placer(places),
       backends(pool),
-      codec(with),
-      quotas(gate),
-      turns(keeper),
+      codec(call_format),
+      quotas(quota_checks),
+      turns(turn_storage),
       metrics(counters) {}
 
 asio::awaitable<void> call_service::refuse(relay::caller_connection& caller, const failure& why,
--- a/libs/front/src/directory_exchange.cc
+++ b/libs/front/src/directory_exchange.cc
@@ -44,8 +44,9 @@
   return read_with_speeds<directory_response>(bytes);
 }
 
-directory_exchange::directory_exchange(asio::io_context& io, host_id own, directory_hooks with)
-    : context(io), self(std::move(own)), hooks(std::move(with)) {}
+directory_exchange::directory_exchange(asio::io_context& io, host_id own_host,
+                                       directory_hooks callbacks)
+    : context(io), self(std::move(own_host)), hooks(std::move(callbacks)) {}
 
 std::vector<host_id> directory_exchange::directory_hosts() const {
   std::vector<host_id> hosts = this->hooks.hosts();
@@ -80,7 +81,7 @@
 void directory_exchange::send(const host_id& directory_host, const directory_message& message,
                               std::function<void()> done) {
   if (directory_host == this->self) {
-    this->hooks.take(this->answer(message));
+    this->hooks.on_response(this->answer(message));
     done();
     return;
   }
@@ -89,7 +90,7 @@
                      const bool good = why == net::rpc_failure::none;
                      const auto answer = good ? directory_answer_from(bytes) : std::nullopt;
                      if (answer) {
-                       this->hooks.take(*answer);
+                       this->hooks.on_response(*answer);
                      }
                      done();
                    });
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -60,9 +60,9 @@
 }  // namespace
 
 struct front_host::state : std::enable_shared_from_this<front_host::state> {
-  state(asio::io_context& io, front_settings with, std::function<void()> on_stopped)
+  state(asio::io_context& io, front_settings given_settings, std::function<void()> on_stopped)
       : context(io),
-        settings(std::move(with)),
+        settings(std::move(given_settings)),
         stopped(std::move(on_stopped)),
         sweeper(io),
         codec(platform_adapter::make_call_codec()),
@@ -166,9 +166,9 @@
     directory_hooks hooks;
     hooks.hosts = [this] { return this->gossip.live_hosts(); };
     hooks.send = [this](const host_id& to, const std::string& payload, net::rpc_done done) {
-      this->gossip.send(to, gossip_method::placements, payload, std::move(done));
+      this->gossip.send(to, gossip_method::directory, payload, std::move(done));
     };
-    hooks.take = [this](const directory_response& answer) {
+    hooks.on_response = [this](const directory_response& answer) {
       this->placer.apply_directory_response(answer);
     };
     if (this->settings.claims_places) {
@@ -234,8 +234,8 @@
     });
     this->ledger.set_traffic(this->traffic);
     this->ledger.set_relay(
-        [this](const relayed_request& question, duration timeout, net::rpc_done done) {
-          this->gossip.relay(question, timeout, std::move(done));
+        [this](const relayed_request& request, duration timeout, net::rpc_done done) {
+          this->gossip.relay(request, timeout, std::move(done));
         });
     this->listen();
     asio::co_spawn(this->context,
@@ -249,12 +249,13 @@
         this->context, this->sweeper, this->settings.peers_at,
         [this](std::uint16_t number, const std::string& payload, const net::rpc_reply& answer) {
           const auto method = static_cast<gossip_method>(number);
-          const auto reply = this->traffic.serve(kind_of(method), payload.size(), answer);
+          const auto reply =
+              this->traffic.count_received_request(kind_of(method), payload.size(), answer);
           if (method == gossip_method::relay) {
             this->ledger.serve_relayed(payload, reply);
             return;
           }
-          if (method == gossip_method::placements) {
+          if (method == gossip_method::directory) {
             reply(this->exchange.serve(payload));
             return;
           }
@@ -291,15 +292,15 @@
   }
 
   http::response addresses(const http::request& ask) {
-    const auto question = platform_adapter::resolve_request_from(ask);
-    if (!question) {
+    const auto request = platform_adapter::resolve_request_from(ask);
+    if (!request) {
       return platform_adapter::readiness_response(false);
     }
     std::vector<host_entry> ready = this->gossip.ready_hosts();
     if (this->ready()) {
       ready.push_back(this->self);
     }
-    const std::vector<std::string> list = addresses_for(question->zone, ready);
+    const std::vector<std::string> list = addresses_for(request->zone, ready);
     if (list.empty()) {
       return platform_adapter::readiness_response(false);
     }
--- a/libs/front/src/ledger_admission.cc
+++ b/libs/front/src/ledger_admission.cc
@@ -34,7 +34,8 @@
   admission_state(asio::io_context& context, const ledger_set& at, const turn_request& what)
       : turn(what),
         set(at),
-        check(at, {what.id, what.most, token_count(0), reservation_phase::open}, what.budget),
+        check(at, {what.id, what.max_output_tokens, token_count(0), reservation_phase::open},
+              what.budget),
         chain(at),
         signal(context) {}
 
--- a/libs/front/src/ledger_client.cc
+++ b/libs/front/src/ledger_client.cc
@@ -27,9 +27,9 @@
 }  // namespace
 
 ledger_client::ledger_client(asio::io_context& io, net::deadline_sweeper& sweep,
-                             const discovery::fleet_state& state, availability_zone here,
+                             const discovery::fleet_state& state, availability_zone own_zone,
                              std::size_t cache_bytes)
-    : context(io), sweeper(sweep), fleet(state), zone(std::move(here)), cache(cache_bytes) {}
+    : context(io), sweeper(sweep), fleet(state), zone(std::move(own_zone)), cache(cache_bytes) {}
 
 ledger_client::~ledger_client() = default;
 
@@ -145,10 +145,10 @@
     }
   };
   const std::size_t bytes = what.payload->size();
-  found->second.link->call(static_cast<std::uint16_t>(what.method), *what.payload,
-                           direct_limit + what.transfer_time(),
-                           this->traffic.call(traffic_kind::disks, bytes,
-                                              this->count_in_flight(bytes, std::move(retry))));
+  found->second.link->call(
+      static_cast<std::uint16_t>(what.method), *what.payload, direct_limit + what.transfer_time(),
+      this->traffic.count_sent_request(traffic_kind::disks, bytes,
+                                       this->count_in_flight(bytes, std::move(retry))));
 }
 
 void ledger_client::serve_relayed(const std::string& payload, const net::rpc_reply& reply) {
@@ -168,9 +168,10 @@
     const bool good = why == net::rpc_failure::none;
     reply(good ? std::optional(std::move(answer)) : std::nullopt);
   };
-  found->second.link->call(disk_request->method, std::move(disk_request->payload), timeout,
-                           this->traffic.call(traffic_kind::disks, bytes,
-                                              this->count_in_flight(bytes, std::move(done))));
+  found->second.link->call(
+      disk_request->method, std::move(disk_request->payload), timeout,
+      this->traffic.count_sent_request(traffic_kind::disks, bytes,
+                                       this->count_in_flight(bytes, std::move(done))));
 }
 
 void ledger_client::tick() {
--- a/libs/front/src/ledger_settlement.cc
+++ b/libs/front/src/ledger_settlement.cc
@@ -35,7 +35,7 @@
 ledger_record record_of(const turn_request& turn, reservation_phase phase, token_count used) {
   ledger_record record;
   record.program = turn.program;
-  record.state = {turn.id, turn.most, used, phase};
+  record.state = {turn.id, turn.max_output_tokens, used, phase};
   record.expires_at = expiry(turn.retention);
   return record;
 }
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -58,12 +58,12 @@
 
 peer_gossip::peer_gossip(boost::asio::io_context& io, net::deadline_sweeper& sweep,
                          discovery::fleet_state& state, store_read_schedule& schedule,
-                         gossip_hooks with)
+                         gossip_hooks callbacks)
     : context(io),
       sweeper(sweep),
       fleet(state),
       read_schedule(schedule),
-      hooks(std::move(with)),
+      hooks(std::move(callbacks)),
       copies(state, static_cast<const copy_hooks&>(this->hooks)),
       loop_lag(discovery::scheduler_now()),
       fetches(schedule.owner(), [this](const host_id& other) { return this->reaches(other); }) {}
@@ -203,7 +203,8 @@
 
 void peer_gossip::call(peer& other, gossip_method method, std::string payload, duration timeout,
                        net::rpc_done done) {
-  auto counted = this->hooks.traffic.call(kind_of(method), payload.size(), std::move(done));
+  auto counted =
+      this->hooks.traffic.count_sent_request(kind_of(method), payload.size(), std::move(done));
   other.client->call(static_cast<std::uint16_t>(method), std::move(payload), timeout,
                      std::move(counted));
 }
@@ -428,7 +429,7 @@
       return "";
     }
     case gossip_method::relay:
-    case gossip_method::placements:
+    case gossip_method::directory:
     case gossip_method::claim:
     case gossip_method::withdraw:
     case gossip_method::grant:
--- a/libs/front/src/peer_traffic.cc
+++ b/libs/front/src/peer_traffic.cc
@@ -29,7 +29,7 @@
       return traffic_kind::probes;
     case gossip_method::relay:
       return traffic_kind::relays;
-    case gossip_method::placements:
+    case gossip_method::directory:
     case gossip_method::claim:
     case gossip_method::grant:
     case gossip_method::withdraw:
@@ -41,7 +41,8 @@
   return traffic_kind::probes;
 }
 
-net::rpc_done peer_traffic::call(traffic_kind kind, std::size_t request, net::rpc_done done) const {
+net::rpc_done peer_traffic::count_sent_request(traffic_kind kind, std::size_t request,
+                                               net::rpc_done done) const {
   const auto index = static_cast<std::size_t>(kind);
   this->counts->at(index).sent += request;
   return [shared = this->counts, index, done = std::move(done)](net::rpc_failure why,
@@ -51,8 +52,8 @@
   };
 }
 
-net::rpc_reply peer_traffic::serve(traffic_kind kind, std::size_t request,
-                                   net::rpc_reply reply) const {
+net::rpc_reply peer_traffic::count_received_request(traffic_kind kind, std::size_t request,
+                                                    net::rpc_reply reply) const {
   const auto index = static_cast<std::size_t>(kind);
   this->counts->at(index).received += request;
   return
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -57,9 +57,14 @@
   }
 }
 
-place_exchange::place_exchange(asio::io_context& io, host_id own, const placement_directory& counts,
-                               call_metrics& counters, place_hooks with)
-    : context(io), self(std::move(own)), metrics(counters), hooks(std::move(with)), queue(counts) {}
+place_exchange::place_exchange(asio::io_context& io, host_id own_host,
+                               const placement_directory& counts, call_metrics& counters,
+                               place_hooks callbacks)
+    : context(io),
+      self(std::move(own_host)),
+      metrics(counters),
+      hooks(std::move(callbacks)),
+      queue(counts) {}
 
 void place_exchange::tick() {
   std::vector<host_id> hosts = this->hooks.hosts();
--- a/libs/front/src/store_reader.cc
+++ b/libs/front/src/store_reader.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-store_reader::store_reader(store_reader_parts with) : parts(std::move(with)) {}
+store_reader::store_reader(store_reader_parts given_parts) : parts(std::move(given_parts)) {}
 
 void store_reader::tick(net::steady_time now, const std::shared_ptr<const void>& owner) {
   const bool hosts_wanted = !this->parts.fleet.hosts().heard() ||
--- a/libs/front/test/call_placer_test.cc
+++ b/libs/front/test/call_placer_test.cc
@@ -19,7 +19,7 @@
   hooks.send = [&unanswered](const host_id&, const std::string&, const net::rpc_done& done) {
     unanswered.push_back(done);
   };
-  hooks.take = [](const directory_response&) {};
+  hooks.on_response = [](const directory_response&) {};
   return hooks;
 }
 
@@ -173,7 +173,9 @@
     // The server's directory host is the silent host or this one, depending on the hash.
     std::size_t reported = 0;
     directory_hooks hooks = silent_host(unanswered);
-    hooks.take = [&reported](const directory_response& answer) { reported += answer.loads.size(); };
+    hooks.on_response = [&reported](const directory_response& answer) {
+      reported += answer.loads.size();
+    };
     directory_exchange exchange(context, host_id("own"), hooks);
     placer.set_directory_exchange(exchange);
 
--- a/libs/front/test/directory_exchange_test.cc
+++ b/libs/front/test/directory_exchange_test.cc
@@ -64,7 +64,7 @@
       const auto answer = this->members.at(to)->serve(payload);
       done(answer ? net::rpc_failure::none : net::rpc_failure::refused, answer.value_or(""));
     };
-    hooks.take = [this, own](const directory_response& answer) {
+    hooks.on_response = [this, own](const directory_response& answer) {
       directory_response& all = this->taken[own];
       all.loads.insert(all.loads.end(), answer.loads.begin(), answer.loads.end());
       all.locations.insert(all.locations.end(), answer.locations.begin(), answer.locations.end());
--- a/libs/front/test/ledger_client_test.cc
+++ b/libs/front/test/ledger_client_test.cc
@@ -37,8 +37,8 @@
     this->ledger.refresh_hosts();
     this->ledger.adopt_ledger_set({set_epoch(1), {disk_id("a"), disk_id("b"), disk_id("c")}, {}},
                                   "test");
-    this->ledger.set_relay([this](const relayed_request& question, duration, net::rpc_done done) {
-      this->relay(question, done);
+    this->ledger.set_relay([this](const relayed_request& relayed, duration, net::rpc_done done) {
+      this->relay(relayed, done);
     });
   }
 
@@ -65,27 +65,27 @@
   std::map<disk_id, ledger_replica> copies;
 
 private:
-  void relay(const relayed_request& question, const net::rpc_done& done) {
+  void relay(const relayed_request& relayed, const net::rpc_done& done) {
     ++this->relayed;
-    if (!this->reached.contains(question.disk)) {
+    if (!this->reached.contains(relayed.disk)) {
       done(net::rpc_failure::refused, {});
       return;
     }
-    ledger_replica& copy = this->copies[question.disk];
-    if (static_cast<ledger_method>(question.method) == ledger_method::chain) {
-      this->asked_for_chain.push_back(question.disk);
-      const auto request = from_bytes<chain_request>(question.payload);
+    ledger_replica& copy = this->copies[relayed.disk];
+    if (static_cast<ledger_method>(relayed.method) == ledger_method::chain) {
+      this->asked_for_chain.push_back(relayed.disk);
+      const auto request = from_bytes<chain_request>(relayed.payload);
       chain_response chain = copy.chain_of(request->last);
-      chain.disk = question.disk;
+      chain.disk = relayed.disk;
       done(net::rpc_failure::none, to_bytes(chain));
       return;
     }
     program_response answer;
-    answer.disk = question.disk;
-    if (const auto request = from_bytes<append_request>(question.payload)) {
+    answer.disk = relayed.disk;
+    if (const auto request = from_bytes<append_request>(relayed.payload)) {
       copy.apply(request->record);
       answer.reservations = copy.reservations_of(request->record.program);
-    } else if (const auto collect = from_bytes<collect_request>(question.payload)) {
+    } else if (const auto collect = from_bytes<collect_request>(relayed.payload)) {
       answer.reservations = copy.reservations_of(collect->program);
     }
     done(net::rpc_failure::none, to_bytes(answer));
@@ -102,7 +102,7 @@
   turn_request request;
   request.id = request_id(id);
   request.program = program_id("p");
-  request.most = token_count(30);
+  request.max_output_tokens = token_count(30);
   request.budget = token_count(70);
   request.retention = 60s;
   return request;
--- a/libs/front/test/peer_traffic_test.cc
+++ b/libs/front/test/peer_traffic_test.cc
@@ -28,12 +28,12 @@
       const peer_traffic traffic;
       std::optional<std::string> passed_on;
       if (item.serves) {
-        const auto reply = traffic.serve(
+        const auto reply = traffic.count_received_request(
             kind, request, [&](std::optional<std::string> answer) { passed_on = answer; });
         reply(item.answer);
       } else {
-        const auto done =
-            traffic.call(kind, request, [&](net::rpc_failure why, const std::string& answer) {
+        const auto done = traffic.count_sent_request(
+            kind, request, [&](net::rpc_failure why, const std::string& answer) {
               passed_on = why == net::rpc_failure::none ? std::optional(answer) : std::nullopt;
             });
         const bool answered = item.answer.has_value();
@@ -54,7 +54,8 @@
   {
     const peer_traffic one;
     const peer_traffic other = one;
-    late = other.call(traffic_kind::disks, 7, [](net::rpc_failure, const std::string&) {});
+    late = other.count_sent_request(traffic_kind::disks, 7,
+                                    [](net::rpc_failure, const std::string&) {});
     CHECK(one.of(traffic_kind::disks).sent == 7);
   }
   late(net::rpc_failure::none, "answer");
@@ -67,7 +68,7 @@
   };
   const row rows[] = {{gossip_method::digest, traffic_kind::probes},
                       {gossip_method::relay, traffic_kind::relays},
-                      {gossip_method::placements, traffic_kind::directory},
+                      {gossip_method::directory, traffic_kind::directory},
                       {gossip_method::copy, traffic_kind::copies},
                       {gossip_method::copy_taken, traffic_kind::copies}};
   for (const row& item : rows) {
--- a/libs/front/test/slow_disks.h
+++ b/libs/front/test/slow_disks.h
@@ -224,24 +224,24 @@
     this->front.list_disks(this->places);
     const http::endpoint other = this->listen(
         [this](std::uint16_t, const std::string& payload, const net::rpc_reply& reply) {
-          const auto question = from_bytes<relayed_request>(payload);
-          this->serve(question->disk, question->method, question->payload, reply);
+          const auto request = from_bytes<relayed_request>(payload);
+          this->serve(request->disk, request->method, request->payload, reply);
         });
     this->relay =
         std::make_unique<net::rpc_client>(this->front.context, this->front.sweeper, other);
     this->front.ledger.set_relay(
-        [this](const relayed_request& question, duration limit, net::rpc_done done) {
+        [this](const relayed_request& request, duration limit, net::rpc_done done) {
           constexpr auto method = static_cast<std::uint16_t>(gossip_method::relay);
-          this->relay->call(method, to_bytes(question), limit, std::move(done));
+          this->relay->call(method, to_bytes(request), limit, std::move(done));
         });
   }
 
   [[nodiscard]] int max_appends() const {
-    int most = 0;
+    int max_output_tokens = 0;
     for (const auto& [disk, count] : this->appends) {
-      most = std::max(most, count);
+      max_output_tokens = std::max(max_output_tokens, count);
     }
-    return most;
+    return max_output_tokens;
   }
 
 private:
@@ -319,7 +319,7 @@
   turn_request request;
   request.id = request_id(id);
   request.program = program_id("p");
-  request.most = token_count(30);
+  request.max_output_tokens = token_count(30);
   request.budget = token_count(70);
   request.kept = true;
   request.retention = 60s;
--- a/libs/ownership/include/hawthornlane/ownership/actions.h
+++ b/libs/ownership/include/hawthornlane/ownership/actions.h
@@ -33,7 +33,8 @@
 struct dispatch_call {
   call_id call;
   intent_logged intent;
-  /// Until then, after a takeover, the former owner may still be sending a call of the program.
+  /// Before this time, after a takeover, the former owner may still be sending a call of the
+  /// program.
   timestamp not_before;
   /// After this time the send needs a new confirmation; see `shard_core::may_send`.
   timestamp send_by;
@@ -69,7 +70,7 @@
     /// Serves, but calls of earlier epochs may be missing in its log.
     serving_incomplete,
     /// The last missing replica of the former owner is sealed and the log is complete from
-    /// `unknown_below` of the former owner on.
+    /// `first_complete_epoch` of the former owner's log on.
     completed,
     deposed,
     /// Some replica has lacked records for longer than `replica_silence`; results do not wait for
--- a/libs/ownership/include/hawthornlane/ownership/rules.h
+++ b/libs/ownership/include/hawthornlane/ownership/rules.h
@@ -15,7 +15,7 @@
   duration seal_wait = std::chrono::seconds(2);
   /// How long an intent waits for its first acknowledgement by a replica.
   duration append_wait = std::chrono::seconds(2);
-  /// A replica that has not answered for longer does not delay the storing of results.
+  /// Storing a result does not wait for a replica that has not answered for longer than this.
   duration replica_silence = std::chrono::milliseconds(700);
   /// Time after which an unanswered message is sent again.
   duration resend_after = std::chrono::milliseconds(250);
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -111,7 +111,7 @@
   [[nodiscard]] shard_id shard() const { return this->own_shard; }
   [[nodiscard]] const assignment& known_assignment() const { return this->known_entry; }
   [[nodiscard]] bool proposal_open() const { return this->proposed.has_value(); }
-  [[nodiscard]] epoch sealed_epoch() const { return this->sealed; }
+  [[nodiscard]] epoch sealed_epoch() const { return this->highest_sealed_epoch; }
   [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->own_log; }
   [[nodiscard]] const program_state* find_program(const program_id& program) const;
   [[nodiscard]] bool complete() const;
@@ -128,10 +128,10 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->own_shard, this->self, this->current_role, this->known_entry, this->proposed,
-            this->sealed, this->own_log, this->buffered_appends, this->former_entry,
-            this->unsealed_former_replicas, this->collected_logs, this->inherited_first_complete_epoch,
-            this->peers, this->calls, this->late_calls, this->nonces, this->send_not_before,
-            this->unacknowledged_records);
+            this->highest_sealed_epoch, this->own_log, this->buffered_appends, this->former_entry,
+            this->unsealed_former_replicas, this->collected_logs,
+            this->inherited_first_complete_epoch, this->peers, this->calls, this->late_calls,
+            this->nonces, this->send_not_before, this->unacknowledged_records);
   }
 
 private:
@@ -250,7 +250,7 @@
 
   /// The highest epoch to which this host was sealed. Invariant: never decreases; no record of a
   /// lower epoch is appended here.
-  epoch sealed;
+  epoch highest_sealed_epoch;
   std::optional<log_snapshot> own_log;
   /// Appends of the current epoch that arrived before an earlier one; at most
   /// `max_buffered_appends`.
@@ -258,12 +258,12 @@
 
   // Takeover: the map entry of the former owner and the logs of its replicas.
   assignment former_entry;
-  /// Replicas of `former` that are not sealed yet.
+  /// Replicas of `former_entry` that are not sealed yet.
   std::set<host_incarnation> unsealed_former_replicas;
   std::vector<log_snapshot> collected_logs;
   timestamp sealing_since;
   /// The first epoch from which on the former owner's log is complete, see
-  /// `shard_state::unknown_below`. Absent when no log of the former owner's epoch was found.
+  /// `shard_state::first_complete_epoch`. Absent when no log of the former owner's epoch was found.
   std::optional<epoch> inherited_first_complete_epoch;
 
   // Serving.
--- a/libs/ownership/src/shard_core_calls.cc
+++ b/libs/ownership/src/shard_core_calls.cc
@@ -265,8 +265,8 @@
     return false;
   }
   open_call& item = found->second;
-  const bool own_ticket =
-      item.intent->call_ticket.issued_in == this->known_entry.at || !this->rules.ticket_bound_to_epoch;
+  const bool own_ticket = item.intent->call_ticket.issued_in == this->known_entry.at ||
+                          !this->rules.ticket_bound_to_epoch;
   if (!this->serving() || !own_ticket) {
     call_answer refusal;
     refusal.error = error_kind::not_owner;
@@ -283,9 +283,9 @@
   item.since = now;
   item.confirmation_number = ++this->last_confirmation_number;
   for (const auto& [host, peer] : this->peers) {
-    out.push_back(
-        send_message{host, append_request{this->known_entry.at, this->own_log->last, this->own_log->full,
-                                          std::nullopt, item.confirmation_number}});
+    out.push_back(send_message{
+        host, append_request{this->known_entry.at, this->own_log->last, this->own_log->full,
+                             std::nullopt, item.confirmation_number}});
   }
   return false;
 }
--- a/libs/ownership/src/shard_core_log.cc
+++ b/libs/ownership/src/shard_core_log.cc
@@ -26,9 +26,9 @@
   actions out;
   seal_reply reply;
   reply.at = message.at;
-  reply.granted = message.at >= this->sealed;
+  reply.granted = message.at >= this->highest_sealed_epoch;
   if (reply.granted) {
-    this->sealed = message.at;
+    this->highest_sealed_epoch = message.at;
     if (this->current_role != role_kind::follower && message.at > this->known_entry.at) {
       assignment successor;
       successor.at = message.at;
@@ -45,7 +45,7 @@
                        timestamp /*now*/) {
   append_reply reply;
   reply.at = message.log.at;
-  reply.accepted = message.log.at == this->sealed;
+  reply.accepted = message.log.at == this->highest_sealed_epoch;
   if (reply.accepted) {
     const bool newer = !this->own_log || is_longer(message.log, *this->own_log);
     if (newer) {
@@ -54,7 +54,7 @@
     }
     reply.last = this->own_log->last;
   }
-  reply.highest = this->sealed;
+  reply.highest = this->highest_sealed_epoch;
   return {send_message{from, reply}};
 }
 
@@ -87,12 +87,13 @@
   reply.at = message.at;
   reply.confirmation_number = message.confirmation_number;
   const bool follows_log = this->own_log && this->own_log->at == message.at;
-  reply.accepted = follows_log && (message.at == this->sealed || !this->rules.replicas_fence);
+  reply.accepted =
+      follows_log && (message.at == this->highest_sealed_epoch || !this->rules.replicas_fence);
   if (reply.accepted) {
     this->append_as_replica(message);
     reply.last = this->own_log->last;
   }
-  reply.highest = this->sealed;
+  reply.highest = this->highest_sealed_epoch;
   return {send_message{from, reply}};
 }
 
@@ -122,10 +123,12 @@
     return peer != this->peers.end() && peer->second.installed &&
            peer->second.acknowledged >= index;
   };
-  const bool current = std::all_of(this->known_entry.replicas.begin(), this->known_entry.replicas.end(), holds);
+  const bool current =
+      std::all_of(this->known_entry.replicas.begin(), this->known_entry.replicas.end(), holds);
   const bool next = !this->proposed || std::all_of(this->proposed->replicas.begin(),
                                                    this->proposed->replicas.end(), holds);
-  return current && next && !this->known_entry.replicas.empty() && this->unsealed_former_replicas.empty();
+  return current && next && !this->known_entry.replicas.empty() &&
+         this->unsealed_former_replicas.empty();
 }
 
 bool shard_core::reachable_acknowledged(record_index index) const {
@@ -188,8 +191,8 @@
       peer.behind_since = now;
     }
     peer.last_sent = now;
-    out.push_back(
-        send_message{host, append_request{this->known_entry.at, index, this->own_log->full, record, 0}});
+    out.push_back(send_message{
+        host, append_request{this->known_entry.at, index, this->own_log->full, record, 0}});
   }
   return true;
 }
@@ -214,8 +217,8 @@
   std::uint64_t index = peer.acknowledged.get();
   for (auto at = this->unacknowledged_records.end() - static_cast<std::ptrdiff_t>(missing_records);
        at != this->unacknowledged_records.end(); ++at) {
-    out.push_back(send_message{
-        to, append_request{this->known_entry.at, record_index(++index), this->own_log->full, *at, 0}});
+    out.push_back(send_message{to, append_request{this->known_entry.at, record_index(++index),
+                                                  this->own_log->full, *at, 0}});
   }
 }
 
@@ -396,7 +399,8 @@
   }
   // The nonce only has to differ from those of other proposals for this epoch.
   std::vector<host_incarnation> replicas = this->known_entry.replicas;
-  return this->claim(std::move(replicas), this->known_entry.nonce + this->self.start.get() + 1, now);
+  return this->claim(std::move(replicas), this->known_entry.nonce + this->self.start.get() + 1,
+                     now);
 }
 
 // --- time -------------------------------------------------------------------
--- a/libs/ownership/src/shard_core_takeover.cc
+++ b/libs/ownership/src/shard_core_takeover.cc
@@ -23,13 +23,14 @@
   this->send_not_before.clear();
   this->unacknowledged_records.clear();
   this->inherited_first_complete_epoch.reset();
-  if (won.at < this->sealed) {
+  if (won.at < this->highest_sealed_epoch) {
     // A later owner has already sealed this host.
     this->current_role = role_kind::follower;
     return;
   }
-  this->sealed = won.at;
-  this->unsealed_former_replicas = {this->former_entry.replicas.begin(), this->former_entry.replicas.end()};
+  this->highest_sealed_epoch = won.at;
+  this->unsealed_former_replicas = {this->former_entry.replicas.begin(),
+                                    this->former_entry.replicas.end()};
   this->unsealed_former_replicas.erase(this->self);
   if (this->own_log) {
     this->collected_logs.push_back(*this->own_log);
--- a/libs/ownership/test/ownership_search_test.cc
+++ b/libs/ownership/test/ownership_search_test.cc
@@ -66,8 +66,8 @@
   return limits;
 }
 
-/// Large enough to contain a counterexample when a rule is off. `late_set_change` is smaller so that
-/// it can be searched exhaustively.
+/// Large enough to contain a counterexample when a rule is off. `late_set_change` is smaller so
+/// that it can be searched exhaustively.
 search::bounds late_set_change_two_sends() {
   search::bounds limits = late_set_change();
   limits.sends = 2;
--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -56,12 +56,12 @@
   /// limit.
   token_count charged{0};
   /// Tokens that the other side of a network partition may still spend; see
-  /// `withhold_for_split`.
+  /// `withhold_for_partition`.
   token_count withheld{0};
   std::uint32_t tool_calls = 0;
   bool closed = false;
-  /// Tokens left after each record, oldest first. The first mark is that of the last record that all
-  /// replicas are known to hold.
+  /// Tokens left after each record, oldest first. The first mark is that of the last record that
+  /// all replicas are known to hold.
   std::vector<tokens_left_mark> tokens_left_marks;
 
   /// The turn of the next ticket.
--- a/libs/program/include/hawthornlane/program/shard_state.h
+++ b/libs/program/include/hawthornlane/program/shard_state.h
@@ -27,9 +27,9 @@
 /// hold.
 bool apply(shard_state& state, const log_record& record, record_index index, record_index full);
 
-/// Merges `other`, the state of the log of a replica that was sealed at an older epoch, into `base`.
-/// Where histories diverge, the history of `base` remains; the calls of `other` are added to
-/// `diverged_turns` and charged.
+/// Merges `other`, the state of the log of a replica that was sealed at an older epoch, into
+/// `base`. Where histories diverge, the history of `base` remains; the calls of `other` are added
+/// to `diverged_turns` and charged.
 void merge_state(shard_state& base, const shard_state& other);
 
 }  // namespace hawthornlane
--- a/libs/turn_log/include/hawthornlane/turn_log/turn_log.h
+++ b/libs/turn_log/include/hawthornlane/turn_log/turn_log.h
@@ -47,7 +47,7 @@
   /// holds a single longer record.
   static std::unique_ptr<turn_log> open(const std::string& folder,
                                         const std::function<void(std::string_view)>& on_record,
-                                        durable_callback on_durable, log_recovery& found,
+                                        durable_callback on_durable, log_recovery& recovery,
                                         failure& reason,
                                         std::uint64_t segment_bytes = usual_segment_bytes);
   virtual ~turn_log() = default;
--- a/libs/turn_log/src/turn_log.cc
+++ b/libs/turn_log/src/turn_log.cc
@@ -450,7 +450,7 @@
 
 std::unique_ptr<turn_log> turn_log::open(const std::string& folder,
                                          const std::function<void(std::string_view)>& on_record,
-                                         durable_callback on_durable, log_recovery& found,
+                                         durable_callback on_durable, log_recovery& recovery,
                                          failure& reason, std::uint64_t segment_bytes) {
   std::map<std::uint64_t, std::uint64_t> sizes;
   std::uint64_t total = 0;
@@ -462,9 +462,9 @@
         reason = {error_kind::internal, fmt::format("segment {}: {}", number, errno_text())};
         return nullptr;
       }
-      found.records += reader.records();
-      found.torn_bytes += reader.torn_bytes();
-      ++found.segments;
+      recovery.records += reader.records();
+      recovery.torn_bytes += reader.torn_bytes();
+      ++recovery.segments;
       sizes[number] = reader.size();
       total += reader.size();
       next = number + 1;
