--- a/libs/front/include/hawthornlane/front/copy_send_limiter.h
+++ b/libs/front/include/hawthornlane/front/copy_send_limiter.h
@@ -25,8 +25,8 @@
   static constexpr std::size_t max_burst_bytes = std::size_t{64} * 1024;
   /// A copy not confirmed within this time counts as lost. The receiver waits as long for it.
   static constexpr duration confirmation_timeout = std::chrono::seconds(1);
-  /// Hosts named in a refusal. They are the last ones that received a copy, so most of them are not
-  /// sending any yet.
+  /// Maximum number of hosts named in a refusal. They are the last ones that received a copy, so
+  /// most of them are not sending any yet.
   static constexpr std::size_t max_holders = 4;
 
   /// True when a copy may be sent to `receiver` now; it is then counted as in flight. If the
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -175,7 +175,7 @@
   // Hysteresis: slow from `slow_from` on, and until the factor drops below `slow_until`.
   constexpr double slow_from = 1.5;
   constexpr double slow_until = 1.25;
-  // Log lines per service and run; this runs once a second.
+  // Log lines per service and call of this function, which is called once a second.
   constexpr std::size_t max_log_lines = 4;
   const std::vector<server_slowdown> slowdowns = item.pool.slowdowns(discovery::scheduler_now());
   if (slowdowns.empty()) {
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -41,7 +41,7 @@
 /// Divisor of the memory: limit of everything queued for other hosts, including relayed answers of
 /// disk hosts.
 constexpr std::size_t peer_queue_share = 8;
-/// Connection attempts of callers in a burst; the callers' kernels retry further ones.
+/// Pending connections of callers during a burst; the callers' kernels retry further ones.
 constexpr int accept_backlog = 1024;
 /// Interval at which scarce places are divided among hosts; a call at a model server takes 0.2 s.
 constexpr auto demand_update_interval = std::chrono::milliseconds(100);
--- a/libs/front/src/ledger_admission.cc
+++ b/libs/front/src/ledger_admission.cc
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr duration read_timeout = std::chrono::milliseconds(400);
-/// Time after which a second disk host is also asked for a chain; one that holds a short chain
-/// answers within some 10 ms. The rest are not asked: each would send the whole chain and share
-/// the link with the first one, which may be in the middle of sending a long one.
+/// Time after which a second disk host is also asked for a chain; a disk host sends a short chain
+/// within some 10 ms. Further disk hosts are not asked: each would send the whole chain over the
+/// same link, on which the first one may still be sending a long chain.
 constexpr auto second_read_delay = std::chrono::milliseconds(25);
 /// Wait for the remaining disks after a majority has the reservation: if all answer, no second
 /// round is needed. About the spread of sync times of healthy disks.
@@ -274,7 +274,8 @@
     state->until = until;
     state->needs_chain = turn.kept && turn.previous && !cached;
     const bool concluded = co_await this->admit_once(state, result);
-    // Reservations that this host is still withdrawing may be what exceeds the budget: retry.
+    // The budget may be exceeded only because of reservations that this host is still withdrawing:
+    // retry.
     const bool may_fit = result.kind == admission_kind::over_budget && this->is_withdrawing(turn);
     if (concluded && result.kind != admission_kind::unavailable && !may_fit) {
       break;
--- a/libs/front/src/ledger_rounds.h
+++ b/libs/front/src/ledger_rounds.h
@@ -26,11 +26,11 @@
 struct ledger_client::disk_link {
   host_entry host;
   std::unique_ptr<net::rpc_client> link;
-  /// It did not answer in time; requests are relayed through other front hosts until it answers
-  /// a probe.
+  /// The disk host did not answer in time; requests are relayed through other front hosts until it
+  /// answers a probe.
   bool suspected = false;
-  /// It has answered over this link. Until then this host sends it requests directly, but does not
-  /// report it to other front hosts as reached.
+  /// The disk host has answered over this link. Until then this host sends it requests directly,
+  /// but does not report it to other front hosts as reached.
   bool answered = false;
 
   [[nodiscard]] bool reached() const { return this->answered && !this->suspected; }
--- a/libs/front/src/ledger_settlement.cc
+++ b/libs/front/src/ledger_settlement.cc
@@ -46,8 +46,9 @@
   settle_state(asio::io_context& context, const ledger_set& at, disk_request request)
       : round(at), append(std::move(request)), signal(context) {}
 
-  /// Answers to earlier attempts count too: the record is the same, and the disk stored it before
-  /// it refused this set. A disk whose answer is pending is not asked again.
+  /// Answers to earlier attempts count too: the record is the same, and a disk that answered has
+  /// stored it, even if it refuses this set later. A disk whose answer is pending is not asked
+  /// again.
   disk_round round;
   disk_request append;
   net::async_signal signal;
--- a/libs/front/src/peer_gossip.cc
+++ b/libs/front/src/peer_gossip.cc
@@ -26,7 +26,7 @@
 /// Timeout of a probe: long enough for the kernel to retransmit a lost packet, which it does after
 /// 200 ms. A failed probe only causes a suspicion.
 constexpr duration probe_timeout = std::chrono::milliseconds(500);
-/// A store read younger than this: the sender may be the only host with the new state.
+/// A host whose latest store read is younger than this may be the only one with the new state.
 constexpr duration recent_read_age = std::chrono::milliseconds(50);
 constexpr duration copy_timeout = copy_send_limiter::confirmation_timeout;
 
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -28,7 +28,7 @@
   struct claimed_target {
     place_target target;
     claim_state state = open_claim::claim_state::asked;
-    /// The directory host has answered the latest repeat.
+    /// The directory host has answered the latest message with this claim.
     bool answered = false;
     duration wait{};
     std::uint32_t ahead = 0;
@@ -171,7 +171,7 @@
       continue;
     }
     // A directory host that is briefly busy still holds the claim: a waiting claim goes back to
-    // `asked` only if the previous repeat was not answered.
+    // `asked` only if the previous message with it was not answered.
     const bool still_waits = target.state == open_claim::claim_state::waiting && target.answered;
     target.state = still_waits ? open_claim::claim_state::waiting : open_claim::claim_state::asked;
     target.answered = false;
--- a/libs/front/src/probe_schedule.cc
+++ b/libs/front/src/probe_schedule.cc
@@ -4,12 +4,12 @@
 namespace hawthornlane::front {
 namespace {
 
-/// Divisor of the probe interval: allowance for a probe of the peer that is in flight. 0.1 s with
-/// few hosts, where the round trip to another zone takes some milliseconds.
+/// Divisor of the probe interval: extra time for a probe of the peer that may be in flight. With
+/// few hosts it is 0.1 s, and the round trip to another zone takes some milliseconds.
 constexpr int in_flight_divisor = 4;
-/// Divisor of the probe interval: a failed probe is retried after this part. With half of the
-/// interval and a fifth of the messages lost, twice as many live hosts were declared failed as
-/// without turns.
+/// Divisor of the probe interval: a failed probe is retried after this part. With retries
+/// after half of the interval and a fifth of the messages lost, twice as many live hosts were
+/// declared failed as without taking turns.
 constexpr int retry_divisor = 3;
 
 bool is_own_turn(const probe_times& times, bool goes_first, duration probe_interval) {
--- a/libs/front/src/suspicion_limits.cc
+++ b/libs/front/src/suspicion_limits.cc
@@ -1,4 +1,4 @@
-// Limits the suspected hosts named in a message, and the probes sent on reports of others.
+// Limits the suspected hosts named in a message, and the probes sent because others suspect a host.
 #include "hawthornlane/front/suspicion_limits.h"
 
 #include <algorithm>
--- a/libs/front/test/suspicion_limits_test.cc
+++ b/libs/front/test/suspicion_limits_test.cc
@@ -1,5 +1,5 @@
 // Guards against overload when many hosts are suspected: messages that name too many hosts, and too
-// many probes sent on reports of others.
+// many probes sent because others suspect a host.
 #include "hawthornlane/front/suspicion_limits.h"
 
 #include <catch2/catch.hpp>
