--- a/libs/front/test/slow_disks.h
+++ b/libs/front/test/slow_disks.h
@@ -237,11 +237,11 @@
   }
 
   [[nodiscard]] int max_appends() const {
-    int max_output_tokens = 0;
+    int max_count = 0;
     for (const auto& [disk, count] : this->appends) {
-      max_output_tokens = std::max(max_output_tokens, count);
+      max_count = std::max(max_count, count);
     }
-    return max_output_tokens;
+    return max_count;
   }
 
 private:
--- a/libs/ownership/src/shard_core_log.cc
+++ b/libs/ownership/src/shard_core_log.cc
@@ -353,8 +353,7 @@
       chain_digest(result.call_ticket.nonce, to_string(result.call_ticket),
                    std::to_string(this->known_entry.at.get()));
   item.answer = this->make_answer(this->own_log->state.programs.at(result.program), new_nonce);
-  // Calls without a waiting caller have ids from the largest number downwards, so that they do
-  // not collide with ids of callers' calls.
+  // Ids of calls without a caller count down from the largest number, so none is a caller's id.
   std::uint64_t key = ~std::uint64_t{0};
   while (this->calls.contains(call_id(key))) {
     --key;
