--- a/libs/front/include/hawthornlane/front/call_placer.h
+++ b/libs/front/include/hawthornlane/front/call_placer.h
@@ -30,7 +30,7 @@
 };
 
 /// Cancels a call's wait for a server from outside the waiting coroutine.
-class placement_wait {
+class server_wait {
 public:
   /// The caller has disconnected: the call no longer needs a server.
   void cancel();
@@ -47,7 +47,7 @@
 /// Not thread-safe.
 class call_placer {
 public:
-  call_placer(boost::asio::io_context& context, host_id own, availability_zone here,
+  call_placer(boost::asio::io_context& context, host_id own_host, availability_zone own_zone,
               discovery::fleet_state& fleet, call_metrics& metrics, pool_rules rules = {});
   call_placer(const call_placer&) = delete;
   call_placer& operator=(const call_placer&) = delete;
@@ -56,16 +56,19 @@
   /// Assigns `request` an id and waits until a server is chosen, or until none can serve the
   /// call before its deadline.
   boost::asio::awaitable<acquired_server> acquire(const service_name& service,
-                                                  placement_request request, placement_wait& wait);
+                                                  placement_request request, server_wait& wait);
   /// A call has ended at the server that it was given.
   void finished(const service_name& service, placement_id id, server_outcome outcome);
   /// The first part of a call's answer has arrived.
   void started(const service_name& service, placement_id id);
   /// Enables sharing of loads, prompt locations and speeds with other hosts.
-  void set_directory_exchange(directory_exchange& with) { this->exchange = &with; }
-  /// Enables claims: a call for a full server claims a place (a slot) at the server's directory
-  /// host, which stores the server's directory entry.
-  void set_place_exchange(place_exchange& with) { this->places = &with; }
+  void set_directory_exchange(directory_exchange& exchange_to_use) {
+    this->exchange = &exchange_to_use;
+  }
+  /// Enables claims: a call for a full server claims a place at the server's directory host, which
+  /// stores the server's directory entry. A place lets one call be at the server; a server has one
+  /// place more than it has slots.
+  void set_place_exchange(place_exchange& exchange_to_use) { this->places = &exchange_to_use; }
   /// Stores the answer of a directory host.
   void apply_directory_response(const directory_response& answer);
   /// Reports this host's loads again, since directory hosts drop the counts of a host that stops
@@ -110,7 +113,7 @@
   /// Claims a place if the servers that the call would go to are full. Returns false if the call
   /// must be placed by this host's own information.
   boost::asio::awaitable<bool> claim(server_pool& pool, const placement_request& request,
-                                     placement_wait& wait, acquired_server& acquired);
+                                     server_wait& wait, acquired_server& acquired);
   void report_changes(server_pool& pool);
   void set_speed_gauges(const service_name& name, double fastest, double slowest);
   /// Updates the speed gauges and logs servers that have become slow.
@@ -121,7 +124,7 @@
   void log_unhealthy(const service_name& name, service_pool& item, timestamp now);
 
   boost::asio::io_context& context;
-  host_id own;
+  host_id own_host;
   availability_zone zone;
   discovery::fleet_state& fleet;
   call_metrics& metrics;
@@ -131,7 +134,7 @@
   /// Null: no places are claimed; full servers are treated like others.
   place_exchange* places = nullptr;
   std::map<service_name, service_pool> pools;
-  std::map<placement_id, placement_wait::waiter*> waiters;
+  std::map<placement_id, server_wait::waiter*> waiters;
   placement_id last_placement;
 };
 
--- a/libs/front/include/hawthornlane/front/place_exchange.h
+++ b/libs/front/include/hawthornlane/front/place_exchange.h
@@ -1,5 +1,6 @@
-// Claims places (slots) at full backend servers. Hosts send claims to the server's directory host,
-// which stores the server's directory entry, queues the claims and grants places.
+// Claims places at full backend servers. A place lets one call be at a server; a server has one
+// place more than it has slots. Hosts send claims to the server's directory host, which stores the
+// server's directory entry, queues the claims and grants places.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -76,8 +77,8 @@
 class place_exchange {
 public:
   /// `counts`: the loads that hosts have reported to this one; must outlive the exchange.
-  place_exchange(boost::asio::io_context& context, host_id own, const placement_directory& counts,
-                 call_metrics& metrics, place_hooks hooks);
+  place_exchange(boost::asio::io_context& context, host_id own_host,
+                 const placement_directory& counts, call_metrics& metrics, place_hooks hooks);
 
   /// Claims a place at each of `targets` and waits until one is granted, all are refused, or no
   /// directory host can decide.
--- a/libs/front/include/hawthornlane/front/quota_client.h
+++ b/libs/front/include/hawthornlane/front/quota_client.h
@@ -15,7 +15,7 @@
 /// Callbacks to reach the quota managers.
 struct quota_hooks {
   /// The disks whose hosts are quota managers; empty if not known yet.
-  std::function<std::vector<disk_id>()> keepers;
+  std::function<std::vector<disk_id>()> managers;
   /// Whether this host believes that a manager answers.
   std::function<bool(const disk_id&)> reaches;
   std::function<void(const disk_id&, std::string payload, duration limit, net::rpc_done)> ask;
@@ -26,8 +26,8 @@
 /// it retries for a short time: a refused caller would lose more time than that. Not thread-safe.
 class quota_client final : public quota_gate {
 public:
-  quota_client(boost::asio::io_context& io, quota_hooks with)
-      : context(io), hooks(std::move(with)) {}
+  quota_client(boost::asio::io_context& io, quota_hooks callbacks)
+      : context(io), hooks(std::move(callbacks)) {}
 
   boost::asio::awaitable<quota_admission> admit(quota_request request, std::uint64_t program_hash,
                                                 net::steady_time until) override;
--- a/libs/front/src/call_placer.cc
+++ b/libs/front/src/call_placer.cc
@@ -22,14 +22,14 @@
 }  // namespace
 
 /// A call that waits for a server.
-struct placement_wait::waiter {
+struct server_wait::waiter {
   explicit waiter(asio::io_context& context) : signal(context) {}
   net::async_signal signal;
   std::optional<placement> chosen;
   bool left = false;
 };
 
-void placement_wait::cancel() {
+void server_wait::cancel() {
   this->left = true;
   this->place.cancel();
   if (this->waiting != nullptr) {
@@ -38,14 +38,15 @@
   }
 }
 
-call_placer::call_placer(asio::io_context& io, host_id name, availability_zone here,
-                         discovery::fleet_state& state, call_metrics& counters, pool_rules with)
+call_placer::call_placer(asio::io_context& io, host_id name, availability_zone own_zone,
+                         discovery::fleet_state& state, call_metrics& counters,
+                         pool_rules given_rules)
     : context(io),
-      own(std::move(name)),
-      zone(std::move(here)),
+      own_host(std::move(name)),
+      zone(std::move(own_zone)),
       fleet(state),
       metrics(counters),
-      rules(with) {}
+      rules(given_rules) {}
 
 call_placer::~call_placer() = default;
 
@@ -55,7 +56,8 @@
     return found->second;
   }
   service_pool& item =
-      this->pools.try_emplace(name, server_pool(this->rules, this->own, this->zone)).first->second;
+      this->pools.try_emplace(name, server_pool(this->rules, this->own_host, this->zone))
+          .first->second;
   item.pool.set_servers(this->fleet.usable_backends(name), discovery::scheduler_now());
   return item;
 }
@@ -173,7 +175,7 @@
   // Hysteresis: slow from `slow_from` on, and until the factor drops below `slow_until`.
   constexpr double slow_from = 1.5;
   constexpr double slow_until = 1.25;
-  // Log lines per service and run; this runs once a second.
+  // Log lines per service and call of this function, which is called once a second.
   constexpr std::size_t max_log_lines = 4;
   const std::vector<server_slowdown> slowdowns = item.pool.slowdowns(discovery::scheduler_now());
   if (slowdowns.empty()) {
@@ -230,7 +232,7 @@
 }
 
 asio::awaitable<bool> call_placer::claim(server_pool& pool, const placement_request& request,
-                                         placement_wait& wait, acquired_server& acquired) {
+                                         server_wait& wait, acquired_server& acquired) {
   if (this->places == nullptr) {
     co_return false;
   }
@@ -301,7 +303,7 @@
 
 asio::awaitable<acquired_server> call_placer::acquire(const service_name& service,
                                                       placement_request request,
-                                                      placement_wait& wait) {
+                                                      server_wait& wait) {
   acquired_server acquired;
   this->last_placement = this->last_placement.next();
   acquired.id = this->last_placement;
@@ -328,7 +330,7 @@
     co_return acquired;
   }
   const auto began = steady::now();
-  placement_wait::waiter waiting(this->context);
+  server_wait::waiter waiting(this->context);
   this->waiters.emplace(acquired.id, &waiting);
   wait.waiting = &waiting;
   co_await waiting.signal.wait();
--- a/libs/front/src/ledger_settlement.cc
+++ b/libs/front/src/ledger_settlement.cc
@@ -35,7 +35,7 @@
 ledger_record record_of(const turn_request& turn, reservation_phase phase, token_count used) {
   ledger_record record;
   record.program = turn.program;
-  record.state = {turn.id, turn.most, used, phase};
+  record.state = {turn.id, turn.max_output_tokens, used, phase};
   record.expires_at = expiry(turn.retention);
   return record;
 }
@@ -46,8 +46,9 @@
   settle_state(asio::io_context& context, const ledger_set& at, disk_request request)
       : round(at), append(std::move(request)), signal(context) {}
 
-  /// Answers to earlier attempts count too: the record is the same, and the disk stored it before
-  /// it refused this set. A disk whose answer is pending is not asked again.
+  /// Answers to earlier attempts count too: the record is the same, and a disk that answered has
+  /// stored it, even if it refuses this set later. A disk whose answer is pending is not asked
+  /// again.
   disk_round round;
   disk_request append;
   net::async_signal signal;
--- a/libs/ownership/include/hawthornlane/ownership/messages.h
+++ b/libs/ownership/include/hawthornlane/ownership/messages.h
@@ -60,18 +60,20 @@
   }
 };
 
-/// The owner appends one record, or asks for a confirmation when `record` is absent.
+/// The owner appends one record. Without `record` it only asks whether the replica still accepts
+/// records of epoch `at`.
 struct append_request {
   epoch at;
   record_index index;
   record_index full;
   std::optional<log_record> record;
-  /// Returned in the reply, so that the owner can tell a new confirmation from an old one.
-  std::uint64_t probe = 0;
+  /// Number of the confirmation that the owner asks for; 0: none. The reply returns it, so that the
+  /// owner can tell the reply from an earlier one.
+  std::uint64_t confirmation_number = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->at, this->index, this->full, this->record, this->probe);
+    archive(this->at, this->index, this->full, this->record, this->confirmation_number);
   }
 };
 
@@ -84,11 +86,11 @@
   record_index last;
   /// The highest epoch that the host has seen.
   epoch highest;
-  std::uint64_t probe = 0;
+  std::uint64_t confirmation_number = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->at, this->accepted, this->last, this->highest, this->probe);
+    archive(this->at, this->accepted, this->last, this->highest, this->confirmation_number);
   }
 };
 
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -109,9 +109,9 @@
   [[nodiscard]] role_kind role() const { return this->current_role; }
   [[nodiscard]] bool serving() const { return this->current_role == role_kind::serving; }
   [[nodiscard]] shard_id shard() const { return this->own_shard; }
-  [[nodiscard]] const assignment& known_assignment() const { return this->known; }
+  [[nodiscard]] const assignment& known_assignment() const { return this->known_entry; }
   [[nodiscard]] bool proposal_open() const { return this->proposed.has_value(); }
-  [[nodiscard]] epoch sealed_epoch() const { return this->sealed; }
+  [[nodiscard]] epoch sealed_epoch() const { return this->highest_sealed_epoch; }
   [[nodiscard]] const std::optional<log_snapshot>& log() const { return this->own_log; }
   [[nodiscard]] const program_state* find_program(const program_id& program) const;
   [[nodiscard]] bool complete() const;
@@ -127,11 +127,11 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->own_shard, this->self, this->current_role, this->known, this->proposed,
-            this->sealed, this->own_log, this->buffered_appends, this->former,
-            this->unsealed_former_replicas, this->collected_logs, this->inherited_unknown_below,
-            this->peers, this->calls, this->late_calls, this->nonces, this->send_not_before,
-            this->unacknowledged_records);
+    archive(this->own_shard, this->self, this->current_role, this->known_entry, this->proposed,
+            this->highest_sealed_epoch, this->own_log, this->buffered_appends, this->former_entry,
+            this->unsealed_former_replicas, this->collected_logs,
+            this->inherited_first_complete_epoch, this->peers, this->calls, this->late_calls,
+            this->nonces, this->send_not_before, this->unacknowledged_records);
   }
 
 private:
@@ -164,13 +164,13 @@
     /// The former owner that forwarded the result and gets the answer in place of a caller.
     std::optional<host_incarnation> forwarded_by;
     timestamp since;
-    /// While confirming: the probe number that a replica has to return.
-    std::uint64_t probe = 0;
+    /// While confirming: the number that a replica's reply has to return.
+    std::uint64_t confirmation_number = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
       archive(this->program, this->stage, this->index, this->intent, this->forwarded_by,
-              this->probe);
+              this->confirmation_number);
     }
   };
 
@@ -210,8 +210,9 @@
   void resolve_proposal(const assignment& entry, timestamp now, actions& out);
   void send_missing(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   void request_seal(const host_incarnation& to, timestamp now, actions& out);
-  void confirm_calls(std::uint64_t probe, timestamp now, actions& out);
-  void checkpoint(timestamp now, actions& out);
+  void confirm_calls(std::uint64_t confirmation_number, timestamp now, actions& out);
+  /// Installs the owner's whole log at all sealed replicas, after a change that no record holds.
+  void reinstall_log(timestamp now, actions& out);
   void install(const host_incarnation& to, peer_progress& peer, timestamp now, actions& out);
   bool append(const log_record& record, timestamp now, actions& out);
   void update_full();
@@ -243,27 +244,27 @@
 
   role_kind current_role = role_kind::follower;
   /// The map entry with the highest epoch seen; while serving, the one under which it serves.
-  assignment known;
+  assignment known_entry;
   /// The proposal whose outcome is unknown. Invariant: at most one.
   std::optional<assignment> proposed;
 
   /// The highest epoch to which this host was sealed. Invariant: never decreases; no record of a
   /// lower epoch is appended here.
-  epoch sealed;
+  epoch highest_sealed_epoch;
   std::optional<log_snapshot> own_log;
   /// Appends of the current epoch that arrived before an earlier one; at most
   /// `max_buffered_appends`.
   std::map<record_index, append_request> buffered_appends;
 
   // Takeover: the map entry of the former owner and the logs of its replicas.
-  assignment former;
-  /// Replicas of `former` that are not sealed yet.
+  assignment former_entry;
+  /// Replicas of `former_entry` that are not sealed yet.
   std::set<host_incarnation> unsealed_former_replicas;
   std::vector<log_snapshot> collected_logs;
   timestamp sealing_since;
-  /// `unknown_below` in the log of the former owner's epoch; absent when no log of that epoch was
-  /// found.
-  std::optional<epoch> inherited_unknown_below;
+  /// The first epoch from which on the former owner's log is complete, see
+  /// `shard_state::first_complete_epoch`. Absent when no log of the former owner's epoch was found.
+  std::optional<epoch> inherited_first_complete_epoch;
 
   // Serving.
   std::map<host_incarnation, peer_progress> peers;
@@ -274,7 +275,7 @@
   std::map<program_id, std::uint64_t> nonces;
   /// Programs with a call that the former owner may still be sending, and until when.
   std::map<program_id, timestamp> send_not_before;
-  std::uint64_t last_probe = 0;
+  std::uint64_t last_confirmation_number = 0;
   /// Newest records, for replicas that lack them. The first is at position `last` - size + 1; at
   /// most `max_unacknowledged_records`.
   std::deque<log_record> unacknowledged_records;
