--- a/libs/node/include/hawthornlane/node/ownership_manager.h
+++ b/libs/node/include/hawthornlane/node/ownership_manager.h
@@ -39,7 +39,7 @@
   host_view& hosts;
   std::size_t replicas;
   /// For each shard without a live owner, when this host first noticed that.
-  std::map<shard_id, timestamp> orphaned_since;
+  std::map<shard_id, timestamp> ownerless_since;
 };
 
 }  // namespace hawthornlane
--- a/libs/node/src/ownership_manager.cc
+++ b/libs/node/src/ownership_manager.cc
@@ -55,14 +55,14 @@
                            ? claim_delay(shard, entry, self.id, candidates, ended, claim_delay_step)
                            : std::nullopt;
     if (!delay) {
-      this->orphaned_since.erase(shard);
+      this->ownerless_since.erase(shard);
       continue;
     }
-    const auto [since, first] = this->orphaned_since.emplace(shard, now);
+    const auto [since, first] = this->ownerless_since.emplace(shard, now);
     if (now - since->second < min_ownerless_time + *delay) {
       continue;
     }
-    this->orphaned_since.erase(shard);
+    this->ownerless_since.erase(shard);
     std::vector<host_incarnation> next =
         choose_replicas(shard, self, candidates, entry.replicas, this->replicas);
     this->shards.change(shard, [&](shard_core& core) {
