--- a/libs/node/include/hawthornlane/node/front_routes.h
+++ b/libs/node/include/hawthornlane/node/front_routes.h
@@ -22,7 +22,8 @@
   document_registry& documents;
   call_runner& runner;
   call_table& calls;
-  /// How long callers may keep an address answer; see `node_settings::address_time`.
+  /// How long callers may use an address that this host gave them; see
+  /// `node_settings::address_time`.
   duration address_time;
   /// Forwards a request to the owner of its shard.
   std::function<void(const std::string& address, const forwarded_request&, forward_reply)> forward;
--- a/libs/node/include/hawthornlane/node/node.h
+++ b/libs/node/include/hawthornlane/node/node.h
@@ -23,7 +23,7 @@
 /// is held, no further lock is taken.
 class node {
 public:
-  /// Starts listening; throws when it cannot. `on_stopped` is called once, on a worker
+  /// Starts to listen; throws if that fails. `on_stopped` is called once, on a worker
   /// thread, when a planned shutdown is complete.
   node(boost::asio::io_context& context, node_settings settings, std::function<void()> on_stopped);
   ~node();
--- a/libs/node/include/hawthornlane/node/node_settings.h
+++ b/libs/node/include/hawthornlane/node/node_settings.h
@@ -30,11 +30,11 @@
   std::uint32_t workers = 2;
   std::uint32_t shards = 64;
   std::uint32_t replicas = 2;
-  /// How long callers may keep an address answer.
+  /// How long callers may use the address of a host after they received it.
   duration address_time{};
   /// How long the answers of an ended program can still be fetched.
   duration keep_answers{};
-  /// How long a silent host is suspected before it counts as gone.
+  /// How long a host that does not respond is suspected before it counts as gone.
   duration suspicion{};
   /// Largest request body, bytes.
   std::uint64_t largest_body = 0;
--- a/libs/node/include/hawthornlane/node/shard_map_store.h
+++ b/libs/node/include/hawthornlane/node/shard_map_store.h
@@ -27,7 +27,7 @@
 
   shard_map_store(runtime& time, object_store& platform, std::uint32_t shards);
 
-  /// Both hooks are set once, before the first use.
+  /// Set both hooks once, before the first use.
   void on_entry(entry_hook hook) { this->entry_callback = std::move(hook); }
   void on_proposal(proposal_hook hook) { this->proposal_callback = std::move(hook); }
 
--- a/libs/node/include/hawthornlane/node/shard_table.h
+++ b/libs/node/include/hawthornlane/node/shard_table.h
@@ -31,7 +31,7 @@
 public:
   shard_table(std::uint32_t count, const host_incarnation& self, ownership_times times);
 
-  /// Set once, before the first use.
+  /// Call this once, before the first use.
   void set_hooks(shard_hooks to) { this->hooks = std::move(to); }
   [[nodiscard]] std::uint32_t size() const {
     return static_cast<std::uint32_t>(this->slots.size());
