--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -300,8 +300,8 @@
   }
 }
 
-/// Cost of choosing a server for a turn at one host, with its directory request, and the
-/// same when no server has a free place (slot).
+/// Cost, at one host, of building a turn's directory request and choosing a server for the turn:
+/// first with free places (slots), then with none.
 void server_choice_slopes(bool learns_speed) {
   for (const std::size_t servers : {48U, 275U, 2200U}) {
     pool_rules rules;
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -11,7 +11,7 @@
 struct turn_shape {
   std::int64_t new_tokens = 0;
   std::int64_t answer = 0;
-  /// Pause after the turn, seconds: a tool runs, or a mechanic works on the machine.
+  /// Pause after the turn, seconds: a tool runs, or a mechanic does manual work.
   double pause = 0;
 };
 
--- a/libs/disk/include/hawthornlane/disk/quota_service.h
+++ b/libs/disk/include/hawthornlane/disk/quota_service.h
@@ -38,8 +38,8 @@
   void serve(const std::string& payload, const net::rpc_reply& reply);
   /// Sets the share of each quota that this host manages, 0 to 1.
   void set_share(double share);
-  /// Removes accounts whose quota is full and would be full as well if they were created again,
-  /// and programs that have expired.
+  /// Removes programs that have expired, and accounts whose quota is full, as it would also be if
+  /// they were created again.
   void forget_idle();
   /// Number of accounts in memory.
   [[nodiscard]] std::size_t accounts() const { return this->manager.accounts(); }
@@ -54,7 +54,7 @@
 
   quota_hooks hooks;
   quota_manager manager;
-  /// Responses to grants that are not on disk yet; called when they are.
+  /// Responses to grants whose write has not begun; called with `good` = false if it fails.
   std::vector<std::function<void(bool good)>> unwritten;
   bool writing = false;
 };
--- a/libs/disk/src/disk_host_state.h
+++ b/libs/disk/src/disk_host_state.h
@@ -74,7 +74,7 @@
   net::steady_time next_membership_run{};
   net::steady_time next_tick{};
   bool membership_running = false;
-  /// When a change of the set became due, if the set still has the epoch `due_at_epoch`.
+  /// When a change of the set became due. Valid only while the set's epoch is `due_at_epoch`.
   net::steady_time due_since{};
   set_epoch due_at_epoch;
   set_epoch copied;
--- a/libs/disk/test/ledger_store_test.cc
+++ b/libs/disk/test/ledger_store_test.cc
@@ -132,8 +132,8 @@
   }
 
 private:
-  /// The disk is so small that live records soon exceed the limit. From then on a compaction of
-  /// several pages is always in progress.
+  /// The disk is so small that the live records alone soon exceed the size at which the log is
+  /// compacted. From then on a compaction of several pages is always in progress.
   static constexpr std::uint64_t disk_bytes = 1'500'000;
   static constexpr std::uint64_t segment_bytes = 100'000;
   static constexpr std::size_t max_text = 50'000;
--- a/libs/http/include/hawthornlane/http/synchronous_server.h
+++ b/libs/http/include/hawthornlane/http/synchronous_server.h
@@ -9,8 +9,9 @@
 
 namespace hawthornlane::http {
 
-/// Answers each request with the result of `respond`. An invalid request gets the status of the
-/// error table and no body. Throws `boost::system::system_error` when it cannot listen.
+/// Answers each request with the result of `respond`. An invalid request gets no body and the
+/// status that the error table lists for its fault. Throws `boost::system::system_error` when it
+/// cannot listen.
 std::unique_ptr<server> make_synchronous_server(boost::asio::io_context& context,
                                                 const endpoint& listen_at,
                                                 std::function<response(const request&)> respond);
--- a/libs/limits/include/hawthornlane/limits/credit_split.h
+++ b/libs/limits/include/hawthornlane/limits/credit_split.h
@@ -24,9 +24,8 @@
   std::int64_t credits = 0;
 };
 
-/// Divides `window` by demand. Guarantees: the grants never sum to more than the larger of the
-/// window and the calls already in flight; every host with demand gets one credit before another
-/// gets its second, as far as the window allows.
+/// Divides `window` by demand. Guarantees: the grants never sum to more than the window; every host
+/// with demand gets one credit before another gets its second, as far as the window allows.
 std::vector<credit_grant> split_window(std::int64_t window,
                                        const std::vector<credit_demand>& demands);
 
--- a/libs/net/src/rpc_server.cc
+++ b/libs/net/src/rpc_server.cc
@@ -18,12 +18,11 @@
 
 constexpr std::size_t read_size = std::size_t{16} * 1024;
 constexpr std::size_t default_max_queued_bytes = std::size_t{16} * 1024 * 1024;
-/// One connection may queue the process's limit divided by this number.
+/// One connection may queue the server's limit divided by this number.
 constexpr std::size_t connection_share_divisor = 4;
 
-/// Bytes of responses that are queued on all connections of a server. The limit covers the
-/// whole process: a limit of 16 MB per connection does not protect a process that has 88 MB and
-/// 56 connections.
+/// Bytes of responses that are queued on all connections of an `rpc_server` together, and their
+/// limit: 16 MB per connection would not protect a process that has 88 MB and 56 connections.
 struct queue_usage {
   std::size_t waiting = 0;
   std::size_t max_bytes = default_max_queued_bytes;
--- a/libs/node/include/hawthornlane/node/call_table.h
+++ b/libs/node/include/hawthornlane/node/call_table.h
@@ -24,8 +24,9 @@
 
 /// Open calls of this host by id. Thread-safe.
 ///
-/// Guarantee: an event reaches only the channel created for its own call. A caller that
-/// reads too slowly loses pieces of the stream, but never the answer.
+/// Guarantee: an event reaches only the channel created for its own call. A caller that reads too
+/// slowly loses pieces of the stream. If its channel is full when the answer comes, the channel is
+/// closed, and the answer must be fetched by its ticket.
 class call_table {
 public:
   struct entry {
--- a/libs/node/include/hawthornlane/node/runtime.h
+++ b/libs/node/include/hawthornlane/node/runtime.h
@@ -1,4 +1,4 @@
-// Clocks and random numbers for the parts of a host that do I/O.
+// Clocks and random numbers for the scheduling code of a host.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/libs/node/src/call_table.cc
+++ b/libs/node/src/call_table.cc
@@ -7,7 +7,7 @@
 }
 
 call_table::entry call_table::add(const boost::asio::any_io_executor& executor) {
-  // The extra slot is for the answer. `complete` handles a channel that is full of text.
+  // Text may fill all slots. `complete` handles a channel that is full of text.
   auto channel = std::make_shared<call_channel>(executor, channel_capacity + 1);
   const std::lock_guard lock(this->mutex);
   const call_id id(this->next++);
--- a/libs/relay/include/hawthornlane/relay/call_terms.h
+++ b/libs/relay/include/hawthornlane/relay/call_terms.h
@@ -28,7 +28,7 @@
   std::string host_name;
   /// The secret that identifies the caller's account. Must not be logged or forwarded.
   std::optional<std::string> key;
-  /// How long the caller waits, counted from now.
+  /// How long the caller waits, counted from the call's arrival at the host.
   std::optional<duration> deadline;
   /// Affinity key: calls with the same value concern the same object of the caller and should go
   /// to the same server.
--- a/libs/telemetry/src/log.cc
+++ b/libs/telemetry/src/log.cc
@@ -126,7 +126,7 @@
   std::string host;
   std::mutex mutex;
   bool buffered = false;
-  /// Invariant: at most `max_buffer_bytes` bytes and one line.
+  /// Invariant: at most `max_buffer_bytes` bytes and one line break.
   std::string buffer;
   std::uint64_t dropped = 0;
 };
--- a/scenarios/deployment_test.cc
+++ b/scenarios/deployment_test.cc
@@ -353,6 +353,7 @@
   all.run_for(1500ms);
   CHECK(all.call(0, plain("/new/x", "served")).status == 200);
   // Two entries without valid metadata, three that describe no server, and one of kind `config`.
+  // The two malformed host entries may count as well.
   CHECK(all.metric(0, "store_objects_malformed") >= 6);
   CHECK(all.metric(0, "store_objects_malformed") <= 8);
   // A malformed configuration does not replace the one in force.
--- a/scenarios/soak_callers.cc
+++ b/scenarios/soak_callers.cc
@@ -19,7 +19,7 @@
 /// Deadline of a call, sent as `X-Deadline-Ms`.
 constexpr auto call_limit = 3000ms;
 /// How long a caller waits for the response after its deadline. The routes' own timeouts, at most
-/// 3 s, end earlier.
+/// 3 s, do not exceed the deadline.
 constexpr auto answer_slack = 500ms;
 constexpr auto connect_limit = 1000ms;
 /// Callers reuse a directory response for the hosts' configured `address_time`.
