--- a/libs/fleet/include/hawthornlane/fleet/configuration.h
+++ b/libs/fleet/include/hawthornlane/fleet/configuration.h
@@ -43,7 +43,7 @@
   /// Starts and ends with a slash.
   std::string path_prefix;
   call_kind kind = call_kind::once;
-  /// Longest time that a call may be kept waiting.
+  /// Longest time from a call's arrival to its end; a caller's deadline can only shorten it.
   duration timeout{};
   /// Target time to the response, or to a stream's first event.
   duration latency_objective{};
--- a/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
+++ b/libs/fleet/include/hawthornlane/fleet/store_read_schedule.h
@@ -23,8 +23,8 @@
   static constexpr duration read_interval = std::chrono::milliseconds(850);
   /// Additional wait of hosts other than the last reader.
   static constexpr duration takeover_wait = std::chrono::milliseconds(200);
-  /// Additional wait of each further rank: longer than a read and the distribution of its result
-  /// take.
+  /// Additional wait per rank, the position among the live hosts: longer than a read and the
+  /// distribution of its result take.
   static constexpr duration rank_step = std::chrono::milliseconds(40);
   static constexpr std::size_t max_rank_steps = 10;
   /// A host without any state first waits for its peers to send it.
--- a/libs/front/include/hawthornlane/front/copy_send_limiter.h
+++ b/libs/front/include/hawthornlane/front/copy_send_limiter.h
@@ -14,7 +14,8 @@
 /// Sends few copies of a kind at once; hosts that have received one send it on. A change thus
 /// reaches all hosts in a few rounds, and only a few copies queue for a host's link, whatever the
 /// number of hosts: 1.4 MB instead of 34 MB for a configuration of 700 KB and 24 hosts
-/// (configuration_spread_test).
+/// (configuration_spread_test). Without the limit, fetches that time out are repeated while their
+/// copies are still queued.
 class copy_send_limiter {
 public:
   /// Concurrent copies allowed for any size. The second one keeps the link busy while the first
--- a/libs/front/src/front_host.cc
+++ b/libs/front/src/front_host.cc
@@ -35,8 +35,8 @@
 /// The cache of complete turns may use an eighth of the process's memory; the rest is for calls in
 /// flight, which need 12 MB on the heaviest day.
 constexpr std::size_t cache_bytes_per_mb = bytes_per_mb / 8;
-/// Divisor of the memory: when the answers queued for other hosts take more than this share, state
-/// copies are refused. 2.75 MB of 88 MB, which a link of 30 Mbit/s sends in 0.7 s.
+/// Divisor of the memory: state copies are refused while the answers queued for other hosts exceed
+/// the memory divided by this. For 88 MB this is 2.75 MB, which a link of 30 Mbit/s sends in 0.7 s.
 constexpr std::size_t peer_answers_share = 32;
 /// Divisor of the memory: limit of everything queued for other hosts, including relayed answers of
 /// disk hosts.
--- a/libs/front/src/place_exchange.cc
+++ b/libs/front/src/place_exchange.cc
@@ -278,7 +278,8 @@
 }
 
 void place_exchange::send_grants() {
-  // A grant to a call of this host, or an unwanted one, can trigger the next grant recursively.
+  // A grant to a call of this host, or the withdrawal of an unwanted grant, can call this function
+  // again; the outer loop then sends the next grants.
   if (this->sending_grants) {
     return;
   }
--- a/libs/limits/include/hawthornlane/limits/quota_lease.h
+++ b/libs/limits/include/hawthornlane/limits/quota_lease.h
@@ -19,7 +19,8 @@
 struct member_probe_result {
   disk_id disk;
   timestamp received_at{};
-  /// The epoch of the newest set that a joining disk has announced to that disk.
+  /// Epoch of the newest set that `disk` knows, e.g. because a joining disk has announced it. If it
+  /// is above the epoch of this host's set, this host may have been replaced.
   set_epoch fence;
 };
 
--- a/libs/limits/include/hawthornlane/limits/quota_manager.h
+++ b/libs/limits/include/hawthornlane/limits/quota_manager.h
@@ -55,8 +55,9 @@
 
 /// Token buckets of one quota manager.
 ///
-/// Invariant: in any span of t seconds the manager grants an account at most its share of burst +
-/// tolerance + t * calls_per_second calls, or 1 + share * t * calls_per_second where that is more.
+/// Invariant: in any span of t seconds the manager grants an account at most
+/// max(1, share * (burst + tolerated)) + share * t * calls_per_second calls. `tolerated` is the
+/// number of calls by which `quota_tolerance` lets a window exceed the quota.
 /// This includes spans in which its process restarts: a grant is logged before the response is
 /// sent, and `restore` reads it back. Without the log all buckets would be empty after a loss of
 /// power, just when the callers come back.
--- a/libs/limits/test/quota_faults.h
+++ b/libs/limits/test/quota_faults.h
@@ -54,7 +54,7 @@
   deducts_refusals,
 };
 
-/// The operator's tolerance.
+/// By how much calls may exceed a quota: window, excess (a fraction) and slack (calls).
 inline constexpr quota_tolerance tolerance{std::chrono::seconds(5), 0.1, 20};
 
 /// Which links between two hosts are cut, slow or duplicating, and until when.
--- a/libs/limits/test/quota_manager_test.cc
+++ b/libs/limits/test/quota_manager_test.cc
@@ -350,7 +350,8 @@
   CHECK(refused <= calls / 100);
 }
 
-// Their requests carry the old limit; a manager must apply the newest limit to all requests.
+// Requests of hosts that do not know the new limit yet carry the old one; a manager must apply the
+// newest limit to all requests.
 TEST_CASE("hosts that do not know a lowered limit yet cannot exceed it") {
   lossy_deployment deployment(3, 5);
   const account_limit before{100, 100};
--- a/libs/membership/include/hawthornlane/membership/messages.h
+++ b/libs/membership/include/hawthornlane/membership/messages.h
@@ -74,8 +74,8 @@
   std::vector<member> updates;
   /// Digest of all document generations that the sender uses.
   std::uint64_t documents_digest = 0;
-  /// Whether the sender knows that these generations are current. Only then may another host
-  /// become ready because its own digest is equal.
+  /// Whether the sender knows that these generations are current. A host whose own digest
+  /// is equal may become ready for that reason only if this is true.
   bool documents_current = false;
   /// Generations that the sender uses; sent when the digests differ.
   std::vector<document_generation> document_generations;
--- a/libs/ownership/include/hawthornlane/ownership/shard_core.h
+++ b/libs/ownership/include/hawthornlane/ownership/shard_core.h
@@ -117,7 +117,8 @@
   [[nodiscard]] bool complete() const;
   /// Number of calls that are logged or dispatched and not yet answered.
   [[nodiscard]] std::size_t open_calls() const { return this->calls.size(); }
-  /// Number of replicas that hold every record; 0 when this host does not serve the shard.
+  /// Number of counted replicas (see `is_counted`: while a change of the replica set is undecided,
+  /// those in both sets) that hold every record; 0 when this host does not serve the shard.
   [[nodiscard]] std::size_t in_sync_replicas() const;
   /// Description of the first invariant found broken, to be reported by the host; empty if none.
   [[nodiscard]] std::string broken_invariant() const;
@@ -276,8 +277,8 @@
   /// Programs with a call that the former owner may still be sending, and until when.
   std::map<program_id, timestamp> send_not_before;
   std::uint64_t last_confirmation_number = 0;
-  /// Newest records, for replicas that lack them. The first is at position `last` - size + 1; at
-  /// most `max_unacknowledged_records`.
+  /// Newest records, for replicas that lack them. The first is at position
+  /// `own_log->last` - size + 1; at most `max_unacknowledged_records`.
   std::deque<log_record> unacknowledged_records;
   bool degraded = false;
 };
--- a/libs/ownership/test/search_model.h
+++ b/libs/ownership/test/search_model.h
@@ -347,7 +347,8 @@
       this->carry_out(after, host, after.hosts[host].stop_waiting_for_seals(this->now));
       this->add(out, "serve with gap " + name, std::move(after));
     }
-    // A follower does nothing when it reads the map, and a claim reads it first.
+    // Skip followers: reading the map does not change them, and a follower that claims the shard
+    // reads the map as part of the claim.
     const bool acts = core.role() != shard_core::role_kind::follower;
     const bool map_changed =
         acts && (core.known_assignment().at < state.map_entry.at || core.proposal_open());
--- a/libs/placement/include/hawthornlane/placement/place_queue.h
+++ b/libs/placement/include/hawthornlane/placement/place_queue.h
@@ -208,7 +208,8 @@
   [[nodiscard]] static claim_rank rank_of(const server_queue& server, const waiting_claim& item,
                                           timestamp now);
   static void drop_expired(server_queue& server, timestamp now);
-  /// Number of the server's places in use: calls at the server, and grants that no count includes.
+  /// Number of the server's places in use: calls at the server, and grants whose calls the
+  /// reported counts do not include yet.
   [[nodiscard]] std::uint32_t used(server_key key, const server_queue& server, timestamp now) const;
   static std::vector<waiting_claim>::iterator next_claim(server_queue& server, timestamp now);
   /// Grants all free places to waiting claims.
--- a/libs/placement/include/hawthornlane/placement/server_pool.h
+++ b/libs/placement/include/hawthornlane/placement/server_pool.h
@@ -185,7 +185,8 @@
   [[nodiscard]] std::set<backend_server_id> excluded(timestamp now) const;
   /// Servers that are excluded, or degraded and used only if no other server is available.
   [[nodiscard]] std::set<backend_server_id> unhealthy(timestamp now) const;
-  /// Total number of slots of the healthy servers: calls that they work on at once.
+  /// Total number of slots of the healthy servers, i.e. of calls that they process at once. Not to
+  /// be confused with the places that limit this host's calls.
   [[nodiscard]] double healthy_places(timestamp now) const;
   [[nodiscard]] std::vector<backend_server_id> listed() const;
 
--- a/libs/placement/include/hawthornlane/placement/server_speed.h
+++ b/libs/placement/include/hawthornlane/placement/server_speed.h
@@ -30,8 +30,8 @@
   /// Decay time of the temporary slowdown: half of its typical duration of 600 ms.
   duration temporary_decay_time = std::chrono::milliseconds(300);
   /// Upper bound of the weight of a host's own estimate, and of the weight of the other hosts'
-  /// mean. With it an estimate without new calls halves in 70 s: 15 s times the logarithm of the
-  /// sum of both weights.
+  /// mean. Without new calls an estimate thus halves within 70 s = 15 s * ln(100): the sum of both
+  /// weights, at most 100, has then decayed to 1, the weight of the prior.
   double max_weight = 50;
 };
 
--- a/libs/placement/src/server_pool_speed.cc
+++ b/libs/placement/src/server_pool_speed.cc
@@ -19,7 +19,7 @@
 /// hash is then full for one call in ten.
 constexpr double request_loads_from = 0.5;
 /// The reported load of such calls decays by a factor of e in this time towards the mean of all
-/// servers. Hosts that use counts from before the current calls all choose the same servers.
+/// servers: hosts that trusted the same old counts would all choose the same servers.
 constexpr double promptless_decay_seconds = 0.1;
 /// A load that was received less than this long ago is not requested again for calls without a
 /// prompt: they take 50 to 200 ms.
--- a/libs/program/include/hawthornlane/program/program_state.h
+++ b/libs/program/include/hawthornlane/program/program_state.h
@@ -60,8 +60,8 @@
   token_count withheld{0};
   std::uint32_t tool_calls = 0;
   bool closed = false;
-  /// Tokens left after each record, oldest first. The first mark is that of the last record that
-  /// all replicas are known to hold.
+  /// Tokens left after each record, oldest first. The first mark is that of the program's last
+  /// record that all replicas were known to hold when the newest mark was added, if there was one.
   std::vector<tokens_left_mark> tokens_left_marks;
 
   /// The turn of the next ticket.
--- a/libs/program/src/program_state.cc
+++ b/libs/program/src/program_state.cc
@@ -73,8 +73,8 @@
 
 void program_state::withhold_for_partition() {
   // The other side of a network partition stops at half of the tokens left at the last record that
-  // all replicas held. That record has one of the marks, so half of the lowest mark is safe for
-  // this side.
+  // all replicas held. This side may not know which record that was, but its mark is in the list.
+  // The lowest mark is at most that one, so half of it is safe for this side.
   const token_count allowance =
       half(std::max(token_count(0), this->least_tokens_left_since_full()));
   this->withheld = token_count(0);
--- a/libs/routing/include/hawthornlane/routing/scheduler.h
+++ b/libs/routing/include/hawthornlane/routing/scheduler.h
@@ -65,7 +65,8 @@
   double hung_factor = 8;
   duration min_hung_time = std::chrono::seconds(10);
   duration exclusion = std::chrono::seconds(10);
-  /// Servers considered for a call besides the one with its prefix; never all.
+  /// Maximum number of usable servers considered for a call besides the one with its prefix,
+  /// however many there are.
   std::size_t candidates = 4;
   /// Prefixes used more recently than this are not evicted by new programs.
   duration protected_age = std::chrono::seconds(40);
--- a/libs/routing/src/scheduler.cc
+++ b/libs/routing/src/scheduler.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr std::int64_t failures_to_exclude = 3;
-/// A call is moved to another server only if its predicted time there is at most this fraction of
-/// its predicted time here.
+/// A call is moved to another server only if its predicted time at the new server is at most this
+/// fraction of that at its present server.
 constexpr double max_stolen_time_ratio = 0.8;
 
 }  // namespace
@@ -255,8 +255,9 @@
   this->reindex(id, server);
 }
 
-/// Moves a call from the queue of the busiest server to this one if it is expected to end sooner
-/// here, although its whole prompt has to be prefilled again.
+/// Moves a call from the queue of the busiest server to this one if its predicted time here,
+/// including a prefill of its whole prompt, is at most `max_stolen_time_ratio` of that at its
+/// present server.
 bool scheduler::steal_for(const backend_server_id& id, server_state& server, timestamp now,
                           std::vector<schedule_decision>& out) {
   if (this->by_load.empty()) {
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_set.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/ledger_set.h
@@ -11,7 +11,8 @@
 
 /// Identity of a disk's contents, created at first use. An emptied disk gets a new one.
 using disk_id = strong_value<struct disk_id_tag, std::string>;
-/// Number of a set; rises by one with each change. Disks refuse lower ones.
+/// Number of a set; rises by one with each change. Disks refuse requests with a lower
+/// epoch than that of the newest set that they know.
 using set_epoch = strong_value<struct set_epoch_tag, std::uint64_t>;
 
 /// The disks of one epoch. While `next` is not empty the set is joint: a decision needs a majority
--- a/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
+++ b/libs/turn_ledger/include/hawthornlane/turn_ledger/set_change.h
@@ -33,8 +33,9 @@
   /// Registered disks, including this one. A member that is not registered is lost: its host came
   /// back with an empty disk or was removed.
   std::vector<disk_view> disks;
-  /// Number of disks before this one that have had their time for a change and have not made it,
-  /// perhaps because they cannot reach the store. The first disk that can make a change makes it.
+  /// When a change is due, the reachable candidates may make it one after the other, in the order
+  /// of their ids; the first that can does. This is the number of candidates that have had their
+  /// time and have not made it, perhaps because they cannot reach the store.
   std::size_t skipped_candidates = 0;
   /// Disks that a set should have: twice the losses to tolerate at once, plus one.
   std::size_t target_size = 3;
--- a/libs/turn_ledger/src/ledger_replica.cc
+++ b/libs/turn_ledger/src/ledger_replica.cc
@@ -104,8 +104,8 @@
         return page;
       }
       page.records.push_back(record->second);
-      // The reader may have received later turns of the chain before this record, so it cannot
-      // extend the record's lifetime itself.
+      // Send the program's expiry, which later turns may have extended, not the record's own. The
+      // reader may already have those turns, so it cannot extend the record's lifetime itself.
       page.records.back().expires_at = program->second.expires_at;
     }
   }
--- a/libs/turn_log/src/turn_log.cc
+++ b/libs/turn_log/src/turn_log.cc
@@ -275,7 +275,8 @@
   std::uint64_t segment_bytes;
   mutable std::mutex mutex;
   std::condition_variable wakeup;
-  /// Guarded by `mutex`, like the next seven members: frames to be written.
+  // Guarded by `mutex`, up to `stopping`:
+  /// Frames to be written.
   std::string queued;
   /// Offsets in `queued` at which a new segment begins, ascending.
   std::vector<std::size_t> segment_offsets;
@@ -287,8 +288,9 @@
   std::uint64_t total;
   std::uint64_t remove_below = 0;
   bool stopping = false;
-  /// Used by the writer thread only, like the next four members. Number of the segment that it
-  /// writes: `newest` less the number of `segment_offsets` that it has not reached.
+  // Used by the writer thread only, up to `on_durable`:
+  /// Number of the segment being written: `newest` minus the number of `segment_offsets` that the
+  /// writer has not reached.
   std::uint64_t segment;
   /// Size of each segment, bytes; `total` is their sum.
   std::map<std::uint64_t, std::uint64_t> sizes;
