--- a/libs/front/include/hawthornlane/front/probe_schedule.h
+++ b/libs/front/include/hawthornlane/front/probe_schedule.h
@@ -17,7 +17,7 @@
 
 /// Whether this host probes the peer now. A probe and its answer carry the state of both hosts, so
 /// the two take turns, one probe per interval. If both probed in every interval, 83 hosts would
-/// send 5,200 probes a second (calculated), half of them redundant. A failed probe is retried
+/// send 5,200 probes a second, half of them redundant. A failed probe is retried
 /// sooner, by either host. `goes_first` is true for exactly one of the two hosts, which probes next
 /// after both probed at the same time.
 [[nodiscard]] bool is_probe_due(const probe_times& times, bool goes_first, duration probe_interval,
